--- a/src/masticgate/connection/gateway/__init__.py
+++ b/src/masticgate/connection/gateway/__init__.py
@@ -11,9 +11,9 @@
 from ._client import HttpClient as HttpClient
 from ._client import HttpResponse as HttpResponse
 from ._client import NoReply as NoReply
-from ._dialect import Dialect as Dialect
-from ._dialect import peer_dialect as peer_dialect
 from ._encoding import read_missing as read_missing
+from ._header_names import HeaderNames as HeaderNames
+from ._header_names import peer_header_names as peer_header_names
 from ._listener import Listener as Listener
 from ._searcher_task import Irregularity as Irregularity
 from ._searcher_task import Load as Load
--- a/src/masticgate/connection/gateway/_caller.py
+++ b/src/masticgate/connection/gateway/_caller.py
@@ -10,8 +10,8 @@
 from ..._ids import ConfigurationVersion, Millis, RequestId
 from ...request.gateway import Abandoned, Inbox, Refused, Reply, Request
 from ...version.gateway import Limits
-from ._dialect import NETWORK_TIME, TABLE_VERSION, Dialect
 from ._encoding import encode_peer_reply, encode_reply
+from ._header_names import CONFIGURATION_VERSION_HEADER, NETWORK_TIME_HEADER, HeaderNames
 from ._inbox import Link, RequestInbox
 from ._parser import (
     Malformed,
@@ -43,7 +43,7 @@
     """
 
     handler: Handler
-    dialect: Dialect
+    header_names: HeaderNames
     clock: Clock
     limits: Callable[[], Limits]
     closing: Callable[[], bool]
@@ -98,7 +98,7 @@
     def _serve(self, parsed: ParsedRequest) -> bool:
         """Answer one request; return ``False`` where the connection has to end."""
         arrived = Millis(self.clock.now() - self.settings.head_start)
-        request = decode_request(parsed, self.settings.dialect, arrived)
+        request = decode_request(parsed, self.settings.header_names, arrived)
         if isinstance(request, Refused):
             self._write(request, close=True)
             return False
@@ -109,15 +109,15 @@
         if isinstance(reply, Abandoned):
             return False
         close = not parsed.keep_alive or self.settings.closing()
-        dialect = self.settings.dialect
+        header_names = self.settings.header_names
         if self.settings.between_gateways:
-            data = encode_peer_reply(reply, dialect, request, close=close)
+            data = encode_peer_reply(reply, header_names, request, close=close)
         else:
-            data = encode_reply(reply, dialect, close=close)
+            data = encode_reply(reply, header_names, close=close)
         return self._send(data) and not close
 
     def _write(self, reply: Reply, *, close: bool) -> bool:
-        return self._send(encode_reply(reply, self.settings.dialect, close=close))
+        return self._send(encode_reply(reply, self.settings.header_names, close=close))
 
     def _send(self, data: bytes) -> bool:
         try:
@@ -190,25 +190,27 @@
             self._write(_refuse(408, Reason.DEADLINE, "the request did not end"), close=True)
 
 
-def decode_request(parsed: ParsedRequest, dialect: Dialect, now: Millis) -> Request | Refused:
+def decode_request(
+    parsed: ParsedRequest, header_names: HeaderNames, now: Millis
+) -> Request | Refused:
     """Return the typed request, or why it cannot be served."""
     hosts = [value for name, value in parsed.headers if name.lower() == b"host"]
     if len(hosts) > 1 or (not hosts and parsed.version != "1.0"):
         return _refuse(400, Reason.BAD_REQUEST, "one Host header is needed")
     if not parsed.target.startswith(b"/"):
         return _refuse(400, Reason.BAD_REQUEST, "a path is needed")
-    version = read_number(find_header(parsed.headers, TABLE_VERSION) or b"")
-    network = _read_millis(find_header(parsed.headers, NETWORK_TIME))
-    own = (dialect.expected_searcher, TABLE_VERSION, NETWORK_TIME)
+    version = read_number(find_header(parsed.headers, CONFIGURATION_VERSION_HEADER) or b"")
+    network = _read_millis(find_header(parsed.headers, NETWORK_TIME_HEADER))
+    own = (header_names.expected_searcher, CONFIGURATION_VERSION_HEADER, NETWORK_TIME_HEADER)
     host = hosts[0].decode("latin-1").partition(":")[0] if hosts else ""
     return Request(
-        RequestId((find_header(parsed.headers, dialect.request_id) or b"").decode("latin-1")),
+        RequestId((find_header(parsed.headers, header_names.request_id) or b"").decode("latin-1")),
         parsed.method,
         parsed.target,
         host,
         tuple(h for h in end_to_end(parsed.headers) if h[0].lower() not in own),
         parsed.body,
-        _read_millis(find_header(parsed.headers, dialect.patience)),
+        _read_millis(find_header(parsed.headers, header_names.caller_timeout)),
         now,
         network=network or Millis(0.0),
         version=None if version is None else ConfigurationVersion(version),
--- a/src/masticgate/connection/gateway/_encoding.py
+++ b/src/masticgate/connection/gateway/_encoding.py
@@ -16,7 +16,12 @@
     Request,
 )
 from ...request.gateway._exchange import Header
-from ._dialect import MISSING_SHARDS, NETWORK_TIME, TABLE_VERSION, Dialect
+from ._header_names import (
+    CONFIGURATION_VERSION_HEADER,
+    MISSING_SHARDS_HEADER,
+    NETWORK_TIME_HEADER,
+    HeaderNames,
+)
 from ._parser import end_to_end, find_header, read_number
 
 STATUS_LINES = {
@@ -25,24 +30,26 @@
 }
 
 
-def encode_peer_reply(reply: Reply, dialect: Dialect, request: Request, *, close: bool) -> bytes:
+def encode_peer_reply(
+    reply: Reply, header_names: HeaderNames, request: Request, *, close: bool
+) -> bytes:
     """Return the bytes of ``reply`` to another gateway, which needs the request's id in it."""
-    head, _, rest = encode_reply(reply, dialect, close=close).partition(b"\r\n")
-    added = b"%s: %s\r\n" % (dialect.request_id, request.id.encode("latin-1"))
+    head, _, rest = encode_reply(reply, header_names, close=close).partition(b"\r\n")
+    added = b"%s: %s\r\n" % (header_names.request_id, request.id.encode("latin-1"))
     if isinstance(reply, Refused):
-        added += b"%s: 1\r\n" % dialect.not_run
+        added += b"%s: 1\r\n" % header_names.not_run
     return b"%s\r\n%s%s" % (head, added, rest)
 
 
-def encode_reply(reply: Reply, dialect: Dialect, *, close: bool) -> bytes:
+def encode_reply(reply: Reply, header_names: HeaderNames, *, close: bool) -> bytes:
     """Return the bytes of ``reply``; ``close`` announces the end of the connection."""
     match reply:
         case Relayed(answer=answer):
             return _message(answer.status, end_to_end(answer.headers), answer.body, close)
         case Merged(stamps=stamps, missing=missing, records=records):
             headers = (
-                (dialect.included_stamps, ", ".join(stamps).encode("latin-1")),
-                (dialect.missing_shards, b"%d" % missing),
+                (header_names.included_stamps, ", ".join(stamps).encode("latin-1")),
+                (header_names.missing_shards, b"%d" % missing),
             )
             return _message(200, headers, records, close)
         case Refused(status=status, failure=failure, retry_after=retry_after):
@@ -61,21 +68,23 @@
 
 def read_missing(answer: Answered) -> int | None:
     """Return how many shards a gatherer's answer leaves out, ``None`` where it does not say."""
-    return read_number(find_header(answer.headers, MISSING_SHARDS) or b"")
+    return read_number(find_header(answer.headers, MISSING_SHARDS_HEADER) or b"")
 
 
-def encode_request(request: Request, dialect: Dialect, searcher: SearcherId, left: Millis) -> bytes:
+def encode_request(
+    request: Request, header_names: HeaderNames, searcher: SearcherId, left: Millis
+) -> bytes:
     """Return the bytes of ``request`` for one searcher, which may take ``left`` milliseconds."""
-    replaced = (dialect.patience, dialect.expected_searcher)
+    replaced = (header_names.caller_timeout, header_names.expected_searcher)
     lines = [b"%s %s HTTP/1.1\r\n" % (request.method, request.target)]
     for name, value in request.headers:
         if name.lower() not in replaced:
             lines.append(b"%s: %s\r\n" % (name, value))
-    lines.append(b"%s: %d\r\n" % (dialect.patience, max(1, int(left))))
-    lines.append(b"%s: %s\r\n" % (dialect.expected_searcher, searcher.encode("latin-1")))
+    lines.append(b"%s: %d\r\n" % (header_names.caller_timeout, max(1, int(left))))
+    lines.append(b"%s: %s\r\n" % (header_names.expected_searcher, searcher.encode("latin-1")))
     if request.version is not None:
-        lines.append(b"%s: %d\r\n" % (TABLE_VERSION, request.version))
-        lines.append(b"%s: %d\r\n" % (NETWORK_TIME, request.network))
+        lines.append(b"%s: %d\r\n" % (CONFIGURATION_VERSION_HEADER, request.version))
+        lines.append(b"%s: %d\r\n" % (NETWORK_TIME_HEADER, request.network))
     if request.body or request.method not in (b"GET", b"HEAD"):
         lines.append(b"Content-Length: %d\r\n" % len(request.body))
     lines.append(b"\r\n")
--- a/src/masticgate/connection/gateway/_searcher_task.py
+++ b/src/masticgate/connection/gateway/_searcher_task.py
@@ -15,8 +15,8 @@
 from ..._ids import Address, ConnectionNumber, Millis, RequestId, SearcherId
 from ...request.gateway import Answered, Call, Declined, Lost, Outcome, Receipt
 from ._client import HttpClient, keep_alive_timeout
-from ._dialect import Dialect
 from ._encoding import encode_request
+from ._header_names import HeaderNames
 from ._parser import read_number
 from ._response_parser import ParsedResponse, ResponseParser
 
@@ -95,7 +95,7 @@
         searcher: SearcherId,
         address: Address,
         owner: TaskOwner,
-        dialect: Dialect,
+        header_names: HeaderNames,
         clock: Clock,
         first: Call | None = None,
         number: ConnectionNumber = ConnectionNumber(0),
@@ -104,7 +104,7 @@
         self.skipped = 0
         self.searcher = searcher
         self.owner = owner
-        self.dialect = dialect
+        self.header_names = header_names
         self.clock = clock
         self.client = HttpClient(address, clock)
         self.lock = Lock()
@@ -182,7 +182,7 @@
         An answer may come before the request is sent whole: what follows waits for its rest.
         """
         left = Millis(call.deadline - self.clock.now())
-        data = memoryview(encode_request(call.request, self.dialect, self.searcher, left))
+        data = memoryview(encode_request(call.request, self.header_names, self.searcher, left))
         with self.sending:
             try:
                 while data and self.client.socket is not None:
@@ -265,14 +265,16 @@
 
     def _skip(self, call: Call, answer: ParsedResponse) -> None:
         self.skipped += 1
-        answered = answer.fields.get(self.dialect.request_id, b"").decode("latin-1")
+        answered = answer.fields.get(self.header_names.request_id, b"").decode("latin-1")
         self.owner.note(self, SkippedAnswer(RequestId(answered), call.request.id))
 
     def _is_for(self, call: Call, answer: ParsedResponse) -> bool:
         """Tell whether an answer bears the call's id and no second id or stamp."""
         expected = call.request.id.encode("latin-1")
-        own = answer.fields.get(self.dialect.request_id) == expected
-        return own and answer.repeated.isdisjoint((self.dialect.request_id, self.dialect.stamp))
+        own = answer.fields.get(self.header_names.request_id) == expected
+        return own and answer.repeated.isdisjoint(
+            (self.header_names.request_id, self.header_names.stamp)
+        )
 
     def _finish(
         self, call: Call, outcome: Outcome, load: Load | None, *, reusable: bool = True
@@ -295,9 +297,9 @@
     def _read(self, answer: ParsedResponse) -> Outcome:
         if answer.status == 421:
             return Declined(self.searcher, Reason.NO_SEARCHER)
-        if self.dialect.not_run in answer.fields:
+        if self.header_names.not_run in answer.fields:
             return Declined(self.searcher, Reason.SEARCHER_SHED)
-        stamp = answer.fields.get(self.dialect.stamp, b"").decode("latin-1")
+        stamp = answer.fields.get(self.header_names.stamp, b"").decode("latin-1")
         latency = Millis(self.clock.now() - self.began)
         headers = tuple(answer.headers)
         receipt = Receipt(self.number, answer.ending, self.skipped)
@@ -305,7 +307,7 @@
         return Answered(self.searcher, answer.status, headers, answer.body, stamp, latency, receipt)
 
     def _load(self, answer: ParsedResponse) -> Load | None:
-        parts = answer.fields.get(self.dialect.load, b"").split(b",")
+        parts = answer.fields.get(self.header_names.load, b"").split(b",")
         match [read_number(part) for part in parts]:
             case [int(running), int(waiting), int(slots)]:
                 return Load(running, waiting, slots)
--- a/src/masticgate/platform/_names.py
+++ b/src/masticgate/platform/_names.py
@@ -1,11 +1,11 @@
 """The header names of the platform."""
 
-from ..connection.gateway import Dialect
+from ..connection.gateway import HeaderNames
 
-DIALECT = Dialect(
+HEADER_NAMES = HeaderNames(
     request_id=b"x-masticgate-request-id",
     # The header holds a duration, not a point in time.
-    patience=b"x-masticgate-deadline-ms",
+    caller_timeout=b"x-masticgate-deadline-ms",
     # A code that authenticates one answer to one request.
     stamp=b"x-masticgate-server-stamp",
     # Names one start of a searcher.
--- a/src/masticgate/platform/_serve.py
+++ b/src/masticgate/platform/_serve.py
@@ -10,7 +10,7 @@
 from .._clock import SystemClock
 from ..process.gateway import GatewaySettings
 from ..process.gateway._gateway import Gateway
-from ._names import DIALECT
+from ._names import HEADER_NAMES
 from ._node_file import BadNodeFile, read_node_file
 from ._store import Store
 
@@ -38,7 +38,7 @@
     for number in (signal.SIGTERM, signal.SIGINT, signal.SIGHUP):
         signal.signal(number, note)
     try:
-        gateway = Gateway(settings, DIALECT, Store(settings.catalogue, SystemClock()))
+        gateway = Gateway(settings, HEADER_NAMES, Store(settings.catalogue, SystemClock()))
     except OSError as error:
         print(f"masticgate: cannot listen: {error}", file=sys.stderr)
         raise SystemExit(START_STATUS) from error
--- a/src/masticgate/process/gateway/_fleet.py
+++ b/src/masticgate/process/gateway/_fleet.py
@@ -8,7 +8,7 @@
 from ..._failures import NotRun, Reason, Step
 from ..._ids import ConnectionNumber, Millis, SearcherId, ServiceId
 from ...connection.gateway import (
-    Dialect,
+    HeaderNames,
     Irregularity,
     Load,
     SearcherTask,
@@ -16,7 +16,7 @@
     TaskStarter,
     TrailingBytes,
     UnrequestedBytes,
-    peer_dialect,
+    peer_header_names,
 )
 from ...request.gateway import Answered, Call, Declined, Ending, Lost, Repeat
 from ...version.gateway import Route, RouteTable
@@ -74,14 +74,14 @@
     def __init__(
         self,
         settings: GatewaySettings,
-        dialect: Dialect,
+        header_names: HeaderNames,
         clock: Clock,
         starter: TaskStarter,
         log: EventLog,
         metrics: Metrics,
     ) -> None:
         self.settings = settings
-        self.dialect = dialect
+        self.header_names = header_names
         self.clock = clock
         self.starter = starter
         self.log = log
@@ -95,7 +95,7 @@
         self.accepted: dict[ServiceId, int] = {}
         self.shards: set[ServiceId] = set()
         self.shares = Shares(1, 1, False)
-        self.peer_dialect = peer_dialect(dialect)
+        self.peer_header_names = peer_header_names(header_names)
         self.budgets = RepeatBudgets(settings.repeats, self.shares, clock.now())
         self.delays = HedgeDelays()
 
@@ -309,9 +309,9 @@
     def _open(self, replica: Replica, first: Call | None = None) -> SearcherTask | None:
         """Start the task of a new connection; return ``None`` where the process has no room."""
         entry = replica.entry
-        dialect = self.peer_dialect if entry.service == PEERS else self.dialect
+        header_names = self.peer_header_names if entry.service == PEERS else self.header_names
         number = ConnectionNumber(next(self.numbers))
-        task = SearcherTask(entry.id, entry.address, self, dialect, self.clock, first, number)
+        task = SearcherTask(entry.id, entry.address, self, header_names, self.clock, first, number)
         replica.tasks += 1
         self.tasks[task] = replica
         refused = self.starter.start(task.run)
--- a/src/masticgate/process/gateway/_gateway.py
+++ b/src/masticgate/process/gateway/_gateway.py
@@ -6,7 +6,7 @@
 
 from ..._clock import MILLIS_PER_SECOND, SystemClock
 from ..._ids import Address, Millis
-from ...connection.gateway import CallerSettings, Dialect, Handler, Listener, peer_dialect
+from ...connection.gateway import CallerSettings, Handler, HeaderNames, Listener, peer_header_names
 from ...connection.gateway._caller import CallerState
 from ...request.gateway import Inbox, Plain, Reply, Request
 from ...version.gateway import Limits, RouteTable
@@ -46,14 +46,16 @@
 class Gateway:
     """One gateway process."""
 
-    def __init__(self, settings: GatewaySettings, dialect: Dialect, source: PlatformSource) -> None:
+    def __init__(
+        self, settings: GatewaySettings, header_names: HeaderNames, source: PlatformSource
+    ) -> None:
         threading.stack_size(STACK_BYTES)
         self.settings = settings
         self.clock = SystemClock()
         self.log = EventLog(settings.host, self.clock)
         self.metrics = Metrics()
         self.pool = TaskPool(MOST_TASKS, self.log, self.metrics)
-        self.fleet = Fleet(settings, dialect, self.clock, self.pool, self.log, self.metrics)
+        self.fleet = Fleet(settings, header_names, self.clock, self.pool, self.log, self.metrics)
         followed = self._follow_relays(source) if not settings.is_seed else source
         self.follower = Follower(followed, self.fleet, self.clock, self.log, self.metrics)
         self.stopping = Event()
@@ -77,15 +79,15 @@
         )
         self.ended = Event()
         self.was_ready = False
-        self.readiness = self._listen(settings.readiness, dialect, self._ready_page)
+        self.readiness = self._listen(settings.readiness, header_names, self._ready_page)
         self.callers = self._listen(
-            settings.callers, dialect, self.service.handle, most=MOST_CALLERS
+            settings.callers, header_names, self.service.handle, most=MOST_CALLERS
         )
         self.listeners = [self.readiness, self.callers]
         if settings.peers is not None:
-            self.listeners.append(self._listen_to_peers(settings.peers, dialect))
+            self.listeners.append(self._listen_to_peers(settings.peers, header_names))
         if settings.metrics is not None:
-            self.listeners.append(self._listen(settings.metrics, dialect, self._metrics_page))
+            self.listeners.append(self._listen(settings.metrics, header_names, self._metrics_page))
 
     def start(self) -> None:
         """Start the tasks of the process."""
@@ -130,15 +132,21 @@
         Event().wait(max(0.0, deadline - self.clock.now()) / MILLIS_PER_SECOND)
 
     def _listen(
-        self, address: Address, dialect: Dialect, handler: Handler, most: int = MOST_PAGE_CALLERS
+        self,
+        address: Address,
+        header_names: HeaderNames,
+        handler: Handler,
+        most: int = MOST_PAGE_CALLERS,
     ) -> Listener:
-        settings = CallerSettings(handler, dialect, self.clock, self._limits, self.stopping.is_set)
+        settings = CallerSettings(
+            handler, header_names, self.clock, self._limits, self.stopping.is_set
+        )
         return Listener(address, settings, self.pool, most)
 
-    def _listen_to_peers(self, address: Address, dialect: Dialect) -> Listener:
+    def _listen_to_peers(self, address: Address, header_names: HeaderNames) -> Listener:
         settings = CallerSettings(
             self.service.handle_peer,
-            peer_dialect(dialect),
+            peer_header_names(header_names),
             self.clock,
             Limits,
             self.stopping.is_set,
--- a/tests/gateway/fakes.py
+++ b/tests/gateway/fakes.py
@@ -8,7 +8,7 @@
     RequestId,
     RouteId,
 )
-from masticgate.connection.gateway import Dialect
+from masticgate.connection.gateway import HeaderNames
 from masticgate.process.gateway import (
     GatewaySettings,
     RepeatBounds,
@@ -31,9 +31,9 @@
     Target,
 )
 
-DIALECT = Dialect(
+HEADER_NAMES = HeaderNames(
     request_id=b"x-id",
-    patience=b"x-patience",
+    caller_timeout=b"x-patience",
     stamp=b"x-stamp",
     expected_searcher=b"x-expected",
     load=b"x-load",
@@ -136,7 +136,7 @@
 def make_fleet(clock: ManualClock | None = None, **settings: float) -> Fleet:
     clock = clock or ManualClock()
     log = EventLog(HostId("g1"), clock)
-    return Fleet(make_settings(**settings), DIALECT, clock, HeldTasks(), log, Metrics())
+    return Fleet(make_settings(**settings), HEADER_NAMES, clock, HeldTasks(), log, Metrics())
 
 
 def answered(searcher: SearcherId, body: bytes = b"", status: int = 200, latency: float = 10.0):
--- a/tests/gateway/loopback.py
+++ b/tests/gateway/loopback.py
@@ -13,7 +13,7 @@
 from masticgate.process.gateway import Changes, Contents, Listed, Published
 from masticgate.process.gateway._gateway import Gateway
 
-from .fakes import DIALECT, make_entry, make_settings, make_table
+from .fakes import HEADER_NAMES, make_entry, make_settings, make_table
 
 Answer = Callable[[bytes], bytes | None]
 
@@ -180,7 +180,7 @@
         for number, searcher in enumerate(group)
     ]
     source = FixedSource(make_table(*routes, version=version), entries)
-    gateway = Gateway(replace(make_settings(), **settings), DIALECT, source)
+    gateway = Gateway(replace(make_settings(), **settings), HEADER_NAMES, source)
     gateway.log.descriptor = -1
     gateway.fleet.budgets.started -= 10_000.0  # as if it ran for a window of repeats already
     gateway.start()
--- a/tests/gateway/test_answers.py
+++ b/tests/gateway/test_answers.py
@@ -41,7 +41,7 @@
 )
 from masticgate.version.gateway import Shards
 
-from .fakes import DIALECT, ScriptedSending, make_entry, make_request, make_route
+from .fakes import HEADER_NAMES, ScriptedSending, make_entry, make_request, make_route
 from .loopback import (
     RESET_AT_CLOSE,
     BreakingSearcher,
@@ -174,7 +174,7 @@
         self.given_in_receive = False
         self.script = self._play()
         self.task = SearcherTask(
-            SearcherId("s1"), Address("127.0.0.1:9"), self, DIALECT, ManualClock()
+            SearcherId("s1"), Address("127.0.0.1:9"), self, HEADER_NAMES, ManualClock()
         )
         self.task.client.socket = self.near = StagedSocket(near, self)
 
@@ -271,8 +271,8 @@
             assert not message.refusal
             assert (answer.status, answer.stamp) == (message.status, message.stamp)
             assert answer.body == message.body
-            assert field_values(answer, DIALECT.request_id) == [message.identity.encode()]
-            assert field_values(answer, DIALECT.stamp) == [message.stamp.encode()]
+            assert field_values(answer, HEADER_NAMES.request_id) == [message.identity.encode()]
+            assert field_values(answer, HEADER_NAMES.stamp) == [message.stamp.encode()]
         case Declined():
             assert message.refusal
         case Lost():
@@ -607,8 +607,9 @@
         call = make_call("q0")
         call.request = replace(call.request, method=b"POST", body=bytes(4_000_000))
         owner = EndNoted(held.read_end)
-        task = SearcherTask(SearcherId("s1"), Address("127.0.0.1:9"), owner, DIALECT, SystemClock(),
-                            call)  # fmt: skip
+        task = SearcherTask(
+            SearcherId("s1"), Address("127.0.0.1:9"), owner, HEADER_NAMES, SystemClock(), call
+        )
         call.deadline = Millis(task.clock.now() + 10_000.0)
         task.client.socket = held
         reader = threading.Thread(target=lambda: task._end(task._read_all(), connected=True))
--- a/tests/gateway/test_answers_without_end.py
+++ b/tests/gateway/test_answers_without_end.py
@@ -17,13 +17,13 @@
     HttpResponse,
     NoReply,
     SearcherTask,
-    peer_dialect,
+    peer_header_names,
 )
 from masticgate.connection.gateway._parser import Malformed
 from masticgate.connection.gateway._response_parser import ResponseParser
 from masticgate.request.gateway import Call, Lost
 
-from .fakes import DIALECT, make_request, make_route
+from .fakes import HEADER_NAMES, make_request, make_route
 from .loopback import RawCaller, StandInSearcher, reply_to, running_gateway
 from .pouring import (
     CHUNKED,
@@ -147,13 +147,13 @@
         pass
 
 
-def ask(address: Address, dialect=DIALECT) -> tuple[Call, Owner]:
+def ask(address: Address, header_names=HEADER_NAMES) -> tuple[Call, Owner]:
     """Run one call at ``address`` that may last long, until it ends."""
     clock, owner = SystemClock(), Owner()
     request = replace(make_request(), headers=((b"x-id", b"q1"),))
     deadline = Millis(clock.now() + LONG)
     call = Call(request, make_route(), ServiceId("orders"), deadline, Mailbox())
-    task = SearcherTask(SearcherId("s1"), address, owner, dialect, clock, call)
+    task = SearcherTask(SearcherId("s1"), address, owner, header_names, clock, call)
     threading.Thread(target=task.run, daemon=True).start()
     assert owner.finished.wait(2 * SOON_S)
     return call, owner
@@ -207,7 +207,7 @@
     @pytest.mark.parametrize("name", ENDLESS)
     def test_an_endless_answer_ends_a_query_that_was_handed_on(self, name):
         with pouring(ENDLESS[name]) as server:
-            call, owner = ask(server.address, peer_dialect(DIALECT))
+            call, owner = ask(server.address, peer_header_names(HEADER_NAMES))
             assert isinstance(call.outcome, Lost)
             assert call.outcome.detail.startswith("bad reply")
             assert not owner.reusable
--- a/tests/gateway/test_buffers.py
+++ b/tests/gateway/test_buffers.py
@@ -10,7 +10,7 @@
 from masticgate.request.gateway import Answered, Call, Plain
 from masticgate.version.gateway import Limits
 
-from .fakes import DIALECT, make_request, make_route
+from .fakes import HEADER_NAMES, make_request, make_route
 from .loopback import reply_to
 
 ANSWERS = 12
@@ -79,8 +79,9 @@
     def test_keeps_one_buffer_for_answers_of_all_sizes(self):
         near, far = connect_pair()
         recorded = RecordingSocket(near)
-        task = SearcherTask(SearcherId("s1"), Address("127.0.0.1:9"), owner := Owner(), DIALECT,
-                            ManualClock())  # fmt: skip
+        task = SearcherTask(
+            SearcherId("s1"), Address("127.0.0.1:9"), owner := Owner(), HEADER_NAMES, ManualClock()
+        )
         task.client.socket = recorded
         threading.Thread(target=task._read_all, daemon=True).start()
         for number in range(ANSWERS):
@@ -95,8 +96,9 @@
 
     def test_puts_an_answer_together_that_is_larger_than_the_buffer(self):
         near, far = connect_pair()
-        task = SearcherTask(SearcherId("s1"), Address("127.0.0.1:9"), owner := Owner(), DIALECT,
-                            ManualClock())  # fmt: skip
+        task = SearcherTask(
+            SearcherId("s1"), Address("127.0.0.1:9"), owner := Owner(), HEADER_NAMES, ManualClock()
+        )
         task.client.socket = near
         threading.Thread(target=task._read_all, daemon=True).start()
         call = self.make_call("q1")
@@ -118,9 +120,12 @@
         near, far = connect_pair()
         recorded = RecordingSocket(near)
         settings = CallerSettings(
-            lambda request, inbox: Plain(200, request.body), DIALECT, ManualClock(), Limits,
+            lambda request, inbox: Plain(200, request.body),
+            HEADER_NAMES,
+            ManualClock(),
+            Limits,
             lambda: False,
-        )  # fmt: skip
+        )
         threading.Thread(target=Caller(recorded, settings).run, daemon=True).start()
         for number in range(ANSWERS):
             body = b"x" * (1 + 700 * number)
--- a/tests/gateway/test_descriptors.py
+++ b/tests/gateway/test_descriptors.py
@@ -13,7 +13,7 @@
 from masticgate.request.gateway import Call, CallerLeft, Plain
 from masticgate.version.gateway import Limits
 
-from .fakes import DIALECT, make_request, make_route
+from .fakes import HEADER_NAMES, make_request, make_route
 from .test_buffers import Mailbox, Owner, connect_pair
 
 ORDERS = ServiceId("orders")
@@ -76,7 +76,7 @@
             return Plain(200, b"served")
 
         clock = SystemClock()
-        settings = CallerSettings(handle, DIALECT, clock, Limits, lambda: True)
+        settings = CallerSettings(handle, HEADER_NAMES, clock, Limits, lambda: True)
         caller = Caller(near, settings)
         threading.Thread(target=caller.run, daemon=True).start()
         far.sendall(b"GET / HTTP/1.1\r\nHost: h\r\nx-id: q\r\n\r\n")
@@ -100,7 +100,7 @@
 
     def test_a_connection_that_closed_meanwhile_is_not_waited_for(self):
         near, far = connect_pair()
-        task = SearcherTask(SearcherId("s1"), Address("127.0.0.1:9"), Owner(), DIALECT, CLOCK)
+        task = SearcherTask(SearcherId("s1"), Address("127.0.0.1:9"), Owner(), HEADER_NAMES, CLOCK)
         task.client.socket = near
         near.close()
         assert not task._wait_writable(Millis(CLOCK.now() + 1_000.0))
@@ -109,7 +109,7 @@
     def test_a_request_waits_for_the_rest_of_the_one_before(self):
         near, far = connect_pair()
         near.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4_096)
-        task = SearcherTask(SearcherId("s1"), Address("127.0.0.1:9"), Owner(), DIALECT, CLOCK)
+        task = SearcherTask(SearcherId("s1"), Address("127.0.0.1:9"), Owner(), HEADER_NAMES, CLOCK)
         task.client.socket = near
         large = make_request()
         large = type(large)(
@@ -152,7 +152,9 @@
         call = CancelledAsItStarts(
             make_request(), make_route(), ORDERS, Millis(400.0), Mailbox(), None
         )
-        task = SearcherTask(SearcherId("s1"), Address("127.0.0.1:9"), Owner(), DIALECT, CLOCK, call)
+        task = SearcherTask(
+            SearcherId("s1"), Address("127.0.0.1:9"), Owner(), HEADER_NAMES, CLOCK, call
+        )
         task.client.socket = near
         seen = []
 
--- a/tests/gateway/test_filled_answers.py
+++ b/tests/gateway/test_filled_answers.py
@@ -9,7 +9,7 @@
 from masticgate.request.gateway import Answered, Call
 from masticgate.version.gateway import Shards
 
-from .fakes import DIALECT, ORDERS, make_request, make_route
+from .fakes import HEADER_NAMES, ORDERS, make_request, make_route
 from .loopback import RawCaller, StandInSearcher, reply_to, running_gateway
 from .test_buffers import Mailbox, connect_pair
 from .test_irregular_answers import NotingOwner
@@ -22,7 +22,9 @@
     """Return the outcomes of one call whose searcher sends ``data`` and hangs up."""
     near, far = connect_pair()
     owner = NotingOwner()
-    task = SearcherTask(SearcherId("s1"), Address("127.0.0.1:9"), owner, DIALECT, ManualClock())
+    task = SearcherTask(
+        SearcherId("s1"), Address("127.0.0.1:9"), owner, HEADER_NAMES, ManualClock()
+    )
     task.client.socket = near
     call = Call(make_request("q1"), make_route(), ServiceId("orders"), Millis(400.0), Mailbox())
     assert task.give(call)
--- a/tests/gateway/test_irregular_answers.py
+++ b/tests/gateway/test_irregular_answers.py
@@ -16,7 +16,7 @@
 from masticgate.process.gateway._service import _describe_reply
 from masticgate.request.gateway import Answered, Call, Ending, Lost, Merged, Receipt
 
-from .fakes import DIALECT, make_entry, make_fleet, make_request, make_route
+from .fakes import HEADER_NAMES, make_entry, make_fleet, make_request, make_route
 from .test_buffers import Mailbox, Owner, connect_pair
 
 ANSWER = b"HTTP/1.1 200 OK\r\nx-id: %s\r\nx-stamp: s\r\nContent-Length: 2\r\n\r\nok"
@@ -49,7 +49,7 @@
             SearcherId("s1"),
             Address("127.0.0.1:9"),
             self.owner,
-            DIALECT,
+            HEADER_NAMES,
             ManualClock(),
             number=ConnectionNumber(7),
         )
@@ -148,7 +148,7 @@
         owner = NotingOwner()
         call = Call(make_request("q"), make_route(), ServiceId("orders"), Millis(400.0), Mailbox())
         task = SearcherTask(
-            SearcherId("s1"), Address("127.0.0.1:9"), owner, DIALECT, ManualClock(), call
+            SearcherId("s1"), Address("127.0.0.1:9"), owner, HEADER_NAMES, ManualClock(), call
         )
         task.client.socket = near
         task.parser = None
--- a/tests/gateway/test_pipelined_refusals.py
+++ b/tests/gateway/test_pipelined_refusals.py
@@ -10,7 +10,7 @@
 from masticgate.request.gateway import Plain
 from masticgate.version.gateway import Limits
 
-from .fakes import DIALECT
+from .fakes import HEADER_NAMES
 from .test_buffers import connect_pair
 
 REQUEST = b"GET /a HTTP/1.1\r\nHost: h\r\nx-id: q1\r\n\r\n"
@@ -25,7 +25,7 @@
         near, far = connect_pair()
         settings = CallerSettings(
             lambda request, inbox: Plain(200, b"served"),
-            DIALECT,
+            HEADER_NAMES,
             SystemClock(),
             Limits,
             lambda: False,
@@ -62,7 +62,9 @@
             return Plain(200, b"served")
 
         limits = Limits(body_bytes=8)
-        settings = CallerSettings(handle, DIALECT, SystemClock(), lambda: limits, lambda: False)
+        settings = CallerSettings(
+            handle, HEADER_NAMES, SystemClock(), lambda: limits, lambda: False
+        )
         far.settimeout(5)
         far.sendall(request_bytes)
         serving = threading.Thread(target=Caller(near, settings).run, daemon=True)
--- a/tests/gateway/test_refused_tasks.py
+++ b/tests/gateway/test_refused_tasks.py
@@ -16,7 +16,7 @@
 from masticgate.request.gateway import Call, Plain
 from masticgate.version.gateway import Limits
 
-from .fakes import DIALECT, make_entry, make_pool, make_request, make_route, make_settings
+from .fakes import HEADER_NAMES, make_entry, make_pool, make_request, make_route, make_settings
 from .loopback import StandInSearcher, reply_to
 from .test_buffers import Mailbox, connect_pair
 
@@ -62,7 +62,7 @@
     # Guards against a caller's connection whose descriptors are closed twice, by number.
     def test_its_descriptors_are_not_closed_again_when_others_have_their_numbers(self, pool):
         clock = SystemClock()
-        settings = CallerSettings(serve_page, DIALECT, clock, Limits, lambda: False)
+        settings = CallerSettings(serve_page, HEADER_NAMES, clock, Limits, lambda: False)
         listener = Listener(Address("127.0.0.1:0"), settings, pool.tasks, 4)
         near, far = connect_pair()
         highest = near.fileno() + 16
@@ -97,7 +97,7 @@
         searcher.hangs_up = True
         clock = SystemClock()
         log = EventLog(HostId("g1"), clock)
-        fleet = Fleet(make_settings(), DIALECT, clock, pool.tasks, log, Metrics())
+        fleet = Fleet(make_settings(), HEADER_NAMES, clock, pool.tasks, log, Metrics())
         fleet.list_searcher(replace(make_entry("s1"), address=searcher.address))
         deadline = Millis(clock.now() + 5_000.0)
         call = Call(make_request(), make_route(), ServiceId("orders"), deadline, Mailbox())
@@ -112,7 +112,7 @@
     # Guards against a connection that is accepted and never read, after others were refused.
     def test_each_starts_at_once_though_others_wait_and_were_refused(self, pool):
         clock = SystemClock()
-        settings = CallerSettings(serve_page, DIALECT, clock, Limits, lambda: False)
+        settings = CallerSettings(serve_page, HEADER_NAMES, clock, Limits, lambda: False)
         listener = Listener(Address("127.0.0.1:0"), settings, pool.tasks, 16)
         refused = [connect_pair() for _ in range(2)]
         pool.refuse_threads()
--- a/tests/gateway/test_scarce_descriptors.py
+++ b/tests/gateway/test_scarce_descriptors.py
@@ -17,7 +17,7 @@
 from masticgate.request.gateway import Call, Plain
 from masticgate.version.gateway import Limits
 
-from .fakes import DIALECT, make_entry, make_pool, make_request, make_route, make_settings
+from .fakes import HEADER_NAMES, make_entry, make_pool, make_request, make_route, make_settings
 from .loopback import StandInSearcher, reply_to
 from .test_buffers import Mailbox
 
@@ -46,7 +46,11 @@
 @pytest.fixture
 def listener():
     settings = CallerSettings(
-        lambda request, inbox: Plain(200, b"served"), DIALECT, SystemClock(), Limits, lambda: False
+        lambda request, inbox: Plain(200, b"served"),
+        HEADER_NAMES,
+        SystemClock(),
+        Limits,
+        lambda: False,
     )
     tasks = make_pool(8)
     listener = Listener(Address("127.0.0.1:0"), settings, tasks, 16)
@@ -61,7 +65,7 @@
         clock = SystemClock()
         tasks = make_pool(8)
         log = EventLog(HostId("g1"), clock)
-        fleet = Fleet(make_settings(), DIALECT, clock, tasks, log, Metrics())
+        fleet = Fleet(make_settings(), HEADER_NAMES, clock, tasks, log, Metrics())
         searcher = StandInSearcher(reply_to)
         fleet.list_searcher(replace(make_entry("s1"), address=searcher.address))
         inbox = NotedMailbox()
