--- a/src/masticgate/process/gateway/_catalogue.py
+++ b/src/masticgate/process/gateway/_catalogue.py
@@ -7,7 +7,7 @@
 from ..._ids import Address, FailureDomainId, Millis, Revision, SearcherId, ServiceId
 from ...version.gateway import RouteTable
 
-PEERS = ServiceId("gateways")
+PEER_SERVICE = ServiceId("gateways")
 """The service under which the fleet holds the gateways that gather for this one."""
 
 
--- a/src/masticgate/process/gateway/_fleet.py
+++ b/src/masticgate/process/gateway/_fleet.py
@@ -20,7 +20,7 @@
 )
 from ...request.gateway import Answered, Call, Declined, Ending, Lost, Repeat
 from ...version.gateway import Route, RouteTable
-from ._catalogue import PEERS, SearcherEntry, SearcherPhase
+from ._catalogue import PEER_SERVICE, SearcherEntry, SearcherPhase
 from ._hedge_delays import HedgeDelays
 from ._log import EventLog, LogEvent
 from ._metrics import Metrics
@@ -33,25 +33,25 @@
 DEFAULT_CONNECTIONS = 8
 """Connections to a searcher whose service the configuration does not name."""
 
-FOREIGN_DOMAIN_COST = 0.8
+CROSS_DOMAIN_COST = 0.8
 """Added to the cost of a searcher in another failure domain, for its round trip and bytes: more
 than one answer that came late by chance adds to the cost of a near one."""
 
-IDLE_DEFAULT = Millis(4_000.0)
+DEFAULT_IDLE_TIMEOUT = Millis(4_000.0)
 """How long a connection is kept idle where the searcher states no time."""
 
-IDLE_LONGEST = Millis(10_000.0)
-IDLE_MARGIN = Millis(1_000.0)
+MAX_IDLE_TIMEOUT = Millis(10_000.0)
+IDLE_TIMEOUT_MARGIN = Millis(1_000.0)
 """A connection is closed so long before the searcher would: two sweeps."""
 
-STUCK_MARGIN = Millis(100.0)
-WARM_FOR = Millis(20_000.0)
+STUCK_CALL_MARGIN = Millis(100.0)
+RENEWAL_WINDOW = Millis(20_000.0)
 """A connection is renewed while its searcher was used within this time."""
 
-LEAVING_SHARE = 0.5
+LAST_RESORT_SHARE = 0.5
 """The part of the drain time for which a searcher that leaves is a last resort."""
 
-MOST_DRAINED = 2_000
+MAX_DRAINED = 2_000
 """Searchers remembered as drained; days of ordinary releases."""
 
 
@@ -303,13 +303,15 @@
 
     def _order(self, replica: Replica, now: Millis) -> tuple[bool, float]:
         foreign = replica.entry.domain != self.settings.domain
-        cost = replica.cost(now) + (FOREIGN_DOMAIN_COST if foreign else 0.0)
+        cost = replica.cost(now) + (CROSS_DOMAIN_COST if foreign else 0.0)
         return replica.state is ReplicaState.LEAVING, cost
 
     def _open(self, replica: Replica, first: Call | None = None) -> SearcherTask | None:
         """Start the task of a new connection; return ``None`` where the process has no room."""
         entry = replica.entry
-        header_names = self.peer_header_names if entry.service == PEERS else self.header_names
+        header_names = (
+            self.peer_header_names if entry.service == PEER_SERVICE else self.header_names
+        )
         number = ConnectionNumber(next(self.numbers))
         task = SearcherTask(entry.id, entry.address, self, header_names, self.clock, first, number)
         replica.tasks += 1
@@ -332,10 +334,14 @@
     def _expire_idle(self, replica: Replica, now: Millis) -> None:
         """Close connections before their searcher would, and renew what is in use."""
         for task in list(replica.idle):
-            kept = IDLE_DEFAULT if task.keep_for is None else min(IDLE_LONGEST, task.keep_for)
-            if now - task.idle_since < kept - IDLE_MARGIN:
+            kept = (
+                DEFAULT_IDLE_TIMEOUT
+                if task.keep_for is None
+                else min(MAX_IDLE_TIMEOUT, task.keep_for)
+            )
+            if now - task.idle_since < kept - IDLE_TIMEOUT_MARGIN:
                 continue
-            recent = now - replica.used_at < WARM_FOR or self._is_warm(replica.entry.service)
+            recent = now - replica.used_at < RENEWAL_WINDOW or self._is_warm(replica.entry.service)
             if recent and replica.state is ReplicaState.ACTIVE and replica.tasks <= 2:
                 self._open(replica)
             replica.idle.remove(task)
@@ -345,7 +351,7 @@
         """Cut connections whose call should have ended; the lock is held."""
         for task in self.tasks:
             call = task.current
-            if call is not None and call.started and now > call.deadline + STUCK_MARGIN:
+            if call is not None and call.started and now > call.deadline + STUCK_CALL_MARGIN:
                 task.close()
 
     def _judge(self, replica: Replica, call: Call, now: Millis) -> None:
@@ -431,14 +437,14 @@
 
     def _remember_drained(self, entry: SearcherEntry) -> None:
         self.drained[entry.id] = entry.born
-        while len(self.drained) > MOST_DRAINED:
+        while len(self.drained) > MAX_DRAINED:
             del self.drained[next(iter(self.drained))]
 
     def _leave(self, replica: Replica, why: str, usable: Millis | None = None) -> None:
         if replica.state in (ReplicaState.LEAVING, ReplicaState.GONE):
             return
         now = self.clock.now()
-        longest = self.settings.drain * LEAVING_SHARE if usable is None else usable
+        longest = self.settings.drain * LAST_RESORT_SHARE if usable is None else usable
         replica.leave(Millis(now + longest))
         self.log.write(
             LogEvent.SEARCHER_LEAVING,
--- a/src/masticgate/process/gateway/_follower.py
+++ b/src/masticgate/process/gateway/_follower.py
@@ -23,22 +23,22 @@
 from ._metrics import Metrics
 from ._relay import CatalogueLog
 
-WATCH_WAIT = Millis(1_800.0)
+WATCH_TIMEOUT = Millis(1_800.0)
 """A watch on a connection that fell silent is noticed within it and the client's margin."""
 
 BATCH_INTERVAL = Millis(400.0)
 """Between two watches, so that changes in a row cost one call; changes have 3 s to apply."""
 
-RECENT_TABLES = 4
+MAX_RECENT_TABLES = 4
 """Other gateways may be some versions behind for a moment; their queries are served by theirs."""
 
-RETRY_FIRST = Millis(100.0)
-RETRY_LONGEST = Millis(1_000.0)
-RETRY_LONGEST_UNREADY = Millis(300.0)
+INITIAL_RETRY_DELAY = Millis(100.0)
+MAX_RETRY_DELAY = Millis(1_000.0)
+MAX_RETRY_DELAY_UNREADY = Millis(300.0)
 """Without a configuration nothing can be served, so that its return must not be missed."""
 
 
-RETURN_WAIT = Millis(2_300.0)
+RELIST_TIMEOUT = Millis(2_300.0)
 """Listings that lapsed with the platform are back so long after its return, or gone."""
 
 
@@ -53,7 +53,7 @@
         self.clock = clock
         self.log = log
         self.metrics = metrics
-        self.backoff = Backoff(RETRY_FIRST, RETRY_LONGEST)
+        self.backoff = Backoff(INITIAL_RETRY_DELAY, MAX_RETRY_DELAY)
         self.table: RouteTable | None = None
         self.catalogue = CatalogueLog(self.age)
         self.recent: tuple[RouteTable, ...] = ()
@@ -105,9 +105,9 @@
 
     def _watch_wait(self) -> Millis:
         if self.returned_at is None:
-            return WATCH_WAIT
-        left = self.returned_at + RETURN_WAIT - self.clock.now()
-        return Millis(min(WATCH_WAIT, max(50.0, left)))
+            return WATCH_TIMEOUT
+        left = self.returned_at + RELIST_TIMEOUT - self.clock.now()
+        return Millis(min(WATCH_TIMEOUT, max(50.0, left)))
 
     def _note_heard(self) -> None:
         self.heard_at = self.clock.now()
@@ -127,7 +127,7 @@
             )
         wait = self.backoff.next()
         if self.table is None:
-            wait = min(wait, RETRY_LONGEST_UNREADY)
+            wait = min(wait, MAX_RETRY_DELAY_UNREADY)
         self.stopping.wait(wait / MILLIS_PER_SECOND)
 
     def _apply_all(self, contents: Contents) -> None:
@@ -164,7 +164,7 @@
                 )
             return
         self.catalogue.add(Published(table))
-        self.recent = (table, *self.recent)[:RECENT_TABLES]
+        self.recent = (table, *self.recent)[:MAX_RECENT_TABLES]
         self.table = table
         self.fleet.apply_table(table)
         self.log.write(
@@ -189,7 +189,7 @@
             return True
         if self.returned_at is None:
             return False
-        return self.clock.now() - self.returned_at < RETURN_WAIT
+        return self.clock.now() - self.returned_at < RELIST_TIMEOUT
 
     def _release_held(self) -> None:
         if self._just_returned():
--- a/src/masticgate/process/gateway/_gateway.py
+++ b/src/masticgate/process/gateway/_gateway.py
@@ -16,31 +16,31 @@
 from ._log import EventLog, LogEvent
 from ._metrics import Metrics
 from ._peers import Peers
-from ._relay import RELAY_AGE, RelayedSource
+from ._relay import MAX_PLATFORM_AGE, RelayedSource
 from ._service import Beliefs, GatewayService
 from ._settings import GatewaySettings
 from ._task_pool import TaskPool
 
-MOST_CALLERS = 1_500
+MAX_CALLERS = 1_500
 """Connections of callers at one time; each is a task and three descriptors."""
 
-MOST_PAGE_CALLERS = 32
+MAX_PAGE_CALLERS = 32
 PEER_HEAD_START = Millis(6.0)
 """What a query handed to this gateway takes on its way here and back beside the gathering."""
 
-MOST_TASKS = 4_000
+MAX_TASKS = 4_000
 STACK_BYTES = 256 * 1024
-TICK = Millis(500.0)
-PAUSE = Millis(1_500.0)
+TICK_INTERVAL = Millis(500.0)
+PAUSE_THRESHOLD = Millis(1_500.0)
 """A tick that comes so late means that the process stood still."""
 
-ACCEPT_SHARE = 0.45
+ACCEPT_GRACE_SHARE = 0.45
 """The part of the grace for which connections are still accepted: two missed readiness checks."""
 
-FINISH_SHARE = 0.8
+FINISH_GRACE_SHARE = 0.8
 """The part of the grace after which requests in progress are no longer waited for."""
 
-STOP_POLL_S = 0.05
+STOP_POLL_INTERVAL_S = 0.05
 
 
 class Gateway:
@@ -54,7 +54,7 @@
         self.clock = SystemClock()
         self.log = EventLog(settings.host, self.clock)
         self.metrics = Metrics()
-        self.pool = TaskPool(MOST_TASKS, self.log, self.metrics)
+        self.pool = TaskPool(MAX_TASKS, self.log, self.metrics)
         self.fleet = Fleet(settings, header_names, self.clock, self.pool, self.log, self.metrics)
         followed = self._follow_relays(source) if not settings.is_seed else source
         self.follower = Follower(followed, self.fleet, self.clock, self.log, self.metrics)
@@ -81,7 +81,7 @@
         self.was_ready = False
         self.readiness = self._listen(settings.readiness, header_names, self._ready_page)
         self.callers = self._listen(
-            settings.callers, header_names, self.service.handle, most=MOST_CALLERS
+            settings.callers, header_names, self.service.handle, most=MAX_CALLERS
         )
         self.listeners = [self.readiness, self.callers]
         if settings.peers is not None:
@@ -110,10 +110,10 @@
         grace = self.settings.grace
         self.log.write(LogEvent.STOPPING, serving=self.callers.count(CallerState.SERVING))
         self.log.wake()
-        self._wait_until(Millis(began + grace * ACCEPT_SHARE))
+        self._wait_until(Millis(began + grace * ACCEPT_GRACE_SHARE))
         self.callers.stop()
         self.callers.close_idle()
-        self._finish(Millis(began + grace * FINISH_SHARE))
+        self._finish(Millis(began + grace * FINISH_GRACE_SHARE))
         cut = self.callers.count(CallerState.SERVING)
         self.log.write(LogEvent.STOPPED, cut=cut, took_ms=round(self.clock.now() - began))
         self.log.stop()
@@ -125,7 +125,7 @@
         while self.clock.now() < deadline:
             if not self.callers.count(CallerState.READING, CallerState.SERVING):
                 return
-            self._wait_until(Millis(self.clock.now() + STOP_POLL_S * MILLIS_PER_SECOND))
+            self._wait_until(Millis(self.clock.now() + STOP_POLL_INTERVAL_S * MILLIS_PER_SECOND))
             self.callers.close_idle()
 
     def _wait_until(self, deadline: Millis) -> None:
@@ -136,7 +136,7 @@
         address: Address,
         header_names: HeaderNames,
         handler: Handler,
-        most: int = MOST_PAGE_CALLERS,
+        most: int = MAX_PAGE_CALLERS,
     ) -> Listener:
         settings = CallerSettings(
             handler, header_names, self.clock, self._limits, self.stopping.is_set
@@ -153,7 +153,7 @@
             between_gateways=True,
             head_start=PEER_HEAD_START,
         )
-        return Listener(address, settings, self.pool, MOST_CALLERS)
+        return Listener(address, settings, self.pool, MAX_CALLERS)
 
     def _follow_relays(self, platform: PlatformSource) -> Source:
         wait = Event().wait
@@ -163,7 +163,7 @@
         return self.follower.table
 
     def _hears_platform(self) -> bool:
-        return self.follower.age() <= RELAY_AGE
+        return self.follower.age() <= MAX_PLATFORM_AGE
 
     def _limits(self) -> Limits:
         table = self.follower.table
@@ -184,9 +184,9 @@
     def _tick(self) -> None:
         """Do what is due regularly, until the process ends."""
         last = self.clock.now()
-        while not self.ended.wait(TICK / MILLIS_PER_SECOND):
+        while not self.ended.wait(TICK_INTERVAL / MILLIS_PER_SECOND):
             now = self.clock.now()
-            if now - last > PAUSE:
+            if now - last > PAUSE_THRESHOLD:
                 self.log.write(LogEvent.PAUSED, for_ms=round(now - last))
             last = now
             self.peers.decide()
--- a/src/masticgate/process/gateway/_hedge_delays.py
+++ b/src/masticgate/process/gateway/_hedge_delays.py
@@ -6,11 +6,11 @@
 
 HEDGE_PERCENTILE = 90.0
 HEDGE_MARGIN = 1.2
-HEDGE_FIRST_SHARE = 0.25
+INITIAL_DELAY_SHARE = 0.25
 """The hedge delay over the route's objective while no latencies are known."""
 
-HEDGE_LONGEST_SHARE = 0.5
-USUAL_PERCENTILE = 50.0
+MAX_DELAY_SHARE = 0.5
+TYPICAL_PERCENTILE = 50.0
 
 
 class HedgeDelays:
@@ -24,13 +24,13 @@
         window = self.windows.get(route.id)
         usual = window.percentile(HEDGE_PERCENTILE) if window is not None else None
         if usual is None:
-            return Millis(route.objective * HEDGE_FIRST_SHARE)
-        return Millis(min(usual * HEDGE_MARGIN, route.objective * HEDGE_LONGEST_SHARE))
+            return Millis(route.objective * INITIAL_DELAY_SHARE)
+        return Millis(min(usual * HEDGE_MARGIN, route.objective * MAX_DELAY_SHARE))
 
     def note(self, route: RouteId, latency: Millis, now: Millis, *, first: bool) -> float:
         """Record the latency of a first send; return it over the usual one of its route."""
         window = self.windows.setdefault(route, LatencyWindow())
-        usual = window.percentile(USUAL_PERCENTILE)
+        usual = window.percentile(TYPICAL_PERCENTILE)
         if first:
             window.add(now, latency)
         return latency / usual if usual else 1.0
--- a/src/masticgate/process/gateway/_log.py
+++ b/src/masticgate/process/gateway/_log.py
@@ -16,8 +16,8 @@
 from ..._ids import HostId, Millis
 
 STANDARD_OUTPUT = 1
-MOST_QUEUED = 2_000
-MOST_PER_SECOND = 40
+MAX_QUEUED_LINES = 2_000
+MAX_LINES_PER_SECOND = 40
 """Lines of one kind a second; a host on a busy day writes a tenth of it."""
 
 BATCH_INTERVAL_S = 0.2
@@ -78,8 +78,8 @@
         with self.ready:
             self._turn_window()
             self.written[event] += 1
-            full = len(self.queue) >= MOST_QUEUED
-            if full or self.written[event] > MOST_PER_SECOND:
+            full = len(self.queue) >= MAX_QUEUED_LINES
+            if full or self.written[event] > MAX_LINES_PER_SECOND:
                 self.dropped[event] += 1
                 return
             self.queue.append(self._line(event, fields))
--- a/src/masticgate/process/gateway/_network_times.py
+++ b/src/masticgate/process/gateway/_network_times.py
@@ -12,7 +12,7 @@
 from ...request.gateway import Request
 from ...version.gateway import RouteTable
 
-FIRST_TRIP = Millis(6.0)
+INITIAL_ROUND_TRIP = Millis(6.0)
 """The round trip while none is known: between neighbouring sites, rather long than short."""
 
 
@@ -39,7 +39,7 @@
 
     def __init__(self) -> None:
         self.lock = Lock()
-        self.trip = FIRST_TRIP
+        self.trip = INITIAL_ROUND_TRIP
         self.version = ConfigurationVersion(0)
         self.routes: dict[RouteId, LongestPatience] = {}
 
--- a/src/masticgate/process/gateway/_peers.py
+++ b/src/masticgate/process/gateway/_peers.py
@@ -17,7 +17,7 @@
 from ...connection.gateway import GetTimeouts, HttpClient, HttpResponse
 from ...request.gateway import Plain, Request
 from ...version.gateway import Kind, OneService, Route, RouteTable
-from ._catalogue import PEERS, SearcherEntry, SearcherPhase
+from ._catalogue import PEER_SERVICE, SearcherEntry, SearcherPhase
 from ._fleet import Fleet
 from ._log import EventLog, LogEvent
 from ._settings import GatewaySettings
@@ -25,24 +25,24 @@
 
 HEARTBEAT_HOST = "heartbeat.gateway"
 HEARTBEAT_INTERVAL = Millis(500.0)
-FIRST_HEARTBEAT = Millis(50.0)
-HEARTBEAT_RETRY = Millis(250.0)
+FIRST_HEARTBEAT_DELAY = Millis(50.0)
+HEARTBEAT_RETRY_INTERVAL = Millis(250.0)
 """Between heartbeats to a seed that does not answer, so that a start is short."""
 
 HEARTBEAT_TIMEOUTS = GetTimeouts(Millis(400.0), Millis(400.0))
-MISSES = 2
+MAX_MISSED_HEARTBEATS = 2
 """A gatherer is left after so many heartbeats without an answer, about a second."""
 
-MEMBER_KEPT = Millis(5_000.0)
+MEMBER_TTL = Millis(5_000.0)
 """A gateway counts as running for so long after its last heartbeat."""
 
-SETTLING = Millis(2_000.0)
+WARM_UP_DELAY = Millis(2_000.0)
 """After its start a gateway waits so long for the others before it warms connections up."""
 
-RELAY_MEMBERS = 13
+MIN_MEMBERS_TO_RELAY = 13
 """From so many gateways on, the seeds read the platform for all."""
 
-LEAST_CONNECTIONS = 2
+MIN_CONNECTIONS_TO_GATHER = 2
 """Own connections to each searcher that a gateway needs to fan out itself: one and a hedge."""
 
 PEER_SLOTS = 64
@@ -64,7 +64,7 @@
 
 def choose_gathering(members: int, connections: int, *, is_seed: bool) -> Gathering:
     """Return who gathers, from the gateways running and what one searcher accepts from all."""
-    if is_seed or connections // max(1, members) >= LEAST_CONNECTIONS:
+    if is_seed or connections // max(1, members) >= MIN_CONNECTIONS_TO_GATHER:
         return GatherHere()
     return GatherAtPeers()
 
@@ -73,9 +73,9 @@
     """Return how a query is handed to a gatherer: once, unless it did not run there."""
     return replace(
         route,
-        id=RouteId(f"{PEERS}/{route.id}"),
+        id=RouteId(f"{PEER_SERVICE}/{route.id}"),
         kind=Kind.NON_IDEMPOTENT,
-        target=OneService(PEERS),
+        target=OneService(PEER_SERVICE),
         attempts=PEER_ATTEMPTS,
     )
 
@@ -120,7 +120,7 @@
         now = self.clock.now()
         with self.lock:
             self.heard[host] = now
-            old = [known for known, at in self.heard.items() if now - at > MEMBER_KEPT]
+            old = [known for known, at in self.heard.items() if now - at > MEMBER_TTL]
             for known in old:
                 del self.heard[known]
             members = 1 + len(self.heard)
@@ -139,7 +139,7 @@
         With few gateways each reads the platform itself, which is fresher by one hop.
         """
         with self.lock:
-            if self.settings.is_seed or self.members < RELAY_MEMBERS:
+            if self.settings.is_seed or self.members < MIN_MEMBERS_TO_RELAY:
                 return []
             found = dict(self.found)
         own = self.settings.domain
@@ -175,29 +175,33 @@
         """Tell whether the number of gateways is known, or no seed is going to tell it."""
         age = self.clock.now() - self.started_at
         return (
-            age > SETTLING and (self.settings.is_seed or self.members > 1)
-        ) or age > 2 * SETTLING
+            age > WARM_UP_DELAY and (self.settings.is_seed or self.members > 1)
+        ) or age > 2 * WARM_UP_DELAY
 
     def _follow(self, seed: Address) -> None:
         """Send heartbeats to one seed until the process ends."""
         client = HttpClient(seed, self.clock)
-        peer = SearcherId(f"{PEERS}/{seed}")
-        misses = MISSES
-        wait = FIRST_HEARTBEAT
+        peer = SearcherId(f"{PEER_SERVICE}/{seed}")
+        misses = MAX_MISSED_HEARTBEATS
+        wait = FIRST_HEARTBEAT_DELAY
         while True:
             sleep(wait / MILLIS_PER_SECOND)
-            wait = HEARTBEAT_INTERVAL if misses < MISSES else HEARTBEAT_RETRY
+            wait = (
+                HEARTBEAT_INTERVAL if misses < MAX_MISSED_HEARTBEATS else HEARTBEAT_RETRY_INTERVAL
+            )
             reply = self._beat(client)
             if reply is not None and reply.get("ready") is True:
-                if misses >= MISSES:
+                if misses >= MAX_MISSED_HEARTBEATS:
                     self.log.write(LogEvent.GATHERER_FOUND, peer=seed)
                 misses = 0
                 self._note_found(seed, reply)
                 self.fleet.list_searcher(_entry(peer, seed, reply))
                 continue
             misses += 1
-            if misses == MISSES or (reply is not None and misses < MISSES):
-                misses = MISSES
+            if misses == MAX_MISSED_HEARTBEATS or (
+                reply is not None and misses < MAX_MISSED_HEARTBEATS
+            ):
+                misses = MAX_MISSED_HEARTBEATS
                 self.log.write(LogEvent.GATHERER_LOST, peer=seed, answered=reply is not None)
                 with self.lock:
                     self.found.pop(seed, None)
@@ -231,4 +235,4 @@
     """Return a gatherer in the form in which the fleet holds searchers."""
     domain = FailureDomainId(str(reply.get("domain")))
     ready = SearcherPhase.READY
-    return SearcherEntry(peer, PEERS, seed, domain, PEER_SLOTS, ready, Millis(0.0), 0)
+    return SearcherEntry(peer, PEER_SERVICE, seed, domain, PEER_SLOTS, ready, Millis(0.0), 0)
--- a/src/masticgate/process/gateway/_relay.py
+++ b/src/masticgate/process/gateway/_relay.py
@@ -35,28 +35,28 @@
 from ._log import EventLog, LogEvent
 
 CATALOGUE_HOST = "catalogue.gateway"
-MOST_CHANGES = 2_000
+MAX_CHANGES = 2_000
 """Changes kept for those that follow; who is further behind reads everything."""
 
-LONGEST_WAIT = Millis(5_000.0)
-RELAY_AGE = Millis(2_600.0)
+MAX_WATCH_WAIT = Millis(5_000.0)
+MAX_PLATFORM_AGE = Millis(2_600.0)
 """A relay that has not heard the platform for so long passes nothing on any more."""
 
-RELAY_RETRY = Millis(3_000.0)
+RELAY_RETRY_INTERVAL = Millis(3_000.0)
 """After reading the platform itself, a gateway looks for a relay again so much later."""
 
 READ_TIMEOUT = Millis(1_000.0)
 WATCH_MARGIN = Millis(500.0)
 CONNECT_TIMEOUT = Millis(300.0)
-START_TRIES = 2
-START_WAIT_S = 0.4
+START_ATTEMPTS = 2
+RELAY_WAIT_S = 0.4
 """A starting gateway gives the seeds so long in each try to say whether they relay."""
 
-START_POLL_S = 0.1
+RELAY_POLL_INTERVAL_S = 0.1
 MANY_SERVICES = 100
 """Below it, a starting gateway reads the platform at once: that is a call or a few."""
 
-GONE = 410
+HTTP_GONE = 410
 
 
 class CatalogueLog:
@@ -68,7 +68,7 @@
         self.epoch = f"{random.getrandbits(48):x}"
         self.number = 0
         self.state: dict[str, object] = {}
-        self.changes: deque[tuple[int, object]] = deque(maxlen=MOST_CHANGES)
+        self.changes: deque[tuple[int, object]] = deque(maxlen=MAX_CHANGES)
 
     def add(self, change: Change) -> None:
         """Take one change of the platform's."""
@@ -89,14 +89,14 @@
         """Answer a read, or a watch once something changed or its wait is over."""
         query = parse_qs(request.target.partition(b"?")[2].decode("latin-1"))
         after = query.get("after", [""])[0]
-        if self.age() > RELAY_AGE:
+        if self.age() > MAX_PLATFORM_AGE:
             return Plain(503, b"the platform was not heard")
         if not after.isdigit():
             return self._answer_all()
         wait = query.get("wait", ["0"])[0]
         if query.get("epoch", [""])[0] != self.epoch or not wait.isdigit():
-            return Plain(GONE, b"another start of this gateway")
-        return self._answer_since(int(after), min(LONGEST_WAIT, Millis(float(wait))))
+            return Plain(HTTP_GONE, b"another start of this gateway")
+        return self._answer_since(int(after), min(MAX_WATCH_WAIT, Millis(float(wait))))
 
     def _answer_all(self) -> Plain:
         with self.changed:
@@ -109,10 +109,10 @@
         with self.changed:
             while self.number <= after and (left := deadline - monotonic()) > 0:
                 self.changed.wait(left)
-            if self.age() > RELAY_AGE:
+            if self.age() > MAX_PLATFORM_AGE:
                 return Plain(503, b"the platform was not heard")
             if self.changes and after + 1 < self.changes[0][0]:
-                return Plain(GONE, b"the changes are no longer known")
+                return Plain(HTTP_GONE, b"the changes are no longer known")
             return self._encode([value for number, value in self.changes if number > after])
 
     def _encode(self, changes: list[object]) -> Plain:
@@ -157,7 +157,7 @@
         if self.client is not None:
             self.log.write(LogEvent.SOURCE, relay=None)
         self._leave()
-        self.retry_at = Millis(self.clock.now() + RELAY_RETRY)
+        self.retry_at = Millis(self.clock.now() + RELAY_RETRY_INTERVAL)
         return self.platform.read()
 
     def watch(self, after: Revision, wait: Millis) -> Changes | HistoryGone | Unavailable:
@@ -179,15 +179,15 @@
 
         Whether it does is not known until the configuration is there.
         """
-        tries = 0 if self.started else START_TRIES
+        tries = 0 if self.started else START_ATTEMPTS
         self.started = True
         for _ in range(tries):
             published = self.platform.read_table()
             if isinstance(published, Published) and len(published.table.services) < MANY_SERVICES:
                 return
-            deadline = monotonic() + START_WAIT_S
+            deadline = monotonic() + RELAY_WAIT_S
             while not self.relays() and monotonic() < deadline:
-                self.wait(START_POLL_S)
+                self.wait(RELAY_POLL_INTERVAL_S)
             if self.relays():
                 return
 
--- a/src/masticgate/process/gateway/_repeat_budgets.py
+++ b/src/masticgate/process/gateway/_repeat_budgets.py
@@ -1,7 +1,7 @@
 """What this gateway may repeat of each service."""
 
 from ..._ids import Millis, ServiceId
-from ._catalogue import PEERS
+from ._catalogue import PEER_SERVICE
 from ._repeat_window import RepeatWindow
 from ._settings import RepeatBounds
 from ._shares import Shares
@@ -42,6 +42,6 @@
 
     def _share_of(self, service: ServiceId) -> tuple[float, float]:
         """Return this gateway's ratio and slack of what all may repeat of one service."""
-        if service == PEERS:
+        if service == PEER_SERVICE:
             return self.shares.peer_repeats(self.bounds)
         return self.shares.repeats(self.bounds, shard=service in self.shards)
--- a/src/masticgate/process/gateway/_repeat_window.py
+++ b/src/masticgate/process/gateway/_repeat_window.py
@@ -5,7 +5,7 @@
 from ..._ids import Millis
 from ._settings import RepeatBounds
 
-BUCKETS = 10
+BUCKETS_PER_WINDOW = 10
 """The window's requests are counted in so many parts."""
 
 
@@ -48,9 +48,9 @@
     def _forget(self, now: Millis) -> None:
         while self.repeats and now - self.repeats[0] > self.window:
             self.repeats.popleft()
-        oldest = self._bucket(now) - BUCKETS
+        oldest = self._bucket(now) - BUCKETS_PER_WINDOW
         while self.requests and self.requests[0][0] <= oldest:
             self.requests.popleft()
 
     def _bucket(self, now: Millis) -> int:
-        return int(now * BUCKETS / self.window)
+        return int(now * BUCKETS_PER_WINDOW / self.window)
--- a/src/masticgate/process/gateway/_replica.py
+++ b/src/masticgate/process/gateway/_replica.py
@@ -7,27 +7,27 @@
 from ._catalogue import SearcherEntry
 
 FAILURES_TO_EJECT = 2
-FIRST_EJECTION = Millis(500.0)
-LONGEST_EJECTION = Millis(4_000.0)
-SLOWNESS_WEIGHT = 0.15
-LARGEST_RATIO = 4.0
+INITIAL_EJECTION_TIME = Millis(500.0)
+MAX_EJECTION_TIME = Millis(4_000.0)
+LATENCY_RATIO_WEIGHT = 0.15
+MAX_LATENCY_RATIO = 4.0
 """A later answer counts no more, so that a single pause does not divert what follows."""
 
-SLOWNESS_KEPT = Millis(2_000.0)
+LATENCY_RATIO_TTL = Millis(2_000.0)
 """The slowness of an idle searcher counts as unknown once its last answer is older."""
 
-TROUBLE_WEIGHT = 0.2
-TROUBLE_KEPT = Millis(3_000.0)
+FAILURE_RATE_WEIGHT = 0.2
+FAILURE_RATE_HALF_LIFE = Millis(3_000.0)
 """The share of refused and failed sends halves in each such time without a send."""
 
-LEAST_TROUBLE = 0.001
-TROUBLE_COST = 4.0
+MIN_FAILURE_RATE = 0.001
+FAILURE_COST = 4.0
 """What a send that fails costs over one that succeeds: a repeat, and a part of the budget."""
 
-LOAD_KEPT = Millis(300.0)
+LOAD_REPORT_TTL = Millis(300.0)
 """A searcher's own report of its load is ignored once it is older."""
 
-COLD_FACTOR = 1.6
+COLD_START_FACTOR = 1.6
 """How much slower a searcher is expected to be right after its start."""
 
 
@@ -63,7 +63,7 @@
         self.waiting = 0
         self.reported_at = Millis(0.0)
         self.failures = 0
-        self.ejection = FIRST_EJECTION
+        self.ejection = INITIAL_EJECTION_TIME
         self.eligible_at = Millis(0.0)
         self.usable_until = Millis(0.0)
 
@@ -86,19 +86,19 @@
     def cost(self, now: Millis) -> float:
         """Return what orders the choice among searchers, the lowest first."""
         slowness = self.slowness
-        if self.in_flight == 0 and now - self.measured_at > SLOWNESS_KEPT:
+        if self.in_flight == 0 and now - self.measured_at > LATENCY_RATIO_TTL:
             slowness = min(slowness, 1.0)
         if now < self.cold_until:
-            slowness *= COLD_FACTOR
-        waiting = self.waiting if now - self.reported_at < LOAD_KEPT else 0
+            slowness *= COLD_START_FACTOR
+        waiting = self.waiting if now - self.reported_at < LOAD_REPORT_TTL else 0
         busy = (self.in_flight + waiting) / self.entry.slots
-        return slowness * (1.0 + busy) + TROUBLE_COST * self.trouble_now(now)
+        return slowness * (1.0 + busy) + FAILURE_COST * self.trouble_now(now)
 
     def trouble_now(self, now: Millis) -> float:
         """Return the share of failed sends, less the time since it was last observed."""
-        if self.trouble < LEAST_TROUBLE:
+        if self.trouble < MIN_FAILURE_RATE:
             return 0.0
-        return float(self.trouble * 0.5 ** ((now - self.trouble_at) / TROUBLE_KEPT))
+        return float(self.trouble * 0.5 ** ((now - self.trouble_at) / FAILURE_RATE_HALF_LIFE))
 
     def note_trouble(self, now: Millis) -> None:
         """Count a send that was refused or failed."""
@@ -106,19 +106,19 @@
 
     def _note_outcome(self, failed: float, now: Millis) -> None:
         trouble = self.trouble_now(now)
-        self.trouble = trouble + TROUBLE_WEIGHT * (failed - trouble)
+        self.trouble = trouble + FAILURE_RATE_WEIGHT * (failed - trouble)
         self.trouble_at = now
 
     def succeed(self, ratio: float, now: Millis) -> bool:
         """Count an answer; return ``True`` where it ends an ejection."""
         self.failures = 0
         self._note_outcome(0.0, now)
-        self.slowness += SLOWNESS_WEIGHT * (min(ratio, LARGEST_RATIO) - self.slowness)
+        self.slowness += LATENCY_RATIO_WEIGHT * (min(ratio, MAX_LATENCY_RATIO) - self.slowness)
         self.measured_at = now
         if self.state is not ReplicaState.EJECTED:
             return False
         self.state = ReplicaState.ACTIVE
-        self.ejection = FIRST_EJECTION
+        self.ejection = INITIAL_EJECTION_TIME
         return True
 
     def fail(self, now: Millis) -> bool:
@@ -131,7 +131,7 @@
             return False
         self.state = ReplicaState.EJECTED
         self.eligible_at = Millis(now + self.ejection)
-        self.ejection = min(LONGEST_EJECTION, Millis(self.ejection * 2))
+        self.ejection = min(MAX_EJECTION_TIME, Millis(self.ejection * 2))
         return True
 
     def leave(self, usable_until: Millis) -> None:
--- a/src/masticgate/process/gateway/_service.py
+++ b/src/masticgate/process/gateway/_service.py
@@ -21,7 +21,7 @@
     run_gather,
 )
 from ...version.gateway import OneService, Route, RouteTable, Shards, Split
-from ._catalogue import PEERS
+from ._catalogue import PEER_SERVICE
 from ._fleet import Fleet
 from ._log import EventLog, LogEvent
 from ._metrics import Metrics
@@ -29,10 +29,10 @@
 from ._peers import HEARTBEAT_HOST, GatherAtPeers, GatherHere, Peers, peer_route
 from ._relay import CATALOGUE_HOST, CatalogueLog
 
-NO_CONFIGURATION_RETRY = Millis(300.0)
+NO_CONFIGURATION_RETRY_AFTER = Millis(300.0)
 """A gateway that starts has read the configuration by then."""
 
-SAMPLE = 16
+LOG_SAMPLE_INTERVAL = 16
 """One of so many whole answers in time has a log line."""
 
 
@@ -132,7 +132,7 @@
             return Refused(400, failure)
         if table is None:
             failure = NotRun(Reason.NO_CONFIGURATION, Step.ROUTE)
-            return Refused(503, failure, NO_CONFIGURATION_RETRY)
+            return Refused(503, failure, NO_CONFIGURATION_RETRY_AFTER)
         route = table.find(request.host, request.path)
         if route is None:
             failure = NotRun(Reason.UNKNOWN_SERVICE, Step.ROUTE, detail=f"version {table.version}")
@@ -158,13 +158,13 @@
                 return run_gather(request, route, shards, self.fleet, inbox)
             case GatherAtPeers():
                 asked = replace(request, version=table.version)
-                reply = run_forward(asked, peer_route(route), PEERS, self.fleet, inbox)
+                reply = run_forward(asked, peer_route(route), PEER_SERVICE, self.fleet, inbox)
         match reply:
             case Relayed(answer=answer):
                 return self._read_peer_answer(answer)
             case Refused():
                 self.metrics.count("gathered_without_peer")
-            case Failed(status=502) if self.fleet.allow_retry(PEERS):
+            case Failed(status=502) if self.fleet.allow_retry(PEER_SERVICE):
                 self.metrics.count("gathered_again")
                 again = run_gather(request, route, shards, self.fleet, inbox)
                 return _after_loss(again)
@@ -196,7 +196,7 @@
         late = not isinstance(route, Refused) and took > route.objective
         if outcome == "whole" and not late and _is_ordinary(reply):
             self.served += 1
-            if self.served % SAMPLE:
+            if self.served % LOG_SAMPLE_INTERVAL:
                 return
         event = LogEvent.REQUEST if outcome in ("whole", "partial") else LogEvent.REQUEST_FAILED
         version = beliefs.table.version if beliefs.table is not None else 0
--- a/src/masticgate/process/gateway/_shares.py
+++ b/src/masticgate/process/gateway/_shares.py
@@ -4,17 +4,17 @@
 
 from ._settings import RepeatBounds
 
-LEAST_SHARERS = 8
+MIN_SHARERS = 8
 """Gateways that are taken to share at least, since some may not be known yet."""
 
 RATIO_MARGIN = 0.85
 """The part of the allowed ratio of repeats that is spent, since windows slide."""
 
 SLACK_MARGIN = 0.8
-PEER_SHARE = 0.1
+PEER_REPEAT_SHARE = 0.1
 """The part of the repeats that goes to queries whose gatherer was lost on the way."""
 
-PEER_SLACK = 1.0
+PEER_REPEAT_SLACK = 1.0
 
 
 @dataclass(frozen=True, slots=True)
@@ -36,7 +36,7 @@
 
     def peer_repeats(self, bounds: RepeatBounds) -> tuple[float, float]:
         """Return this gateway's ratio and slack of queries that are gathered again."""
-        return bounds.ratio * PEER_SHARE, PEER_SLACK
+        return bounds.ratio * PEER_REPEAT_SHARE, PEER_REPEAT_SLACK
 
     def _sharers(self, shard: bool) -> int:
-        return max(LEAST_SHARERS, self.gatherers if shard else self.gateways)
+        return max(MIN_SHARERS, self.gatherers if shard else self.gateways)
--- a/tests/gateway/test_answers.py
+++ b/tests/gateway/test_answers.py
@@ -27,7 +27,7 @@
 )
 from masticgate.connection.gateway import SearcherTask
 from masticgate.connection.gateway._response_parser import ResponseParser
-from masticgate.process.gateway._catalogue import PEERS
+from masticgate.process.gateway._catalogue import PEER_SERVICE
 from masticgate.process.gateway._peers import GatherAtPeers
 from masticgate.request.gateway import (
     Answered,
@@ -739,8 +739,10 @@
         with running_gateway([make_route(SHARDS)], searchers) as entry:
             entry.peers.decide = lambda: None
             entry.peers.gathering = GatherAtPeers()
-            entry.fleet.list_searcher(replace(make_entry("p", PEERS), address=gatherer.address))
-            entry.fleet.budgets.window(PEERS).slack = 1_000.0
+            entry.fleet.list_searcher(
+                replace(make_entry("p", PEER_SERVICE), address=gatherer.address)
+            )
+            entry.fleet.budgets.window(PEER_SERVICE).slack = 1_000.0
             for number in range(PEER_QUERIES):
                 identity = f"q{number}"
                 told.append((identity, *RawCaller(entry).get(identity=identity).read()))
--- a/tests/gateway/test_gathering_at_peers.py
+++ b/tests/gateway/test_gathering_at_peers.py
@@ -3,7 +3,7 @@
 from contextlib import contextmanager
 
 from masticgate import Address, Millis, SearcherId, ServiceId
-from masticgate.process.gateway._catalogue import PEERS
+from masticgate.process.gateway._catalogue import PEER_SERVICE
 from masticgate.process.gateway._peers import GatherAtPeers
 from masticgate.version.gateway import Shards
 
@@ -74,7 +74,7 @@
 
     def test_a_seed_that_is_gone_is_not_waited_for(self):
         with pair(shards()) as (entry, seed):
-            for task in [t for t in entry.fleet.tasks if t.searcher.startswith(PEERS)]:
+            for task in [t for t in entry.fleet.tasks if t.searcher.startswith(PEER_SERVICE)]:
                 task.close()
             for listener in seed.listeners:
                 listener.stop()
@@ -89,10 +89,10 @@
     def test_a_query_whose_seed_is_lost_on_the_way_is_gathered_again_within_the_budget(self):
         searchers = {"s1": [HangingSearcher()], "s2": [HangingSearcher()]}
         with pair(searchers) as (entry, _):
-            entry.fleet.budgets.window(PEERS).slack = 1.0
+            entry.fleet.budgets.window(PEER_SERVICE).slack = 1.0
             caller = RawCaller(entry).get()
             assert searchers["s1"][0].asked.wait(5)
-            asked = [t for t in entry.fleet.tasks if t.searcher.startswith(PEERS)]
+            asked = [t for t in entry.fleet.tasks if t.searcher.startswith(PEER_SERVICE)]
             for task in asked:
                 task.close()
             assert caller.read()[0] == 504
@@ -101,12 +101,12 @@
     def test_a_lost_query_that_finds_no_searcher_is_not_said_not_to_have_run(self):
         searchers = {"s1": [HangingSearcher()], "s2": [HangingSearcher()]}
         with pair(searchers) as (entry, _):
-            entry.fleet.budgets.window(PEERS).slack = 1.0
+            entry.fleet.budgets.window(PEER_SERVICE).slack = 1.0
             caller = RawCaller(entry).get()
             assert searchers["s1"][0].asked.wait(5)
             for name in ("s1-0", "s2-0"):
                 entry.fleet.unlist_searcher(SearcherId(name), "test", Millis(0.0))
-            for task in [t for t in entry.fleet.tasks if t.searcher.startswith(PEERS)]:
+            for task in [t for t in entry.fleet.tasks if t.searcher.startswith(PEER_SERVICE)]:
                 task.close()
             assert caller.read()[0] == 502
 
--- a/tests/gateway/test_log.py
+++ b/tests/gateway/test_log.py
@@ -6,7 +6,12 @@
 
 from masticgate import ManualClock, Millis
 from masticgate._ids import HostId
-from masticgate.process.gateway._log import MOST_PER_SECOND, MOST_QUEUED, EventLog, LogEvent
+from masticgate.process.gateway._log import (
+    MAX_LINES_PER_SECOND,
+    MAX_QUEUED_LINES,
+    EventLog,
+    LogEvent,
+)
 from masticgate.process.gateway._metrics import Metrics
 
 
@@ -27,15 +32,15 @@
         threading.Thread(target=log.run, daemon=True).start()
         for _ in range(200):
             clock.advance(Millis(1_001.0))
-            for _ in range(MOST_PER_SECOND):
+            for _ in range(MAX_LINES_PER_SECOND):
                 log.write(LogEvent.REQUEST, request="q" * 200)
             log.wake()
-        assert len(log.queue) <= MOST_QUEUED + 200
+        assert len(log.queue) <= MAX_QUEUED_LINES + 200
 
     def test_a_flood_of_one_event_is_bounded_and_what_is_dropped_is_counted(self):
         clock = ManualClock()
         log = EventLog(HostId("g1"), clock)
-        for _ in range(MOST_PER_SECOND + 25):
+        for _ in range(MAX_LINES_PER_SECOND + 25):
             log.write(LogEvent.REQUEST, request="q")
         log.write(LogEvent.PLATFORM_LOST)
         clock.advance(Millis(1_001.0))
--- a/tests/gateway/test_missing_counts.py
+++ b/tests/gateway/test_missing_counts.py
@@ -5,7 +5,7 @@
 import pytest
 
 from masticgate import ServiceId
-from masticgate.process.gateway._catalogue import PEERS
+from masticgate.process.gateway._catalogue import PEER_SERVICE
 from masticgate.process.gateway._peers import GatherAtPeers
 from masticgate.version.gateway import Shards
 
@@ -22,7 +22,7 @@
     with running_gateway([make_route(SHARDS)], {"s1": [StandInSearcher(reply_to)]}) as gateway:
         gateway.peers.decide = lambda: None
         gateway.peers.gathering = GatherAtPeers()
-        gateway.fleet.list_searcher(replace(make_entry("peer", PEERS), address=peer.address))
+        gateway.fleet.list_searcher(replace(make_entry("peer", PEER_SERVICE), address=peer.address))
         return RawCaller(gateway).get().read()
 
 
--- a/tests/gateway/test_network_times.py
+++ b/tests/gateway/test_network_times.py
@@ -6,7 +6,7 @@
 from hypothesis import strategies as st
 
 from masticgate._ids import RouteId
-from masticgate.process.gateway._network_times import FIRST_TRIP, NetworkTimes
+from masticgate.process.gateway._network_times import INITIAL_ROUND_TRIP, NetworkTimes
 
 from .fakes import make_request, make_route, make_table
 
@@ -19,8 +19,8 @@
 
 class TestNetworkTimes:
     def test_a_usual_round_trip_is_assumed_at_first(self):
-        assert estimate(NetworkTimes(), 600.0) == FIRST_TRIP
-        assert estimate(NetworkTimes(), 600.0, fresh=True) == 2 * FIRST_TRIP
+        assert estimate(NetworkTimes(), 600.0) == INITIAL_ROUND_TRIP
+        assert estimate(NetworkTimes(), 600.0, fresh=True) == 2 * INITIAL_ROUND_TRIP
 
     def test_a_kept_connection_costs_one_round_trip(self):
         times = NetworkTimes()
@@ -46,7 +46,7 @@
 
     def test_a_caller_without_patience_tells_nothing(self):
         times = NetworkTimes()
-        assert times.estimate(ROUTE, make_request(patience=None)) == FIRST_TRIP
+        assert times.estimate(ROUTE, make_request(patience=None)) == INITIAL_ROUND_TRIP
         assert times.routes == {}
 
     def test_routes_that_a_configuration_drops_are_forgotten(self):
