--- a/src/masticgate/connection/gateway/_inbox.py
+++ b/src/masticgate/connection/gateway/_inbox.py
@@ -10,7 +10,7 @@
 
 from ..._clock import Clock
 from ..._ids import Millis
-from ...request.gateway import Answered, Call, CallerLeft
+from ...request.gateway import Answered, Call, CallerDisconnected
 
 CLOSED = select.POLLRDHUP | select.POLLHUP | select.POLLERR
 
@@ -111,11 +111,11 @@
         if len(self.finished) >= self.expected or not _is_success(call):
             self.link.wake()
 
-    def expect(self, number: int) -> None:
+    def set_batch_size(self, number: int) -> None:
         """Let a wait go on until so many calls finished, or one of them without success."""
         self.expected = number
 
-    def wait(self, until: Millis) -> Call | CallerLeft | None:
+    def wait(self, until: Millis) -> Call | CallerDisconnected | None:
         """Return the next finished call, or ``None`` at ``until``."""
         while True:
             self.link.waiting = True
@@ -126,7 +126,7 @@
                 self.link.waiting = False
                 return None
             if self.link.poll(until):
-                return CallerLeft()
+                return CallerDisconnected()
 
 
 def _is_success(call: Call) -> bool:
--- a/src/masticgate/request/gateway/_attempts.py
+++ b/src/masticgate/request/gateway/_attempts.py
@@ -10,11 +10,11 @@
     Call,
     Declined,
     Inbox,
+    InFlightCall,
     Lost,
     Repeat,
     Request,
-    Senders,
-    Sending,
+    UpstreamClient,
 )
 
 
@@ -26,17 +26,17 @@
         request: Request,
         route: Route,
         service: ServiceId,
-        senders: Senders,
+        upstream: UpstreamClient,
         inbox: Inbox,
         deadline: Millis,
     ) -> None:
         self.request = request
         self.route = route
         self.service = service
-        self.senders = senders
+        self.upstream = upstream
         self.inbox = inbox
         self.deadline = deadline
-        self.sendings: dict[int, Sending] = {}
+        self.in_flight_calls: dict[int, InFlightCall] = {}
         self.tried: set[SearcherId] = set()
         self.arrived = False
         self.ran = False
@@ -50,12 +50,12 @@
     @property
     def pending(self) -> bool:
         """Tell whether a send is on its way."""
-        return bool(self.sendings)
+        return bool(self.in_flight_calls)
 
     @property
     def sending_started(self) -> bool:
         """Tell whether a byte of a send on its way may have left."""
-        return any(sending.call.started for sending in self.sendings.values())
+        return any(in_flight_call.call.started for in_flight_call in self.in_flight_calls.values())
 
     @property
     def started(self) -> bool:
@@ -80,8 +80,8 @@
 
     def take(self, call: Call) -> bool:
         """Take the outcome of one of the sends; return ``False`` if it is not one of these."""
-        sending = self.sendings.pop(id(call), None)
-        if sending is None:
+        in_flight_call = self.in_flight_calls.pop(id(call), None)
+        if in_flight_call is None:
             return False
         match call.outcome:
             case Answered() as answer:
@@ -95,7 +95,7 @@
                 self.ran = self.ran or sent
                 self.failure = NotRun(Reason.SEARCHER_LOST, Step.UPSTREAM, searcher, detail)
             case None:
-                self.failure = NotRun(Reason.INTERNAL, Step.UPSTREAM, sending.searcher)
+                self.failure = NotRun(Reason.INTERNAL, Step.UPSTREAM, in_flight_call.searcher)
         return True
 
     def retry(self) -> bool:
@@ -115,20 +115,20 @@
 
     def describe(self) -> str:
         """Return in a few words why there is no answer."""
-        if not self.sendings:
+        if not self.in_flight_calls:
             return f"{self.service}: {describe(self.failure)}, sent {self.sends}"
         asked = ", ".join(
             f"{s.searcher}{'' if s.call.started else ' (connecting)'}"
-            for s in self.sendings.values()
+            for s in self.in_flight_calls.values()
         )
         return f"{self.service}: no answer yet of {asked}, {self.describe_sends()}"
 
     def cancel(self) -> None:
         """Cut every send on its way; one that has not started never will."""
-        for sending in self.sendings.values():
-            sending.cancel()
+        for in_flight_call in self.in_flight_calls.values():
+            in_flight_call.cancel()
         self.cut_started = self.cut_started or self.sending_started
-        self.sendings.clear()
+        self.in_flight_calls.clear()
 
     def _take_answer(self, answer: Answered) -> None:
         if answer.success or self.answer is None:
@@ -138,16 +138,16 @@
             self.failure = NotRun(reason, Step.UPSTREAM, answer.searcher, detail)
 
     def _repeat(self, why: Repeat) -> bool:
-        if self.senders.now() >= self.deadline or self.sends >= self.route.attempts:
+        if self.upstream.now() >= self.deadline or self.sends >= self.route.attempts:
             return False
         if not self.started:
             self.cancel()
             return self._send(None)
         match why:
             case Repeat.HEDGE:
-                allowed = self.senders.allow_hedge(self.service)
+                allowed = self.upstream.allow_hedge(self.service)
             case Repeat.RETRY:
-                allowed = self.senders.allow_retry(self.service)
+                allowed = self.upstream.allow_retry(self.service)
         if not allowed:
             self.repeat_failure = NotRun(Reason.BUDGET, Step.ROUTE, self.service)
             return False
@@ -155,14 +155,14 @@
 
     def _send(self, repeat: Repeat | None) -> bool:
         call = Call(self.request, self.route, self.service, self.deadline, self.inbox, repeat)
-        sending = self.senders.send(call, self.tried)
-        if isinstance(sending, NotRun):
+        in_flight_call = self.upstream.send(call, self.tried)
+        if isinstance(in_flight_call, NotRun):
             if repeat:
-                self.repeat_failure = sending
+                self.repeat_failure = in_flight_call
             else:
-                self.failure = sending
+                self.failure = in_flight_call
             return False
         self.sends += 1
-        self.tried.add(sending.searcher)
-        self.sendings[id(call)] = sending
+        self.tried.add(in_flight_call.searcher)
+        self.in_flight_calls[id(call)] = in_flight_call
         return True
--- a/src/masticgate/request/gateway/_exchange.py
+++ b/src/masticgate/request/gateway/_exchange.py
@@ -125,7 +125,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class CallerLeft:
+class CallerDisconnected:
     """The caller closed its connection."""
 
 
@@ -162,16 +162,16 @@
         """Hand over a call whose outcome is known; any task may call this."""
         ...
 
-    def expect(self, number: int) -> None:
+    def set_batch_size(self, number: int) -> None:
         """Let a wait go on until so many calls finished, or one of them without success."""
         ...
 
-    def wait(self, until: Millis) -> Call | CallerLeft | None:
+    def wait(self, until: Millis) -> Call | CallerDisconnected | None:
         """Return the next finished call, or ``None`` at ``until``."""
         ...
 
 
-class Sending(Protocol):
+class InFlightCall(Protocol):
     """A call on its way."""
 
     call: Call
@@ -182,14 +182,14 @@
         ...
 
 
-class Senders(Protocol):
+class UpstreamClient(Protocol):
     """Sends calls to the searchers of services."""
 
     def now(self) -> Millis:
         """Return the gateway's clock."""
         ...
 
-    def send(self, call: Call, tried: set[SearcherId]) -> Sending | NotRun:
+    def send(self, call: Call, tried: set[SearcherId]) -> InFlightCall | NotRun:
         """Send ``call`` to a searcher of its service that is not in ``tried``."""
         ...
 
--- a/src/masticgate/request/gateway/_forward.py
+++ b/src/masticgate/request/gateway/_forward.py
@@ -6,7 +6,7 @@
 from ..._ids import Millis, ServiceId
 from ...version.gateway import Kind, Route
 from ._attempts import Attempts
-from ._exchange import Call, CallerLeft, Inbox, Request, Senders
+from ._exchange import Call, CallerDisconnected, Inbox, Request, UpstreamClient
 from ._reply import Abandoned, Failed, Refused, Relayed, Reply
 
 RETRY_AFTER = Millis(50.0)
@@ -19,34 +19,39 @@
 
 
 def run_forward(
-    request: Request, route: Route, service: ServiceId, senders: Senders, inbox: Inbox
+    request: Request, route: Route, service: ServiceId, upstream: UpstreamClient, inbox: Inbox
 ) -> Reply:
     """Send the request to one searcher; repeat it only where its kind allows that."""
-    return _Forward(request, route, service, senders, inbox).run()
+    return _Forward(request, route, service, upstream, inbox).run()
 
 
 class _Forward:
     """The state of one request, used by the task of its caller's connection only."""
 
     def __init__(
-        self, request: Request, route: Route, service: ServiceId, senders: Senders, inbox: Inbox
+        self,
+        request: Request,
+        route: Route,
+        service: ServiceId,
+        upstream: UpstreamClient,
+        inbox: Inbox,
     ) -> None:
-        self.senders = senders
+        self.upstream = upstream
         self.inbox = inbox
         self.repeatable = route.kind is Kind.IDEMPOTENT
         self.deadline = request.deadline(route)
-        self.attempts = Attempts(request, route, service, senders, inbox, self.deadline)
+        self.attempts = Attempts(request, route, service, upstream, inbox, self.deadline)
         self.hedge_at: Millis | None = None
         if self.repeatable:
-            self.hedge_at = Millis(request.arrived + senders.hedge_delay(route))
+            self.hedge_at = Millis(request.arrived + upstream.hedge_delay(route))
 
     def run(self) -> Reply:
         """Wait for the answer, until the deadline at most."""
         self.attempts.send_first()
-        while self.attempts.pending and self.senders.now() < self.deadline:
+        while self.attempts.pending and self.upstream.now() < self.deadline:
             until = self.deadline if self.hedge_at is None else min(self.deadline, self.hedge_at)
             match self.inbox.wait(until):
-                case CallerLeft():
+                case CallerDisconnected():
                     self.attempts.cancel()
                     return Abandoned()
                 case Call() as call:
@@ -67,7 +72,7 @@
             self.attempts.retry()
 
     def _hedge(self) -> None:
-        if self.hedge_at is not None and self.senders.now() >= self.hedge_at:
+        if self.hedge_at is not None and self.upstream.now() >= self.hedge_at:
             self.hedge_at = None
             self.attempts.send_hedge()
 
@@ -79,9 +84,9 @@
         failure = attempts.explain()
         attempts.cancel()
         if not attempts.may_have_run:
-            if self.senders.now() >= self.deadline:
+            if self.upstream.now() >= self.deadline:
                 failure = replace(failure, reason=Reason.DEADLINE, step=Step.QUEUE)
             return Refused(503, failure, RETRY_AFTER)
-        if self.senders.now() >= self.deadline:
+        if self.upstream.now() >= self.deadline:
             return Failed(504, Unknown(Reason.DEADLINE, Step.UPSTREAM, failure.peer))
         return Failed(502, Unknown(failure.reason, failure.step, failure.peer, failure.detail))
--- a/src/masticgate/request/gateway/_gather.py
+++ b/src/masticgate/request/gateway/_gather.py
@@ -9,7 +9,7 @@
 from ..._ids import Millis
 from ...version.gateway import Route, Shards
 from ._attempts import Attempts
-from ._exchange import Call, CallerLeft, Inbox, Request, Senders
+from ._exchange import Call, CallerDisconnected, Inbox, Request, UpstreamClient
 from ._reply import Abandoned, Failed, Merged, Refused, Reply
 
 RECORD_BYTES = 16
@@ -28,19 +28,19 @@
 
 
 def run_gather(
-    request: Request, route: Route, shards: Shards, senders: Senders, inbox: Inbox
+    request: Request, route: Route, shards: Shards, upstream: UpstreamClient, inbox: Inbox
 ) -> Reply:
     """Ask one searcher of each shard and merge what answers in time."""
-    return _Gather(request, route, shards, senders, inbox).run()
+    return _Gather(request, route, shards, upstream, inbox).run()
 
 
 class _Gather:
     """The state of one query, used by the task of its caller's connection only."""
 
     def __init__(
-        self, request: Request, route: Route, shards: Shards, senders: Senders, inbox: Inbox
+        self, request: Request, route: Route, shards: Shards, upstream: UpstreamClient, inbox: Inbox
     ) -> None:
-        self.senders = senders
+        self.upstream = upstream
         self.inbox = inbox
         self.top = shards.top
         self.deadline = request.deadline(route)
@@ -48,9 +48,9 @@
         soon = Millis(max(SHORTEST_ANSWER_TIME, left))
         self.answer_at = min(self.deadline, Millis(request.arrived + soon))
         self.least = max(1, ceil(shards.least_share * len(shards.services) - 1e-9))
-        self.hedge_at: Millis | None = Millis(request.arrived + senders.hedge_delay(route))
+        self.hedge_at: Millis | None = Millis(request.arrived + upstream.hedge_delay(route))
         self.waiting = [
-            Attempts(request, route, service, senders, inbox, self.deadline)
+            Attempts(request, route, service, upstream, inbox, self.deadline)
             for service in shards.services
         ]
         self.total = len(self.waiting)
@@ -61,9 +61,9 @@
         for attempts in self.waiting:
             attempts.send_first()
         while not self._is_over():
-            self.inbox.expect(len(self.waiting))
+            self.inbox.set_batch_size(len(self.waiting))
             match self.inbox.wait(self._next_time()):
-                case CallerLeft():
+                case CallerDisconnected():
                     self._cancel()
                     return Abandoned()
                 case Call() as call:
@@ -73,14 +73,14 @@
         return self._reply()
 
     def _is_over(self) -> bool:
-        now = self.senders.now()
+        now = self.upstream.now()
         if now >= self.deadline or not any(attempts.pending for attempts in self.waiting):
             return True
         return now >= self.answer_at and len(self.done) >= self.least
 
     def _next_time(self) -> Millis:
         times = [self.deadline]
-        if self.senders.now() < self.answer_at:
+        if self.upstream.now() < self.answer_at:
             times.append(self.answer_at)
         if self.hedge_at is not None:
             times.append(self.hedge_at)
@@ -98,7 +98,7 @@
             return
 
     def _hedge(self) -> None:
-        if self.hedge_at is None or self.senders.now() < self.hedge_at:
+        if self.hedge_at is None or self.upstream.now() < self.hedge_at:
             return
         self.hedge_at = None
         for attempts in self.waiting:
@@ -127,7 +127,7 @@
             first = self.waiting[0].failure
             refused = NotRun(first.reason, first.step, first.peer, detail)
             return Refused(503, refused, RETRY_AFTER)
-        if self.senders.now() >= self.deadline:
+        if self.upstream.now() >= self.deadline:
             return Failed(504, Unknown(Reason.DEADLINE, Step.MERGE, detail=detail))
         return Failed(502, Unknown(Reason.COVERAGE, Step.MERGE, detail=detail))
 
--- a/tests/gateway/fakes.py
+++ b/tests/gateway/fakes.py
@@ -19,7 +19,7 @@
 from masticgate.process.gateway._log import EventLog
 from masticgate.process.gateway._metrics import Metrics
 from masticgate.process.gateway._task_pool import TaskPool
-from masticgate.request.gateway import Answered, Call, CallerLeft, Declined, Lost, Request
+from masticgate.request.gateway import Answered, Call, CallerDisconnected, Declined, Lost, Request
 from masticgate.version.gateway import (
     Kind,
     Limits,
@@ -143,7 +143,7 @@
     return Answered(searcher, status, (), body, f"s-{searcher}", Millis(latency))
 
 
-class ScriptedSending:
+class ScriptedCall:
     """A call on its way whose outcome the script knows."""
 
     def __init__(self, call: Call, searcher: SearcherId) -> None:
@@ -168,7 +168,7 @@
         self.repeats = repeats
         self.hedge = Millis(20.0)
         self.events: list[tuple[float, int, Call]] = []
-        self.sendings: list[ScriptedSending] = []
+        self.sent_calls: list[ScriptedCall] = []
         self.leaves_at: float | None = None
 
     def now(self):
@@ -181,11 +181,11 @@
         delay, outcome = plan.pop(0)
         searcher = SearcherId(f"{call.service}-{len(tried)}")
         call.started = outcome != "unsent"
-        sending = ScriptedSending(call, searcher)
-        self.sendings.append(sending)
+        sending = ScriptedCall(call, searcher)
+        self.sent_calls.append(sending)
         call.outcome = self._outcome(searcher, outcome)
         if outcome != "silent":
-            self.events.append((self.now() + delay, len(self.sendings), call))
+            self.events.append((self.now() + delay, len(self.sent_calls), call))
         return sending
 
     def hedge_delay(self, route):
@@ -197,7 +197,7 @@
     def allow_retry(self, service):
         return self._spend()
 
-    def expect(self, number):
+    def set_batch_size(self, number):
         pass
 
     def put(self, call):
@@ -208,7 +208,7 @@
         next_at = self.events[0][0] if self.events else float("inf")
         if self.leaves_at is not None and self.leaves_at <= min(next_at, until):
             self.clock.current = Millis(self.leaves_at)
-            return CallerLeft()
+            return CallerDisconnected()
         if next_at > until:
             self.clock.current = Millis(max(self.now(), until))
             return None
--- a/tests/gateway/test_answers.py
+++ b/tests/gateway/test_answers.py
@@ -41,7 +41,7 @@
 )
 from masticgate.version.gateway import Shards
 
-from .fakes import HEADER_NAMES, ScriptedSending, make_entry, make_request, make_route
+from .fakes import HEADER_NAMES, ScriptedCall, make_entry, make_request, make_route
 from .loopback import (
     RESET_AT_CLOSE,
     BreakingSearcher,
@@ -439,7 +439,7 @@
         if not call.started:
             Conversation(planned[-1:], call).run()
         self.finished.append(call)
-        return ScriptedSending(call, SearcherId(f"{call.service}-{len(tried)}"))
+        return ScriptedCall(call, SearcherId(f"{call.service}-{len(tried)}"))
 
     def hedge_delay(self, route):
         return Millis(1_000.0)
@@ -450,7 +450,7 @@
     def allow_retry(self, service):
         return True
 
-    def expect(self, number):
+    def set_batch_size(self, number):
         pass
 
     def put(self, call):
--- a/tests/gateway/test_buffers.py
+++ b/tests/gateway/test_buffers.py
@@ -68,7 +68,7 @@
     def put(self, call):
         pass
 
-    def expect(self, number):
+    def set_batch_size(self, number):
         pass
 
     def wait(self, until):
--- a/tests/gateway/test_descriptors.py
+++ b/tests/gateway/test_descriptors.py
@@ -10,7 +10,7 @@
 from masticgate.connection.gateway import CallerSettings, HttpClient, SearcherTask
 from masticgate.connection.gateway._caller import Caller
 from masticgate.connection.gateway._inbox import Link, RequestInbox
-from masticgate.request.gateway import Call, CallerLeft, Plain
+from masticgate.request.gateway import Call, CallerDisconnected, Plain
 from masticgate.version.gateway import Limits
 
 from .fakes import HEADER_NAMES, make_request, make_route
@@ -57,7 +57,7 @@
         link = Link(near, CLOCK)
         inbox = RequestInbox(link)
         far.close()
-        assert inbox.wait(Millis(CLOCK.now() + 1_000.0)) == CallerLeft()
+        assert inbox.wait(Millis(CLOCK.now() + 1_000.0)) == CallerDisconnected()
         number = link.writer
         link.close()
         descriptors = reused(number)
--- a/tests/gateway/test_forward.py
+++ b/tests/gateway/test_forward.py
@@ -25,7 +25,7 @@
         script = Script({"orders": [(5, 500), (5, 500)]})
         reply = forward(script)
         assert isinstance(reply, Relayed) and reply.answer.status == 500
-        assert len(script.sendings) == 2
+        assert len(script.sent_calls) == 2
 
     def test_a_lost_answer_is_asked_for_again_where_that_is_harmless(self):
         reply = forward(Script({"orders": [(5, "lost"), (5, b"again")]}))
@@ -41,13 +41,13 @@
         reply = forward(script, patience=150.0)
         assert isinstance(reply, Failed) and reply.status == 504
         assert script.now() == 150.0
-        assert all(sending.cut for sending in script.sendings)
+        assert all(sending.cut for sending in script.sent_calls)
 
     def test_a_caller_that_leaves_cancels_the_send(self):
         script = Script({"orders": [(50, b"late")]})
         script.leaves_at = 10.0
         assert isinstance(forward(script), Abandoned)
-        assert script.sendings[0].cut
+        assert script.sent_calls[0].cut
 
 
 class TestAtMostOnce:
@@ -55,12 +55,12 @@
         script = Script({"orders": [(5, "lost"), (5, b"again")]})
         reply = forward(script, Kind.NON_IDEMPOTENT)
         assert isinstance(reply, Failed) and reply.status == 502
-        assert len(script.sendings) == 1
+        assert len(script.sent_calls) == 1
 
     def test_it_is_never_hedged(self):
         script = Script({"orders": [(200, b"slow"), (5, b"again")]})
         forward(script, Kind.NON_IDEMPOTENT)
-        assert len(script.sendings) == 1
+        assert len(script.sent_calls) == 1
 
     @pytest.mark.parametrize("outcome", ["declined", "unsent"])
     def test_what_did_not_run_is_sent_elsewhere(self, outcome):
@@ -94,7 +94,7 @@
         reply = forward(script, Kind.NON_IDEMPOTENT)
         may_have_run = [
             outcome
-            for (_, outcome), _ in zip(plan, script.sendings, strict=False)
+            for (_, outcome), _ in zip(plan, script.sent_calls, strict=False)
             if outcome not in ("declined", "unsent")
         ]
         assert len(may_have_run) <= 1
--- a/tests/gateway/test_gather.py
+++ b/tests/gateway/test_gather.py
@@ -86,7 +86,7 @@
     def test_no_shard_is_sent_to_more_searchers_than_the_route_allows(self):
         script = Script({"a": [(2, "lost")] * 5, "b": [(4, record(2))]})
         gather(script, attempts=2)
-        assert len([s for s in script.sendings if s.call.service == "a"]) == 2
+        assert len([s for s in script.sent_calls if s.call.service == "a"]) == 2
 
     def test_a_searcher_failure_is_no_part(self):
         script = Script({"a": [(2, 500), (2, 500)], "b": [(4, record(2))]})
@@ -98,7 +98,7 @@
         script = Script({"a": [(50, record(1))], "b": [(60, record(2))]})
         script.leaves_at = 10.0
         assert isinstance(gather(script), Abandoned)
-        assert all(sending.cut for sending in script.sendings)
+        assert all(sending.cut for sending in script.sent_calls)
 
     @settings(deadline=None, max_examples=150)
     @given(
