--- a/src/masticgate/connection/gateway/__init__.py
+++ b/src/masticgate/connection/gateway/__init__.py
@@ -15,10 +15,10 @@
 from ._header_names import HeaderNames as HeaderNames
 from ._header_names import peer_header_names as peer_header_names
 from ._listener import Listener as Listener
-from ._searcher_task import Irregularity as Irregularity
 from ._searcher_task import Load as Load
+from ._searcher_task import ProtocolViolation as ProtocolViolation
 from ._searcher_task import SearcherTask as SearcherTask
-from ._searcher_task import SkippedAnswer as SkippedAnswer
+from ._searcher_task import SkippedResponse as SkippedResponse
 from ._searcher_task import TaskOwner as TaskOwner
 from ._searcher_task import TrailingBytes as TrailingBytes
 from ._searcher_task import UnrequestedBytes as UnrequestedBytes
--- a/src/masticgate/connection/gateway/_client.py
+++ b/src/masticgate/connection/gateway/_client.py
@@ -197,7 +197,7 @@
         return max(0.001, (deadline - self.clock.now()) / MILLIS_PER_SECOND)
 
 
-def keep_alive_timeout(fields: Mapping[bytes, bytes]) -> Millis | None:
+def parse_keep_alive_timeout(fields: Mapping[bytes, bytes]) -> Millis | None:
     """Return the idle time that a server states, ``None`` where it states none."""
     for token in fields.get(b"keep-alive", b"").split(b","):
         name, _, number = token.strip().partition(b"=")
--- a/src/masticgate/connection/gateway/_searcher_task.py
+++ b/src/masticgate/connection/gateway/_searcher_task.py
@@ -14,7 +14,7 @@
 from ..._failures import Reason
 from ..._ids import Address, ConnectionNumber, Millis, RequestId, SearcherId
 from ...request.gateway import Answered, Call, Declined, Lost, Outcome, Receipt
-from ._client import HttpClient, keep_alive_timeout
+from ._client import HttpClient, parse_keep_alive_timeout
 from ._encoding import encode_request
 from ._header_names import HeaderNames
 from ._parser import read_number
@@ -37,11 +37,11 @@
 
 
 @dataclass(frozen=True, slots=True)
-class SkippedAnswer:
+class SkippedResponse:
     """A whole answer that bears another request's id, or none, came while a call waited."""
 
-    answered: RequestId
-    expected: RequestId
+    response_id: RequestId
+    expected_id: RequestId
 
 
 @dataclass(frozen=True, slots=True)
@@ -58,27 +58,27 @@
     request: RequestId
 
 
-Irregularity = SkippedAnswer | UnrequestedBytes | TrailingBytes
+ProtocolViolation = SkippedResponse | UnrequestedBytes | TrailingBytes
 
 
 class TaskOwner(Protocol):
     """Who decides what the tasks of a searcher's connections do."""
 
-    def opened(self, task: "SearcherTask") -> None:
+    def handle_open(self, task: "SearcherTask") -> None:
         """Note that a connection without work opened."""
         ...
 
-    def finish(
+    def handle_outcome(
         self, task: "SearcherTask", call: Call, load: Load | None, *, reusable: bool
     ) -> None:
         """Take the outcome of a call; a ``reusable`` connection is idle again."""
         ...
 
-    def ended(self, task: "SearcherTask", *, connected: bool) -> None:
+    def handle_close(self, task: "SearcherTask", *, connected: bool) -> None:
         """Note that the task has ended; ``connected`` tells whether it ever opened."""
         ...
 
-    def note(self, task: "SearcherTask", irregularity: Irregularity) -> None:
+    def record_violation(self, task: "SearcherTask", violation: ProtocolViolation) -> None:
         """Note bytes that belong to no call of the connection."""
         ...
 
@@ -97,7 +97,7 @@
         owner: TaskOwner,
         header_names: HeaderNames,
         clock: Clock,
-        first: Call | None = None,
+        initial_call: Call | None = None,
         number: ConnectionNumber = ConnectionNumber(0),
     ) -> None:
         self.number = number
@@ -108,13 +108,13 @@
         self.clock = clock
         self.client = HttpClient(address, clock)
         self.lock = Lock()
-        self.current = first
-        self.was_given = first is not None
-        self.began = clock.now()
+        self.current_call = initial_call
+        self.opened_for_call = initial_call is not None
+        self.started_at = clock.now()
         self.ended = False
-        self.sending = Lock()
-        self.idle_since = self.began
-        self.keep_for: Millis | None = None
+        self.send_lock = Lock()
+        self.idle_since = self.started_at
+        self.keep_alive_timeout: Millis | None = None
         self.parser = ResponseParser()
 
     def run(self) -> None:
@@ -122,27 +122,27 @@
         try:
             self._run()
         except Exception as error:
-            self._end(Lost(self.searcher, True, f"internal error: {error!r}"), connected=True)
+            self._finish(Lost(self.searcher, True, f"internal error: {error!r}"), connected=True)
             raise
 
     def _run(self) -> None:
         wait = CONNECT_TIMEOUT
-        if self.current is not None:
-            wait = min(wait, Millis(self.current.deadline - self.began))
+        if self.current_call is not None:
+            wait = min(wait, Millis(self.current_call.deadline - self.started_at))
         failed = self.client.connect(wait)
         if failed is not None:
-            self._end(Lost(self.searcher, False, failed.detail), connected=False)
+            self._finish(Lost(self.searcher, False, failed.detail), connected=False)
             return
-        self._begin()
-        self._end(self._read_all(), connected=True)
+        self._send_initial_call()
+        self._finish(self._receive_responses(), connected=True)
 
-    def give(self, call: Call) -> bool:
+    def assign(self, call: Call) -> bool:
         """Send ``call`` over the idle connection; return ``False`` if it has just ended."""
         with self.lock:
             if self.ended:
                 return False
-            self.current = call
-            self.began = self.clock.now()
+            self.current_call = call
+            self.started_at = self.clock.now()
             call.started = True
         self._send(call)
         return True
@@ -151,26 +151,28 @@
         """Cut the connection if it serves ``call``; a call that waits is dropped unsent."""
         with self.lock:
             call.cancelled = True
-            if self.current is call and call.started:
+            if self.current_call is call and call.started:
                 self.client.abort()
 
     def close(self) -> None:
         """End the connection; any task may call this."""
         self.client.abort()
 
-    def _begin(self) -> None:
+    def _send_initial_call(self) -> None:
         """Send the call that the connection was opened for, if any."""
         assert self.client.socket is not None
         self.client.socket.settimeout(None)
-        call = self.current
+        call = self.current_call
         if call is None:
-            self.owner.opened(self)
-        elif self._start(call):
+            self.owner.handle_open(self)
+        elif self._mark_started(call):
             self._send(call)
         else:
-            self._finish(call, Lost(self.searcher, False, "cancelled before it was sent"), None)
+            self._complete_call(
+                call, Lost(self.searcher, False, "cancelled before it was sent"), None
+            )
 
-    def _start(self, call: Call) -> bool:
+    def _mark_started(self, call: Call) -> bool:
         """Mark the call as started; return ``False`` where it was cancelled before."""
         with self.lock:
             call.started = not call.cancelled
@@ -181,9 +183,9 @@
 
         An answer may come before the request is sent whole: what follows waits for its rest.
         """
-        left = Millis(call.deadline - self.clock.now())
-        data = memoryview(encode_request(call.request, self.header_names, self.searcher, left))
-        with self.sending:
+        remaining = Millis(call.deadline - self.clock.now())
+        data = memoryview(encode_request(call.request, self.header_names, self.searcher, remaining))
+        with self.send_lock:
             try:
                 while data and self.client.socket is not None:
                     data = data[self._send_some(data, call.deadline) :]
@@ -200,114 +202,121 @@
             raise
 
     def _wait_writable(self, deadline: Millis) -> bool:
-        opened = self.client.socket
-        descriptor = -1 if opened is None else opened.fileno()
+        connection = self.client.socket
+        descriptor = -1 if connection is None else connection.fileno()
         if descriptor < 0:
             return False
         poller = select.poll()
         poller.register(descriptor, select.POLLOUT)
         return bool(poller.poll(max(0, deadline - self.clock.now())))
 
-    def _read_all(self) -> Outcome:
+    def _receive_responses(self) -> Outcome:
         """Read answers until the connection ends; return what that means for an open call."""
-        opened = self.client.socket
-        assert opened is not None
+        connection = self.client.socket
+        assert connection is not None
         buffer = memoryview(bytearray(RECEIVE_BYTES))
         while True:
             try:
-                count = opened.recv_into(buffer)
+                count = connection.recv_into(buffer)
             except OSError as error:
                 return Lost(self.searcher, True, f"receive: {error}")
             if not count:
-                return self._read_end()
-            if self.current is None:
-                self.owner.note(self, UnrequestedBytes(count))
+                return self._outcome_at_close()
+            if self.current_call is None:
+                self.owner.record_violation(self, UnrequestedBytes(count))
                 return Lost(self.searcher, True, "bytes that nobody asked for")
             problem = self.parser.feed(buffer[:count])
             reusable = problem is None and not self.parser.begun
-            if not self._take_answers(reusable=reusable):
+            if not self._handle_responses(reusable=reusable):
                 return Lost(self.searcher, True, f"bad reply: {problem}")
             if problem is not None:
                 return Lost(self.searcher, True, f"bad reply: {problem.detail}")
 
-    def _take_answers(self, *, reusable: bool) -> bool:
+    def _handle_responses(self, *, reusable: bool) -> bool:
         """Finish the call with the answer that is its own; others are late and skipped.
 
         Return ``False`` where the connection has to end.
         """
-        answers, self.parser.ready = self.parser.ready, []
-        for position, answer in enumerate(answers):
-            call = self.current
+        responses, self.parser.ready = self.parser.ready, []
+        for index, response in enumerate(responses):
+            call = self.current_call
             if call is None:
                 continue
-            if not self._is_for(call, answer):
-                self._skip(call, answer)
+            if not self._is_response_to(call, response):
+                self._record_skipped(call, response)
                 continue
-            if not reusable or position + 1 < len(answers):
-                self.owner.note(self, TrailingBytes(call.request.id))
-            keeps = reusable and answer.keep_alive and position + 1 == len(answers)
+            if not reusable or index + 1 < len(responses):
+                self.owner.record_violation(self, TrailingBytes(call.request.id))
+            keep_alive = reusable and response.keep_alive and index + 1 == len(responses)
             self.parser.accept()
-            self.keep_for = keep_alive_timeout(answer.fields)
-            self._finish(call, self._read(answer), self._load(answer), reusable=keeps)
-            if not keeps:
+            self.keep_alive_timeout = parse_keep_alive_timeout(response.fields)
+            self._complete_call(
+                call,
+                self._decode_outcome(response),
+                self._decode_load(response),
+                reusable=keep_alive,
+            )
+            if not keep_alive:
                 return False
         return True
 
-    def _read_end(self) -> Outcome:
+    def _outcome_at_close(self) -> Outcome:
         """Return the outcome of a call whose answer ends with the connection."""
         if self.client.ended_in_order():
             self.parser.end()
-        call = self.current
-        for answer in self.parser.ready:
-            if call is not None and self._is_for(call, answer):
-                return self._read(answer)
+        call = self.current_call
+        for response in self.parser.ready:
+            if call is not None and self._is_response_to(call, response):
+                return self._decode_outcome(response)
         return Lost(self.searcher, True, "closed before the end of a response")
 
-    def _skip(self, call: Call, answer: ParsedResponse) -> None:
+    def _record_skipped(self, call: Call, response: ParsedResponse) -> None:
         self.skipped += 1
-        answered = answer.fields.get(self.header_names.request_id, b"").decode("latin-1")
-        self.owner.note(self, SkippedAnswer(RequestId(answered), call.request.id))
+        response_id = response.fields.get(self.header_names.request_id, b"").decode("latin-1")
+        self.owner.record_violation(self, SkippedResponse(RequestId(response_id), call.request.id))
 
-    def _is_for(self, call: Call, answer: ParsedResponse) -> bool:
+    def _is_response_to(self, call: Call, response: ParsedResponse) -> bool:
         """Tell whether an answer bears the call's id and no second id or stamp."""
         expected = call.request.id.encode("latin-1")
-        own = answer.fields.get(self.header_names.request_id) == expected
-        return own and answer.repeated.isdisjoint(
+        own = response.fields.get(self.header_names.request_id) == expected
+        return own and response.repeated.isdisjoint(
             (self.header_names.request_id, self.header_names.stamp)
         )
 
-    def _finish(
+    def _complete_call(
         self, call: Call, outcome: Outcome, load: Load | None, *, reusable: bool = True
     ) -> None:
         call.outcome = outcome
         with self.lock:
-            self.current = None
+            self.current_call = None
             self.ended = not reusable or self.client.aborted
-        self.owner.finish(self, call, load, reusable=not self.ended)
+        self.owner.handle_outcome(self, call, load, reusable=not self.ended)
         call.inbox.put(call)
 
-    def _end(self, outcome: Outcome, *, connected: bool) -> None:
+    def _finish(self, outcome: Outcome, *, connected: bool) -> None:
         with self.lock:
             self.ended = True
-        if self.current is not None:
-            self._finish(self.current, outcome, None, reusable=False)
+        if self.current_call is not None:
+            self._complete_call(self.current_call, outcome, None, reusable=False)
         self.client.close()
-        self.owner.ended(self, connected=connected)
+        self.owner.handle_close(self, connected=connected)
 
-    def _read(self, answer: ParsedResponse) -> Outcome:
-        if answer.status == 421:
+    def _decode_outcome(self, response: ParsedResponse) -> Outcome:
+        if response.status == 421:
             return Declined(self.searcher, Reason.NO_SEARCHER)
-        if self.header_names.not_run in answer.fields:
+        if self.header_names.not_run in response.fields:
             return Declined(self.searcher, Reason.SEARCHER_SHED)
-        stamp = answer.fields.get(self.header_names.stamp, b"").decode("latin-1")
-        latency = Millis(self.clock.now() - self.began)
-        headers = tuple(answer.headers)
-        receipt = Receipt(self.number, answer.ending, self.skipped)
+        stamp = response.fields.get(self.header_names.stamp, b"").decode("latin-1")
+        latency = Millis(self.clock.now() - self.started_at)
+        headers = tuple(response.headers)
+        receipt = Receipt(self.number, response.ending, self.skipped)
         self.skipped = 0
-        return Answered(self.searcher, answer.status, headers, answer.body, stamp, latency, receipt)
+        return Answered(
+            self.searcher, response.status, headers, response.body, stamp, latency, receipt
+        )
 
-    def _load(self, answer: ParsedResponse) -> Load | None:
-        parts = answer.fields.get(self.header_names.load, b"").split(b",")
+    def _decode_load(self, response: ParsedResponse) -> Load | None:
+        parts = response.fields.get(self.header_names.load, b"").split(b",")
         match [read_number(part) for part in parts]:
             case [int(running), int(waiting), int(slots)]:
                 return Load(running, waiting, slots)
--- a/src/masticgate/process/gateway/_fleet.py
+++ b/src/masticgate/process/gateway/_fleet.py
@@ -9,10 +9,10 @@
 from ..._ids import ConnectionNumber, Millis, SearcherId, ServiceId
 from ...connection.gateway import (
     HeaderNames,
-    Irregularity,
     Load,
+    ProtocolViolation,
     SearcherTask,
-    SkippedAnswer,
+    SkippedResponse,
     TaskStarter,
     TrailingBytes,
     UnrequestedBytes,
@@ -126,7 +126,7 @@
                     return NotRun(Reason.OVERLOAD, Step.CONNECT, call.service, "no task can start")
                 replica.in_flight += 1
                 replica.used_at = self.clock.now()
-            if idle is None or idle.give(call):
+            if idle is None or idle.assign(call):
                 break
             with self.lock:
                 replica.in_flight -= 1
@@ -152,13 +152,15 @@
         with self.lock:
             return self.budgets.spend(service, self.clock.now())
 
-    def opened(self, task: SearcherTask) -> None:
+    def handle_open(self, task: SearcherTask) -> None:
         """Take a connection that was opened ahead of its first call."""
         self.metrics.count("connections_opened")
         with self.lock:
             self._keep(self.tasks[task], task)
 
-    def finish(self, task: SearcherTask, call: Call, load: Load | None, *, reusable: bool) -> None:
+    def handle_outcome(
+        self, task: SearcherTask, call: Call, load: Load | None, *, reusable: bool
+    ) -> None:
         """Take the outcome of a call; its connection is idle again, or ends."""
         now = self.clock.now()
         with self.lock:
@@ -171,24 +173,24 @@
             if reusable:
                 self._keep(replica, task)
 
-    def ended(self, task: SearcherTask, *, connected: bool) -> None:
+    def handle_close(self, task: SearcherTask, *, connected: bool) -> None:
         """Count out a connection."""
         with self.lock:
             replica = self.tasks.pop(task)
             replica.tasks -= 1
             if task in replica.idle:
                 replica.idle.remove(task)
-            if connected or task.was_given:
+            if connected or task.opened_for_call:
                 return
             self.metrics.count("connections_failed")
             if replica.fail(self.clock.now()):
                 self._log_ejection(replica, "", "connect")
 
-    def note(self, task: SearcherTask, irregularity: Irregularity) -> None:
+    def record_violation(self, task: SearcherTask, violation: ProtocolViolation) -> None:
         """Log and count bytes that belong to no call of their connection."""
         fields: dict[str, object] = {"searcher": task.searcher, "connection": task.number}
-        match irregularity:
-            case SkippedAnswer(answered=answered, expected=expected):
+        match violation:
+            case SkippedResponse(response_id=answered, expected_id=expected):
                 self.metrics.count("answer_skipped")
                 event = LogEvent.ANSWER_SKIPPED
                 fields |= {"answered": answered, "request": expected}
@@ -336,8 +338,8 @@
         for task in list(replica.idle):
             kept = (
                 DEFAULT_IDLE_TIMEOUT
-                if task.keep_for is None
-                else min(MAX_IDLE_TIMEOUT, task.keep_for)
+                if task.keep_alive_timeout is None
+                else min(MAX_IDLE_TIMEOUT, task.keep_alive_timeout)
             )
             if now - task.idle_since < kept - IDLE_TIMEOUT_MARGIN:
                 continue
@@ -350,7 +352,7 @@
     def _cut_stuck(self, now: Millis) -> None:
         """Cut connections whose call should have ended; the lock is held."""
         for task in self.tasks:
-            call = task.current
+            call = task.current_call
             if call is not None and call.started and now > call.deadline + STUCK_CALL_MARGIN:
                 task.close()
 
--- a/tests/gateway/test_answers.py
+++ b/tests/gateway/test_answers.py
@@ -183,17 +183,17 @@
         self.far.close()
         return self.calls
 
-    def opened(self, task):
+    def handle_open(self, task):
         pass
 
-    def finish(self, task, call, load, *, reusable):
+    def handle_outcome(self, task, call, load, *, reusable):
         if reusable and self.calls[-1][0].moment is Moment.AT_FINISH:
             self._give()
 
-    def ended(self, task, *, connected):
+    def handle_close(self, task, *, connected):
         pass
 
-    def note(self, task, irregularity):
+    def record_violation(self, task, violation):
         pass
 
     def received(self) -> None:
@@ -209,7 +209,7 @@
         call = self.last if self.last and not self.waiting else None
         call = call or make_call(exchange.message.identity)
         self.calls.append((exchange, call))
-        assert self.task.give(call)
+        assert self.task.assign(call)
 
     def _play(self) -> Iterator[None]:
         """Do what the searcher does, until the connection ends; each step is one to receive."""
@@ -586,13 +586,13 @@
     def __init__(self, finished: Event) -> None:
         self.finished = finished
 
-    def opened(self, task):
+    def handle_open(self, task):
         pass
 
-    def finish(self, task, call, load, *, reusable):
+    def handle_outcome(self, task, call, load, *, reusable):
         self.finished.set()
 
-    def ended(self, task, *, connected):
+    def handle_close(self, task, *, connected):
         pass
 
 
@@ -612,7 +612,9 @@
         )
         call.deadline = Millis(task.clock.now() + 10_000.0)
         task.client.socket = held
-        reader = threading.Thread(target=lambda: task._end(task._read_all(), connected=True))
+        reader = threading.Thread(
+            target=lambda: task._finish(task._receive_responses(), connected=True)
+        )
         sender = threading.Thread(target=task._send, args=(call,))
         reader.start()
         sender.start()
--- a/tests/gateway/test_answers_without_end.py
+++ b/tests/gateway/test_answers_without_end.py
@@ -126,17 +126,17 @@
         self.finished = threading.Event()
         self.over = threading.Event()
 
-    def opened(self, task):
+    def handle_open(self, task):
         pass
 
-    def finish(self, task, call, load, *, reusable):
+    def handle_outcome(self, task, call, load, *, reusable):
         self.reusable = reusable
         self.finished.set()
 
-    def ended(self, task, *, connected):
+    def handle_close(self, task, *, connected):
         self.over.set()
 
-    def note(self, task, irregularity):
+    def record_violation(self, task, violation):
         pass
 
 
--- a/tests/gateway/test_buffers.py
+++ b/tests/gateway/test_buffers.py
@@ -49,16 +49,16 @@
     def __init__(self) -> None:
         self.finished = threading.Semaphore(0)
 
-    def opened(self, task):
+    def handle_open(self, task):
         pass
 
-    def finish(self, task, call, load, *, reusable):
+    def handle_outcome(self, task, call, load, *, reusable):
         self.finished.release()
 
-    def ended(self, task, *, connected):
+    def handle_close(self, task, *, connected):
         pass
 
-    def note(self, task, irregularity):
+    def record_violation(self, task, violation):
         pass
 
 
@@ -83,10 +83,10 @@
             SearcherId("s1"), Address("127.0.0.1:9"), owner := Owner(), HEADER_NAMES, ManualClock()
         )
         task.client.socket = recorded
-        threading.Thread(target=task._read_all, daemon=True).start()
+        threading.Thread(target=task._receive_responses, daemon=True).start()
         for number in range(ANSWERS):
             call = self.make_call(f"q{number}")
-            assert task.give(call)
+            assert task.assign(call)
             far.sendall(reply_to(far.recv(65_536), bytes(37 * number)))
             assert owner.finished.acquire(timeout=5)
             assert isinstance(call.outcome, Answered)
@@ -100,9 +100,9 @@
             SearcherId("s1"), Address("127.0.0.1:9"), owner := Owner(), HEADER_NAMES, ManualClock()
         )
         task.client.socket = near
-        threading.Thread(target=task._read_all, daemon=True).start()
+        threading.Thread(target=task._receive_responses, daemon=True).start()
         call = self.make_call("q1")
-        assert task.give(call)
+        assert task.assign(call)
         body = bytes(range(256)) * 100
         far.sendall(reply_to(far.recv(65_536), body))
         assert owner.finished.acquire(timeout=5)
--- a/tests/gateway/test_filled_answers.py
+++ b/tests/gateway/test_filled_answers.py
@@ -27,12 +27,12 @@
     )
     task.client.socket = near
     call = Call(make_request("q1"), make_route(), ServiceId("orders"), Millis(400.0), Mailbox())
-    assert task.give(call)
+    assert task.assign(call)
     assert far.recv(65_536).endswith(b"\r\n\r\n")
     far.sendall(data)
     far.close()
     reader = threading.Thread(
-        target=lambda: task._end(task._read_all(), connected=True), daemon=True
+        target=lambda: task._finish(task._receive_responses(), connected=True), daemon=True
     )
     reader.start()
     reader.join(5)
--- a/tests/gateway/test_fleet.py
+++ b/tests/gateway/test_fleet.py
@@ -28,7 +28,7 @@
 
 def finish(fleet, sending, outcome):
     sending.call.outcome = outcome
-    fleet.finish(sending.task, sending.call, None, reusable=True)
+    fleet.handle_outcome(sending.task, sending.call, None, reusable=True)
 
 
 def send_and_finish(fleet, make_outcome):
@@ -227,7 +227,7 @@
         fleet.list_searcher(make_entry("a"))
         first = send(fleet)
         finish(fleet, first, answered(first.searcher))
-        first.task.keep_for = Millis(5_000.0)
+        first.task.keep_alive_timeout = Millis(5_000.0)
         clock.advance(Millis(3_900.0))
         fleet.sweep()
         assert not first.task.client.aborted
@@ -262,7 +262,7 @@
         old = send(fleet)
         fleet.list_searcher(make_entry("a", born=2))
         finish(fleet, old, answered(old.searcher))
-        fleet.ended(old.task, connected=True)
+        fleet.handle_close(old.task, connected=True)
         replica = fleet.replicas[SearcherId("a")]
         assert (replica.tasks, replica.in_flight) == (0, 0)
         assert replica.state is ReplicaState.ACTIVE
--- a/tests/gateway/test_irregular_answers.py
+++ b/tests/gateway/test_irregular_answers.py
@@ -9,7 +9,7 @@
 from masticgate._ids import ConnectionNumber
 from masticgate.connection.gateway import (
     SearcherTask,
-    SkippedAnswer,
+    SkippedResponse,
     TrailingBytes,
     UnrequestedBytes,
 )
@@ -31,12 +31,12 @@
         self.noted = []
         self.outcomes = []
 
-    def finish(self, task, call, load, *, reusable):
+    def handle_outcome(self, task, call, load, *, reusable):
         self.outcomes.append(call.outcome)
-        super().finish(task, call, load, reusable=reusable)
+        super().handle_outcome(task, call, load, reusable=reusable)
 
-    def note(self, task, irregularity):
-        self.noted.append(irregularity)
+    def record_violation(self, task, violation):
+        self.noted.append(violation)
 
 
 class Connection:
@@ -58,7 +58,7 @@
         self.reader.start()
 
     def _read(self) -> None:
-        self.task._end(self.task._read_all(), connected=True)
+        self.task._finish(self.task._receive_responses(), connected=True)
 
     def ask(self, identity: str, answer: bytes) -> None:
         call = Call(
@@ -68,7 +68,7 @@
             Millis(400.0),
             Mailbox(),
         )
-        assert self.task.give(call)
+        assert self.task.assign(call)
         assert self.far.recv(65_536).endswith(b"\r\n\r\n")
         self.far.sendall(answer)
 
@@ -87,7 +87,7 @@
         assert connection.owner.finished.acquire(timeout=5)
         connection.close()
         assert connection.owner.outcomes[1].receipt.is_ordinary
-        assert connection.owner.noted == [SkippedAnswer("q1", "q2")]
+        assert connection.owner.noted == [SkippedResponse("q1", "q2")]
         receipt = connection.owner.outcomes[0].receipt
         assert receipt == Receipt(ConnectionNumber(7), Ending.LENGTH, 1)
         assert not receipt.is_ordinary
@@ -118,14 +118,14 @@
         fleet.log.queue.clear()
         replica = fleet.replicas[SearcherId("s1")]
         task = fleet._open(replica)
-        fleet.note(task, SkippedAnswer("q1", "q2"))
+        fleet.record_violation(task, SkippedResponse("q1", "q2"))
         line = json.loads(fleet.log.queue[-1])
         assert line["event"] == "answer_skipped"
         assert (line["searcher"], line["connection"]) == ("s1", 1)
         assert (line["answered"], line["request"]) == ("q1", "q2")
-        fleet.note(task, UnrequestedBytes(5))
+        fleet.record_violation(task, UnrequestedBytes(5))
         assert json.loads(fleet.log.queue[-1])["bytes"] == 5
-        fleet.note(task, TrailingBytes("q2"))
+        fleet.record_violation(task, TrailingBytes("q2"))
         assert json.loads(fleet.log.queue[-1])["request"] == "q2"
         assert b"masticgate_answer_skipped_total 1" in fleet.metrics.render()
 
