--- a/src/masticgate/connection/gateway/__init__.py
+++ b/src/masticgate/connection/gateway/__init__.py
@@ -2,16 +2,16 @@
 
 from ._caller import CallerSettings as CallerSettings
 from ._caller import Handler as Handler
-from ._catalogue_codec import BadCatalogueError as BadCatalogueError
-from ._catalogue_codec import CatalogueNews as CatalogueNews
+from ._catalogue_codec import CatalogueUpdate as CatalogueUpdate
+from ._catalogue_codec import InvalidCatalogueError as InvalidCatalogueError
 from ._catalogue_codec import decode_changes as decode_changes
 from ._catalogue_codec import encode_change as encode_change
-from ._client import BadReply as BadReply
 from ._client import GetTimeouts as GetTimeouts
 from ._client import HttpClient as HttpClient
 from ._client import HttpResponse as HttpResponse
-from ._client import NoReply as NoReply
-from ._encoding import read_missing as read_missing
+from ._client import InvalidResponse as InvalidResponse
+from ._client import NoResponse as NoResponse
+from ._encoding import parse_missing_shards as parse_missing_shards
 from ._header_names import HeaderNames as HeaderNames
 from ._header_names import peer_header_names as peer_header_names
 from ._listener import Listener as Listener
--- a/src/masticgate/connection/gateway/_caller.py
+++ b/src/masticgate/connection/gateway/_caller.py
@@ -18,9 +18,9 @@
     ParsedRequest,
     RequestParser,
     TooLarge,
-    end_to_end,
+    end_to_end_headers,
     find_header,
-    read_number,
+    parse_number,
 )
 
 RECEIVE_BYTES = 4_096
@@ -199,7 +199,7 @@
         return _refuse(400, Reason.BAD_REQUEST, "one Host header is needed")
     if not parsed.target.startswith(b"/"):
         return _refuse(400, Reason.BAD_REQUEST, "a path is needed")
-    version = read_number(find_header(parsed.headers, CONFIGURATION_VERSION_HEADER) or b"")
+    version = parse_number(find_header(parsed.headers, CONFIGURATION_VERSION_HEADER) or b"")
     network = _read_millis(find_header(parsed.headers, NETWORK_TIME_HEADER))
     own = (header_names.expected_searcher, CONFIGURATION_VERSION_HEADER, NETWORK_TIME_HEADER)
     host = hosts[0].decode("latin-1").partition(":")[0] if hosts else ""
@@ -208,7 +208,7 @@
         parsed.method,
         parsed.target,
         host,
-        tuple(h for h in end_to_end(parsed.headers) if h[0].lower() not in own),
+        tuple(h for h in end_to_end_headers(parsed.headers) if h[0].lower() not in own),
         parsed.body,
         _read_millis(find_header(parsed.headers, header_names.caller_timeout)),
         now,
--- a/src/masticgate/connection/gateway/_catalogue_codec.py
+++ b/src/masticgate/connection/gateway/_catalogue_codec.py
@@ -37,7 +37,7 @@
 )
 
 
-class BadCatalogueError(Exception):
+class InvalidCatalogueError(Exception):
     """The bytes are no catalogue of this release."""
 
 
@@ -55,7 +55,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class CatalogueNews:
+class CatalogueUpdate:
     """What a relay tells: the changes up to ``number``, counted since its start ``epoch``."""
 
     epoch: str
@@ -63,7 +63,7 @@
     changes: tuple[Change, ...]
 
 
-def decode_changes(body: bytes) -> CatalogueNews:
+def decode_changes(body: bytes) -> CatalogueUpdate:
     """Return what a relay tells.
 
     :raises BadCatalogueError: the bytes are no catalogue of this release.
@@ -71,9 +71,9 @@
     try:
         value = json.loads(body)
         changes = tuple(_decode_change(item) for item in value["changes"])
-        return CatalogueNews(str(value["epoch"]), Revision(int(value["number"])), changes)
+        return CatalogueUpdate(str(value["epoch"]), Revision(int(value["number"])), changes)
     except (KeyError, TypeError, ValueError, AttributeError) as error:
-        raise BadCatalogueError(str(error)) from error
+        raise InvalidCatalogueError(str(error)) from error
 
 
 def _encode_table(table: RouteTable) -> Any:
--- a/src/masticgate/connection/gateway/_client.py
+++ b/src/masticgate/connection/gateway/_client.py
@@ -11,7 +11,7 @@
 from ..._clock import MILLIS_PER_SECOND, Clock
 from ..._ids import Address, Millis
 from .._address import split_address
-from ._parser import Malformed, read_number
+from ._parser import Malformed, parse_number
 from ._response_parser import ResponseParser
 
 RECEIVE_BYTES = 16_384
@@ -20,7 +20,7 @@
 KEEP_ALIVE_PROBES = 2
 """A peer that vanished is noticed within about three seconds, also on an idle connection."""
 
-UNACKNOWLEDGED = Millis(2_000.0)
+UNACKNOWLEDGED_TIMEOUT = Millis(2_000.0)
 """Sent bytes without an acknowledgement for so long end the connection."""
 
 
@@ -33,7 +33,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class NoReply:
+class NoResponse:
     """The connection failed or time ran out; ``sent`` tells whether a byte may have left."""
 
     sent: bool
@@ -41,7 +41,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class BadReply:
+class InvalidResponse:
     """What came is no response."""
 
     detail: str
@@ -52,7 +52,7 @@
     """How long one GET may take to connect, and from then on to be answered."""
 
     connect: Millis
-    answer: Millis
+    response: Millis
 
 
 class HttpClient:
@@ -72,31 +72,31 @@
 
     def get(
         self, host: str, path: str, query: Mapping[str, object], timeouts: GetTimeouts
-    ) -> HttpResponse | NoReply | BadReply:
+    ) -> HttpResponse | NoResponse | InvalidResponse:
         """Exchange one GET; the connection is opened where it is not, or no longer, usable."""
         if self.is_stale():
             self.close()
-        failed = self.connect(timeouts.connect)
-        if failed is not None:
-            return failed
-        deadline = Millis(self.clock.now() + timeouts.answer)
+        failure = self.connect(timeouts.connect)
+        if failure is not None:
+            return failure
+        deadline = Millis(self.clock.now() + timeouts.response)
         head = f"GET {path}?{urlencode(query)} HTTP/1.1\r\nHost: {host}\r\n\r\n"
         return self.send(head.encode(), deadline) or self.receive(deadline)
 
-    def connect(self, timeout: Millis) -> NoReply | None:
+    def connect(self, timeout: Millis) -> NoResponse | None:
         """Open the connection, unless it is open."""
         if self.socket is not None:
             return None
         self.aborted = False
         try:
-            opened = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
-            opened.settimeout(max(0.001, timeout / MILLIS_PER_SECOND))
-            _detect_silence(opened)
-            self.socket = opened
-            opened.connect(split_address(self.address))
+            connection = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
+            connection.settimeout(max(0.001, timeout / MILLIS_PER_SECOND))
+            _configure_socket(connection)
+            self.socket = connection
+            connection.connect(split_address(self.address))
         except OSError as error:
             self.close()
-            return NoReply(False, f"connect: {error}")
+            return NoResponse(False, f"connect: {error}")
         self.reusable = True
         return None
 
@@ -108,33 +108,33 @@
         poller.register(self.socket, select.POLLIN)
         return bool(poller.poll(0))
 
-    def send(self, data: bytes, deadline: Millis) -> NoReply | None:
+    def send(self, data: bytes, deadline: Millis) -> NoResponse | None:
         """Send one request."""
         assert self.socket is not None
         try:
-            self.socket.settimeout(self._seconds(deadline))
+            self.socket.settimeout(self._seconds_until(deadline))
             self.socket.sendall(data)
         except OSError as error:
             self.close()
-            return NoReply(True, f"send: {error}")
+            return NoResponse(True, f"send: {error}")
         return None
 
-    def receive(self, deadline: Millis) -> HttpResponse | NoReply | BadReply:
+    def receive(self, deadline: Millis) -> HttpResponse | NoResponse | InvalidResponse:
         """Receive the response."""
         parser = ResponseParser()
         buffer = memoryview(bytearray(RECEIVE_BYTES))
         while True:
-            problem = self._feed(parser, buffer, deadline)
+            problem = self._receive_into(parser, buffer, deadline)
             if parser.ready:
                 response, *others = parser.ready
-                if problem is not None or others or parser.begun or not response.keep_alive:
+                if problem is not None or others or parser.in_message or not response.keep_alive:
                     self.close()
                 return HttpResponse(response.status, response.body)
             if problem is not None:
                 self.close()
                 return problem
 
-    def send_now(self, data: memoryview) -> int:
+    def send_nowait(self, data: memoryview) -> int:
         """Send what the connection takes without waiting; any task may call this.
 
         The kernel reports a reset once: a receive after a send that failed looks like an orderly
@@ -153,7 +153,7 @@
                 self.aborted = True
                 raise
 
-    def ended_in_order(self) -> bool:
+    def closed_cleanly(self) -> bool:
         """Tell whether an end that was received is the other side's and no reset."""
         with self.lock:
             return not self.aborted
@@ -175,25 +175,25 @@
                     self.socket.close()
                 self.socket = None
 
-    def _feed(
+    def _receive_into(
         self, parser: ResponseParser, buffer: memoryview, deadline: Millis
-    ) -> NoReply | BadReply | None:
+    ) -> NoResponse | InvalidResponse | None:
         assert self.socket is not None
         if self.clock.now() >= deadline:
-            return NoReply(True, "receive: no whole response in time")
+            return NoResponse(True, "receive: no whole response in time")
         try:
-            self.socket.settimeout(self._seconds(deadline))
+            self.socket.settimeout(self._seconds_until(deadline))
             count = self.socket.recv_into(buffer)
         except OSError as error:
-            return NoReply(True, f"receive: {error}")
+            return NoResponse(True, f"receive: {error}")
         if not count:
-            if self.ended_in_order():
-                parser.end()
-            return NoReply(True, "closed before the end of a response")
+            if self.closed_cleanly():
+                parser.feed_eof()
+            return NoResponse(True, "closed before the end of a response")
         problem = parser.feed(buffer[:count])
-        return BadReply(problem.detail) if isinstance(problem, Malformed) else None
+        return InvalidResponse(problem.detail) if isinstance(problem, Malformed) else None
 
-    def _seconds(self, deadline: Millis) -> float:
+    def _seconds_until(self, deadline: Millis) -> float:
         return max(0.001, (deadline - self.clock.now()) / MILLIS_PER_SECOND)
 
 
@@ -201,18 +201,20 @@
     """Return the idle time that a server states, ``None`` where it states none."""
     for token in fields.get(b"keep-alive", b"").split(b","):
         name, _, number = token.strip().partition(b"=")
-        seconds = read_number(number)
+        seconds = parse_number(number)
         if name.lower() == b"timeout" and seconds is not None:
             return Millis(seconds * MILLIS_PER_SECOND)
     return None
 
 
-def _detect_silence(opened: socket.socket) -> None:
+def _configure_socket(connection: socket.socket) -> None:
     """Let the kernel end a connection whose peer vanished."""
-    opened.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
+    connection.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
     with suppress(OSError):
-        opened.setsockopt(socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1)
-        opened.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPIDLE, KEEP_ALIVE_IDLE_S)
-        opened.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPINTVL, KEEP_ALIVE_INTERVAL_S)
-        opened.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPCNT, KEEP_ALIVE_PROBES)
-        opened.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, int(UNACKNOWLEDGED))
+        connection.setsockopt(socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1)
+        connection.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPIDLE, KEEP_ALIVE_IDLE_S)
+        connection.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPINTVL, KEEP_ALIVE_INTERVAL_S)
+        connection.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPCNT, KEEP_ALIVE_PROBES)
+        connection.setsockopt(
+            socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, int(UNACKNOWLEDGED_TIMEOUT)
+        )
--- a/src/masticgate/connection/gateway/_encoding.py
+++ b/src/masticgate/connection/gateway/_encoding.py
@@ -22,7 +22,7 @@
     NETWORK_TIME_HEADER,
     HeaderNames,
 )
-from ._parser import end_to_end, find_header, read_number
+from ._parser import end_to_end_headers, find_header, parse_number
 
 STATUS_LINES = {
     status.value: b"HTTP/1.1 %d %s\r\n" % (status.value, status.phrase.encode())
@@ -45,34 +45,36 @@
     """Return the bytes of ``reply``; ``close`` announces the end of the connection."""
     match reply:
         case Relayed(answer=answer):
-            return _message(answer.status, end_to_end(answer.headers), answer.body, close)
+            return _encode_message(
+                answer.status, end_to_end_headers(answer.headers), answer.body, close
+            )
         case Merged(stamps=stamps, missing=missing, records=records):
             headers = (
                 (header_names.included_stamps, ", ".join(stamps).encode("latin-1")),
                 (header_names.missing_shards, b"%d" % missing),
             )
-            return _message(200, headers, records, close)
+            return _encode_message(200, headers, records, close)
         case Refused(status=status, failure=failure, retry_after=retry_after):
             body = describe(failure).encode()
             if retry_after is None:
-                return _message(status, (), body, close)
+                return _encode_message(status, (), body, close)
             seconds = b"%.3f" % (retry_after / MILLIS_PER_SECOND)
-            return _message(status, ((b"Retry-After", seconds),), body, close)
+            return _encode_message(status, ((b"Retry-After", seconds),), body, close)
         case Failed(status=status, failure=failure):
-            return _message(status, (), describe(failure).encode(), close)
+            return _encode_message(status, (), describe(failure).encode(), close)
         case Plain(status=status, body=body):
-            return _message(status, (), body, close)
+            return _encode_message(status, (), body, close)
         case _:
             return b""
 
 
-def read_missing(answer: Answered) -> int | None:
+def parse_missing_shards(answer: Answered) -> int | None:
     """Return how many shards a gatherer's answer leaves out, ``None`` where it does not say."""
-    return read_number(find_header(answer.headers, MISSING_SHARDS_HEADER) or b"")
+    return parse_number(find_header(answer.headers, MISSING_SHARDS_HEADER) or b"")
 
 
 def encode_request(
-    request: Request, header_names: HeaderNames, searcher: SearcherId, left: Millis
+    request: Request, header_names: HeaderNames, searcher: SearcherId, remaining: Millis
 ) -> bytes:
     """Return the bytes of ``request`` for one searcher, which may take ``left`` milliseconds."""
     replaced = (header_names.caller_timeout, header_names.expected_searcher)
@@ -80,7 +82,7 @@
     for name, value in request.headers:
         if name.lower() not in replaced:
             lines.append(b"%s: %s\r\n" % (name, value))
-    lines.append(b"%s: %d\r\n" % (header_names.caller_timeout, max(1, int(left))))
+    lines.append(b"%s: %d\r\n" % (header_names.caller_timeout, max(1, int(remaining))))
     lines.append(b"%s: %s\r\n" % (header_names.expected_searcher, searcher.encode("latin-1")))
     if request.version is not None:
         lines.append(b"%s: %d\r\n" % (CONFIGURATION_VERSION_HEADER, request.version))
@@ -92,7 +94,7 @@
     return b"".join(lines)
 
 
-def _message(status: int, headers: tuple[Header, ...], body: bytes, close: bool) -> bytes:
+def _encode_message(status: int, headers: tuple[Header, ...], body: bytes, close: bool) -> bytes:
     lines = [STATUS_LINES.get(status) or b"HTTP/1.1 %d Unknown\r\n" % status]
     for name, value in headers:
         lines.append(b"%s: %s\r\n" % (name, value))
--- a/src/masticgate/connection/gateway/_parser.py
+++ b/src/masticgate/connection/gateway/_parser.py
@@ -6,7 +6,7 @@
 
 from ...request.gateway._exchange import Header
 
-CONNECTION_HEADERS = frozenset(
+HOP_BY_HOP_HEADERS = frozenset(
     {
         b"connection",
         b"keep-alive",
@@ -23,7 +23,7 @@
 )
 """What concerns one connection only, or is set anew for the next one."""
 
-MOST_DIGITS = 18
+MAX_DIGITS = 18
 """Digits of a number in a header, which has 63 bits then."""
 
 
@@ -61,15 +61,15 @@
     return None
 
 
-def read_number(text: bytes) -> int | None:
+def parse_number(text: bytes) -> int | None:
     """Return the whole number that ``text`` is, ``None`` where it is none or too long."""
     digits = text.strip()
-    return int(digits) if len(digits) <= MOST_DIGITS and digits.isdigit() else None
+    return int(digits) if len(digits) <= MAX_DIGITS and digits.isdigit() else None
 
 
-def end_to_end(headers: list[Header] | tuple[Header, ...]) -> tuple[Header, ...]:
+def end_to_end_headers(headers: list[Header] | tuple[Header, ...]) -> tuple[Header, ...]:
     """Return the headers that are passed on, without those that concern one connection."""
-    dropped = set(CONNECTION_HEADERS)
+    dropped = set(HOP_BY_HOP_HEADERS)
     for key, value in headers:
         if key.lower() == b"connection":
             dropped.update(token.strip().lower() for token in value.split(b","))
@@ -85,7 +85,7 @@
         self.parser = httptools.HttpRequestParser(self)
         self.ready: list[ParsedRequest] = []
         self.expects_continue = False
-        self._begin()
+        self._reset()
 
     def feed(self, data: bytes | memoryview) -> TooLarge | Malformed | None:
         """Take received bytes; return what is wrong with them, if anything."""
@@ -96,31 +96,31 @@
         except httptools.HttpParserUpgrade:
             return Malformed("upgrade")
         except httptools.HttpParserError as error:
-            if self.excess is not None:
-                return self.excess
+            if self.size_error is not None:
+                return self.size_error
             return Malformed(str(error))
-        if self.begun and not self.in_body and self.header_size > self.header_bytes:
+        if self.in_message and not self.in_body and self.header_size > self.header_bytes:
             return TooLarge(431)
-        return self.excess
+        return self.size_error
 
     @property
     def idle(self) -> bool:
         """Tell whether no byte of a next request has come."""
-        return not self.begun
+        return not self.in_message
 
-    def _begin(self) -> None:
-        self.begun = False
+    def _reset(self) -> None:
+        self.in_message = False
         self.in_body = False
         self.header_size = 0
         self.body_size = 0
         self.target = b""
         self.headers: list[Header] = []
         self.chunks: list[bytes] = []
-        self.excess: TooLarge | None = None
+        self.size_error: TooLarge | None = None
 
     def on_message_begin(self) -> None:
         """Note the first byte of a request."""
-        self.begun = True
+        self.in_message = True
 
     def on_url(self, url: bytes) -> None:
         """Collect a part of the target."""
@@ -136,10 +136,10 @@
         self.in_body = True
         size = sum(len(name) + len(value) + 4 for name, value in self.headers)
         if size + len(self.target) > self.header_bytes:
-            self.excess = TooLarge(431)
+            self.size_error = TooLarge(431)
         length = find_header(self.headers, b"content-length")
         if length is not None and length.isdigit() and int(length) > self.body_bytes:
-            self.excess = TooLarge(413)
+            self.size_error = TooLarge(413)
         expect = find_header(self.headers, b"expect")
         self.expects_continue = expect is not None and expect.lower() == b"100-continue"
 
@@ -147,7 +147,7 @@
         """Collect a part of the body, up to the limit."""
         self.body_size += len(body)
         if self.body_size > self.body_bytes:
-            self.excess = TooLarge(413)
+            self.size_error = TooLarge(413)
             return
         self.chunks.append(body)
 
@@ -161,8 +161,8 @@
             b"".join(self.chunks),
             self.parser.should_keep_alive(),
         )
-        excess = self.excess
-        if excess is None and not self.parser.should_upgrade():
+        size_error = self.size_error
+        if size_error is None and not self.parser.should_upgrade():
             self.ready.append(request)
-        self._begin()
-        self.excess = excess
+        self._reset()
+        self.size_error = size_error
--- a/src/masticgate/connection/gateway/_response_parser.py
+++ b/src/masticgate/connection/gateway/_response_parser.py
@@ -8,10 +8,10 @@
 from ...request.gateway._exchange import Ending, Header
 from ._parser import Malformed
 
-LARGEST_HEAD = 65_536
+MAX_HEAD_BYTES = 65_536
 """Bytes of all heads that come for one request: several times the largest between gateways."""
 
-LARGEST_BODY = 8_000_000
+MAX_BODY_BYTES = 8_000_000
 """Bytes of all bodies that come for one request."""
 
 STATUS_LINE = re.compile(rb"HTTP/\d\.\d \d{3}")
@@ -20,13 +20,13 @@
 FRAMING_HEADERS = frozenset({b"content-length", b"transfer-encoding", b"connection"})
 """Headers in which two answers of one server may differ."""
 
-SHORTEST_HEAD = 9
+MIN_STATUS_LINE_BYTES = 9
 """The bytes of ``HTTP/1.1`` and a space: fewer at the end of a body may be its own."""
 
-HEAD_ROOM = 256
+EXTRA_HEAD_BYTES = 256
 """Bytes that the head of another response may have beyond twice those of this one's headers."""
 
-CHUNK_SHARE = 0.5
+MAX_CHUNK_OVERHEAD = 0.5
 """Bytes around chunks for each byte in them; a chunk of 16 bytes has 6 around it."""
 
 
@@ -46,7 +46,7 @@
     repeated: frozenset[bytes]
 
 
-class CutResponseError(Exception):
+class TruncatedResponseError(Exception):
     """A response begins within another that did not end."""
 
 
@@ -60,38 +60,41 @@
     def __init__(self) -> None:
         self.parser = httptools.HttpResponseParser(self)
         self.ready: list[ParsedResponse] = []
-        self.taken = 0
+        self.received_bytes = 0
         self.body_size = 0
-        self._begin()
+        self._reset()
 
     def feed(self, data: bytes | memoryview) -> Malformed | None:
         """Take received bytes; return what is wrong with them, if anything."""
-        self.taken += len(data)
+        self.received_bytes += len(data)
         try:
             self.parser.feed_data(data)
         except httptools.HttpParserUpgrade:
             return Malformed("upgrade")
         except httptools.HttpParserError as error:
-            self._drop_filled_up()
+            self._drop_truncated()
             return Malformed(str(error.__context__ or error))
-        if self.body_size > LARGEST_BODY:
+        if self.body_size > MAX_BODY_BYTES:
             return Malformed("body too large")
-        if self.taken - self.body_size > LARGEST_HEAD + self.body_size * CHUNK_SHARE:
+        if (
+            self.received_bytes - self.body_size
+            > MAX_HEAD_BYTES + self.body_size * MAX_CHUNK_OVERHEAD
+        ):
             return Malformed("too many bytes around the body")
         return None
 
-    def accept(self) -> None:
+    def reset_byte_counts(self) -> None:
         """Begin to count anew: a response was taken for the one that was waited for."""
-        self.taken = 0
+        self.received_bytes = 0
         self.body_size = 0
 
-    def end(self) -> None:
+    def feed_eof(self) -> None:
         """Complete a response without a length, whose connection ended in order."""
-        if self.begun and self.in_body and not self.framed and not self._holds_head():
+        if self.in_message and self.in_body and not self.framed and not self._contains_head():
             self._complete(Ending.CLOSE, keep_alive=False)
 
-    def _begin(self) -> None:
-        self.begun = False
+    def _reset(self) -> None:
+        self.in_message = False
         self.in_body = False
         self.framed = False
         self.reason = b""
@@ -102,7 +105,7 @@
 
     def on_message_begin(self) -> None:
         """Note the first byte of a response."""
-        self.begun = True
+        self.in_message = True
 
     def on_status(self, reason: bytes) -> None:
         """Check the next part of the reason phrase."""
@@ -132,23 +135,25 @@
 
     def on_message_complete(self) -> None:
         """Queue the response, unless it is an interim one."""
-        if self._holds_head():
-            raise CutResponseError("a response is filled up by the bytes of another")
+        if self._contains_head():
+            raise TruncatedResponseError("a response is filled up by the bytes of another")
         ending = Ending.CHUNKS if b"transfer-encoding" in self.fields else Ending.LENGTH
         self._complete(ending, keep_alive=self.parser.should_keep_alive())
 
-    def _holds_head(self) -> bool:
+    def _contains_head(self) -> bool:
         """Tell whether the body holds the head of another response, or ends within one."""
         body = b"".join(self.chunks)
         if b"HTTP/" not in body:
             return False
-        longest = 2 * sum(len(name) + len(value) for name, value in self.headers) + HEAD_ROOM
+        max_length = (
+            2 * sum(len(name) + len(value) for name, value in self.headers) + EXTRA_HEAD_BYTES
+        )
         return self._ends_in_status_line(body) or any(
-            self._is_head(body[found.start() : found.start() + longest])
+            self._matches_head(body[found.start() : found.start() + max_length])
             for found in STATUS_LINE.finditer(body)
         )
 
-    def _is_head(self, text: bytes) -> bool:
+    def _matches_head(self, text: bytes) -> bool:
         """Tell whether ``text`` begins with a head like this one, or is the beginning of one.
 
         The same server's heads have the same header names but for the framing.
@@ -167,11 +172,13 @@
         """Tell whether the body ends like this response began."""
         version = self.parser.get_http_version().encode()
         line = b"HTTP/%s %d %s\r" % (version, self.parser.get_status_code(), self.reason)
-        return body.endswith(tuple(line[:size] for size in range(SHORTEST_HEAD, len(line) + 1)))
+        return body.endswith(
+            tuple(line[:size] for size in range(MIN_STATUS_LINE_BYTES, len(line) + 1))
+        )
 
-    def _drop_filled_up(self) -> None:
+    def _drop_truncated(self) -> None:
         """Drop a response that ends like the beginning of another, of which the rest follows."""
-        starts = tuple(b"HTTP/1."[:size] for size in range(1, SHORTEST_HEAD))
+        starts = tuple(b"HTTP/1."[:size] for size in range(1, MIN_STATUS_LINE_BYTES))
         if self.ready and self.ready[-1].body.endswith(starts):
             self.ready.pop()
 
@@ -183,10 +190,10 @@
                 status, self.headers, self.fields, body, keep_alive, ending, self.repeated
             )
             self.ready.append(response)
-        self._begin()
+        self._reset()
 
 
 def _check_field(value: bytes) -> None:
     """Raise where a part of a head holds the beginning of another response."""
     if b"HTTP/" in value and STATUS_LINE.search(value):
-        raise CutResponseError("a response begins within a head")
+        raise TruncatedResponseError("a response begins within a head")
--- a/src/masticgate/connection/gateway/_searcher_task.py
+++ b/src/masticgate/connection/gateway/_searcher_task.py
@@ -17,7 +17,7 @@
 from ._client import HttpClient, parse_keep_alive_timeout
 from ._encoding import encode_request
 from ._header_names import HeaderNames
-from ._parser import read_number
+from ._parser import parse_number
 from ._response_parser import ParsedResponse, ResponseParser
 
 CONNECT_TIMEOUT = Millis(300.0)
@@ -129,9 +129,9 @@
         wait = CONNECT_TIMEOUT
         if self.current_call is not None:
             wait = min(wait, Millis(self.current_call.deadline - self.started_at))
-        failed = self.client.connect(wait)
-        if failed is not None:
-            self._finish(Lost(self.searcher, False, failed.detail), connected=False)
+        failure = self.client.connect(wait)
+        if failure is not None:
+            self._finish(Lost(self.searcher, False, failure.detail), connected=False)
             return
         self._send_initial_call()
         self._finish(self._receive_responses(), connected=True)
@@ -195,7 +195,7 @@
     def _send_some(self, data: memoryview, deadline: Millis) -> int:
         """Send what the connection takes; return how much, which is none after a wait."""
         try:
-            return self.client.send_now(data)
+            return self.client.send_nowait(data)
         except BlockingIOError:
             if self._wait_writable(deadline):
                 return 0
@@ -226,7 +226,7 @@
                 self.owner.record_violation(self, UnrequestedBytes(count))
                 return Lost(self.searcher, True, "bytes that nobody asked for")
             problem = self.parser.feed(buffer[:count])
-            reusable = problem is None and not self.parser.begun
+            reusable = problem is None and not self.parser.in_message
             if not self._handle_responses(reusable=reusable):
                 return Lost(self.searcher, True, f"bad reply: {problem}")
             if problem is not None:
@@ -248,7 +248,7 @@
             if not reusable or index + 1 < len(responses):
                 self.owner.record_violation(self, TrailingBytes(call.request.id))
             keep_alive = reusable and response.keep_alive and index + 1 == len(responses)
-            self.parser.accept()
+            self.parser.reset_byte_counts()
             self.keep_alive_timeout = parse_keep_alive_timeout(response.fields)
             self._complete_call(
                 call,
@@ -262,8 +262,8 @@
 
     def _outcome_at_close(self) -> Outcome:
         """Return the outcome of a call whose answer ends with the connection."""
-        if self.client.ended_in_order():
-            self.parser.end()
+        if self.client.closed_cleanly():
+            self.parser.feed_eof()
         call = self.current_call
         for response in self.parser.ready:
             if call is not None and self._is_response_to(call, response):
@@ -317,7 +317,7 @@
 
     def _decode_load(self, response: ParsedResponse) -> Load | None:
         parts = response.fields.get(self.header_names.load, b"").split(b",")
-        match [read_number(part) for part in parts]:
+        match [parse_number(part) for part in parts]:
             case [int(running), int(waiting), int(slots)]:
                 return Load(running, waiting, slots)
             case _:
--- a/src/masticgate/platform/_store.py
+++ b/src/masticgate/platform/_store.py
@@ -5,7 +5,7 @@
 
 from .._clock import Clock
 from .._ids import Address, Millis, Revision
-from ..connection.gateway import BadReply, GetTimeouts, HttpClient, NoReply
+from ..connection.gateway import GetTimeouts, HttpClient, InvalidResponse, NoResponse
 from ..process.gateway import Change, Changes, Contents, HistoryGone, Published, Unavailable
 from ._items import decode_item
 from ._names import CONFIGURATION_KEY, EVERYTHING
@@ -73,7 +73,7 @@
         """Return the decoded body, the status of a failure, or why there is no answer."""
         timeouts = GetTimeouts(CONNECT_TIMEOUT, timeout)
         response = self.client.get(self.address, path, query, timeouts)
-        if isinstance(response, NoReply | BadReply):
+        if isinstance(response, NoResponse | InvalidResponse):
             self.client.close()
             return Unavailable(response.detail)
         if response.status != 200:
--- a/src/masticgate/process/gateway/_relay.py
+++ b/src/masticgate/process/gateway/_relay.py
@@ -11,11 +11,11 @@
 from ..._clock import MILLIS_PER_SECOND, Clock
 from ..._ids import Address, Millis, Revision
 from ...connection.gateway import (
-    BadCatalogueError,
-    CatalogueNews,
+    CatalogueUpdate,
     GetTimeouts,
     HttpClient,
     HttpResponse,
+    InvalidCatalogueError,
     decode_changes,
     encode_change,
 )
@@ -151,7 +151,7 @@
             self._leave()
             self.client = HttpClient(address, self.clock)
             reply = self._get({}, READ_TIMEOUT)
-            if isinstance(reply, CatalogueNews):
+            if isinstance(reply, CatalogueUpdate):
                 self.log.write(LogEvent.SOURCE, relay=address)
                 return Contents(reply.changes, reply.number)
         if self.client is not None:
@@ -170,7 +170,7 @@
             return HistoryGone()
         query = {"after": after, "epoch": self.epoch, "wait": int(wait)}
         reply = self._get(query, Millis(wait + WATCH_MARGIN))
-        if isinstance(reply, CatalogueNews):
+        if isinstance(reply, CatalogueUpdate):
             return Changes(reply.changes, reply.number)
         return HistoryGone()
 
@@ -196,7 +196,7 @@
             self.client.close()
         self.client = None
 
-    def _get(self, query: dict[str, object], timeout: Millis) -> CatalogueNews | Unavailable:
+    def _get(self, query: dict[str, object], timeout: Millis) -> CatalogueUpdate | Unavailable:
         """Return what the relay told, or why it tells nothing."""
         assert self.client is not None
         timeouts = GetTimeouts(CONNECT_TIMEOUT, timeout)
@@ -207,7 +207,7 @@
             return Unavailable(f"status {response.status}")
         try:
             news = decode_changes(response.body)
-        except BadCatalogueError as error:
+        except InvalidCatalogueError as error:
             return Unavailable(f"unreadable: {error}")
         self.epoch = news.epoch
         return news
--- a/src/masticgate/process/gateway/_service.py
+++ b/src/masticgate/process/gateway/_service.py
@@ -6,7 +6,7 @@
 
 from ..._failures import NotRun, Reason, Step, Unknown, describe
 from ..._ids import ConfigurationVersion, Millis, RouteId, ServiceId
-from ...connection.gateway import read_missing
+from ...connection.gateway import parse_missing_shards
 from ...request.gateway import (
     Abandoned,
     Answered,
@@ -174,7 +174,7 @@
 
     def _read_peer_answer(self, answer: Answered) -> Reply:
         """Return a gatherer's answer as this gateway's own."""
-        match answer.success, read_missing(answer):
+        match answer.success, parse_missing_shards(answer):
             case True, int(missing):
                 stamps = tuple(answer.stamp.split(", "))
                 gatherer = (f"gathered by {answer.searcher}, {answer.receipt}",)
--- a/tests/gateway/test_answers_without_end.py
+++ b/tests/gateway/test_answers_without_end.py
@@ -11,11 +11,11 @@
 
 from masticgate import Address, ManualClock, Millis, SearcherId, ServiceId, SystemClock
 from masticgate.connection.gateway import (
-    BadReply,
     GetTimeouts,
     HttpClient,
     HttpResponse,
-    NoReply,
+    InvalidResponse,
+    NoResponse,
     SearcherTask,
     peer_header_names,
 )
@@ -115,7 +115,7 @@
         for _ in range(20):
             assert take(parser, answer) is None
             assert len(parser.ready.pop().body) == 1_000_000
-            parser.accept()
+            parser.reset_byte_counts()
 
 
 class Owner:
@@ -236,7 +236,7 @@
         with pouring(ENDLESS[name]) as server:
             client = HttpClient(server.address, SystemClock())
             response = client.get("platform", "/", {}, GetTimeouts(LONG, LONG))
-            assert isinstance(response, BadReply)
+            assert isinstance(response, InvalidResponse)
             assert client.socket is None
             assert server.closed.wait(SOON_S)
             assert server.written < POURED_BYTES
@@ -246,7 +246,7 @@
         with pouring(ENDLESS_BODIES["body_with_length"]) as server:
             client = HttpClient(server.address, clock := HurriedClock())
             response = client.get("platform", "/", {}, GetTimeouts(LONG, SHORT))
-            assert response == NoReply(True, "receive: no whole response in time")
+            assert response == NoResponse(True, "receive: no whole response in time")
             assert clock.current < 2 * SHORT
             assert server.closed.wait(SOON_S)
 
--- a/tests/gateway/test_descriptors.py
+++ b/tests/gateway/test_descriptors.py
@@ -95,7 +95,7 @@
         client.socket = near
         client.close()
         with pytest.raises(OSError):
-            client.send_now(memoryview(b"GET"))
+            client.send_nowait(memoryview(b"GET"))
         assert far.recv(1) == b""
 
     def test_a_connection_that_closed_meanwhile_is_not_waited_for(self):
--- a/tests/gateway/test_relay.py
+++ b/tests/gateway/test_relay.py
@@ -7,7 +7,7 @@
 
 from masticgate import Address, Millis, Revision, SearcherId, ServiceId, SystemClock
 from masticgate._ids import HostId, RequestId
-from masticgate.connection.gateway import CatalogueNews, decode_changes
+from masticgate.connection.gateway import CatalogueUpdate, decode_changes
 from masticgate.process.gateway import (
     Changes,
     Contents,
@@ -70,7 +70,7 @@
         news = decode_changes(since(catalogue, 1).body)
         number, changes = news.number, news.changes
         assert (number, changes) == (3, (Unlisted(SearcherId("b")), unreadable))
-        assert decode_changes(since(catalogue, 3).body) == CatalogueNews(catalogue.epoch, 3, ())
+        assert decode_changes(since(catalogue, 3).body) == CatalogueUpdate(catalogue.epoch, 3, ())
 
     def test_another_start_and_lost_changes_are_told(self):
         catalogue = make_catalogue()
@@ -87,11 +87,11 @@
 class TestCodec:
     @given(st.binary(max_size=60))
     def test_bytes_that_are_no_catalogue_are_refused(self, data):
-        from masticgate.connection.gateway import BadCatalogueError
+        from masticgate.connection.gateway import InvalidCatalogueError
 
         try:
             decode_changes(data)
-        except BadCatalogueError:
+        except InvalidCatalogueError:
             return
 
 
--- a/tests/gateway/test_scarce_descriptors.py
+++ b/tests/gateway/test_scarce_descriptors.py
@@ -10,7 +10,13 @@
 import pytest
 
 from masticgate import Address, HostId, Millis, ServiceId, SystemClock
-from masticgate.connection.gateway import CallerSettings, GetTimeouts, HttpClient, Listener, NoReply
+from masticgate.connection.gateway import (
+    CallerSettings,
+    GetTimeouts,
+    HttpClient,
+    Listener,
+    NoResponse,
+)
 from masticgate.process.gateway._fleet import Fleet
 from masticgate.process.gateway._log import EventLog
 from masticgate.process.gateway._metrics import Metrics
@@ -86,7 +92,7 @@
         client = HttpClient(Address("127.0.0.1:9"), SystemClock())
         monkeypatch.setattr(socket, "socket", fail_with_no_descriptor)
         timeouts = GetTimeouts(Millis(100.0), Millis(100.0))
-        assert isinstance(client.get("h", "/", {}, timeouts), NoReply)
+        assert isinstance(client.get("h", "/", {}, timeouts), NoResponse)
 
 
 class TestListener:
