--- a/bench/process/_forecast.py
+++ b/bench/process/_forecast.py
@@ -3,7 +3,7 @@
 from math import ceil, log
 
 from bench.version import DEPLOYMENTS
-from masticgate.process._members import MAX_UPDATES
+from masticgate.process._members import MAX_UPDATES_PER_MESSAGE
 from masticgate.process._server import MAX_TASKS
 
 from . import _target as t
@@ -156,7 +156,7 @@
         ("regions split, the smaller side", t.HOSTS - t.REGION_HOSTS),
         ("regions split, the larger side", t.REGION_HOSTS),
     ):
-        batches = ceil(changes / MAX_UPDATES)
+        batches = ceil(changes / MAX_UPDATES_PER_MESSAGE)
         rows.append(
             [
                 what,
--- a/bench/process/_host_costs.py
+++ b/bench/process/_host_costs.py
@@ -92,8 +92,8 @@
     host.members.merge(belief(n) for n in range(count))
 
     def call() -> None:
-        host.members.forget_old()
-        host.links.drop_unused(host.heartbeats.neighbours)
+        host.members.remove_expired()
+        host.links.close_idle(host.heartbeats.neighbours)
         host.heartbeats.interval()
         host.after_heartbeat()
 
--- a/bench/process/_target.py
+++ b/bench/process/_target.py
@@ -7,8 +7,8 @@
 from tests.standins.fleet import ROOT
 
 from bench.version import DEPLOYMENTS, accepted
-from masticgate.process._beliefs import FOREIGN_NEIGHBOURS, NEAR_NEIGHBOURS
-from masticgate.process._members import SPREAD_FACTOR
+from masticgate.process._member_rules import FOREIGN_NEIGHBOURS, NEAR_NEIGHBOURS
+from masticgate.process._members import RETRANSMIT_FACTOR
 from masticgate.version import WATCHERS_PER_DOMAIN
 from masticgate.version._placement import SERVICES_PER_OWNER, group_size
 
@@ -50,7 +50,7 @@
 PEERS = HOSTS - 1
 WATCHERS = DOMAINS * WATCHERS_PER_DOMAIN
 CHANGES = CHANGES_A_DAY / DAY
-TELLINGS = SPREAD_FACTOR * ceil(log2(HOSTS + 1))
+TELLINGS = RETRANSMIT_FACTOR * ceil(log2(HOSTS + 1))
 BELIEFS_A_DAY = FAILURES_A_DAY * 3 + REPLACEMENTS_A_DAY * 2
 """Suspect, dead and back for a failure; leaving and back for a replacement."""
 
--- a/src/masticgate/process/_detector.py
+++ b/src/masticgate/process/_detector.py
@@ -8,16 +8,16 @@
 from ._messages import Member, MemberState
 from ._timeline import EventKind, TimeLine
 
-SUSPECT_BEATS = 3
+SUSPECT_INTERVALS = 3
 """A watched host is suspect after this many heartbeat intervals of silence."""
 
-DEAD_BEATS = 4
+DEAD_INTERVALS = 4
 """A suspect host that stays silent is dead after this many intervals more."""
 
-PAUSE_BEATS = 2.5
+PAUSE_INTERVALS = 2.5
 """A gap of this many intervals between two checks means that this process was paused."""
 
-MAX_PATIENCE = 16
+MAX_TIMEOUT_FACTOR = 16
 """How many times longer a host is waited for that refutes what this host suspects."""
 
 
@@ -27,53 +27,53 @@
     def __init__(
         self,
         members: Members,
-        heard_at: Callable[[HostId], Millis | None],
+        last_received: Callable[[HostId], Millis | None],
         clock: Clock,
         timeline: TimeLine,
     ) -> None:
         self.members = members
-        self.heard_at = heard_at
+        self.last_received = last_received
         self.clock = clock
         self.timeline = timeline
         self.checked_at = clock.now()
-        self.fresh_from = clock.now()
-        self.watched: dict[HostId, Millis] = {}
-        self.patience: dict[HostId, int] = {}
+        self.resumed_at = clock.now()
+        self.watched_since: dict[HostId, Millis] = {}
+        self.timeout_factors: dict[HostId, int] = {}
 
     def check(self, neighbours: Iterable[Member], interval: Millis) -> None:
         """Declare silent neighbours suspect or dead; after a pause give all a fresh interval."""
         now = self.clock.now()
         gap = Millis(now - self.checked_at)
-        if gap > PAUSE_BEATS * interval:
+        if gap > PAUSE_INTERVALS * interval:
             self.timeline.add(EventKind.PAUSED, self.members.own.host, f"{gap:.0f} ms")
-            self.fresh_from = now
+            self.resumed_at = now
         self.checked_at = now
         watched = list(neighbours)
-        self.watched = {m.host: self.watched.get(m.host, now) for m in watched}
+        self.watched_since = {m.host: self.watched_since.get(m.host, now) for m in watched}
         for member in watched:
             self._check_one(member, now, interval)
 
     def _check_one(self, member: Member, now: Millis, interval: Millis) -> None:
-        heard = self.heard_at(member.host)
-        if heard is None:
-            self.watched[member.host] = now
+        received_at = self.last_received(member.host)
+        if received_at is None:
+            self.watched_since[member.host] = now
             return
-        silence = now - max(heard, self.watched[member.host], self.fresh_from)
+        silence = now - max(received_at, self.watched_since[member.host], self.resumed_at)
         if silence <= interval:
-            self.patience.pop(member.host, None)
+            self.timeout_factors.pop(member.host, None)
         match member.state:
             case MemberState.ALIVE:
                 self._check_alive(member, silence, interval)
-            case MemberState.SUSPECT if silence > SUSPECT_BEATS * interval:
+            case MemberState.SUSPECT if silence > SUSPECT_INTERVALS * interval:
                 self._check_suspect(member, now, interval)
 
     def _check_alive(self, member: Member, silence: float, interval: Millis) -> None:
-        patience = self.patience.get(member.host, 1)
-        if silence > SUSPECT_BEATS * interval * patience:
-            self.patience[member.host] = min(MAX_PATIENCE, patience * 2)
+        factor = self.timeout_factors.get(member.host, 1)
+        if silence > SUSPECT_INTERVALS * interval * factor:
+            self.timeout_factors[member.host] = min(MAX_TIMEOUT_FACTOR, factor * 2)
             self.members.declare(member, MemberState.SUSPECT)
 
     def _check_suspect(self, member: Member, now: Millis, interval: Millis) -> None:
-        since = max(self.members.changed_at.get(member.host, now), self.fresh_from)
-        if now - since > DEAD_BEATS * interval:
+        since = max(self.members.changed_at.get(member.host, now), self.resumed_at)
+        if now - since > DEAD_INTERVALS * interval:
             self.members.declare(member, MemberState.DEAD)
--- a/src/masticgate/process/_distribution.py
+++ b/src/masticgate/process/_distribution.py
@@ -211,7 +211,7 @@
         self.links = links
 
     def __contains__(self, host: object) -> bool:
-        return isinstance(host, str) and not self.links.is_lost(HostId(host))
+        return isinstance(host, str) and not self.links.is_closed(HostId(host))
 
 
 def _is_newer(theirs: Versions, own: Versions) -> bool:
--- a/src/masticgate/process/_heartbeats.py
+++ b/src/masticgate/process/_heartbeats.py
@@ -5,9 +5,9 @@
 
 from .._clock import MILLIS_PER_SECOND
 from .._ids import HostId, Millis
-from ._beliefs import choose_neighbours, is_usable
 from ._detector import Detector
 from ._links import Links
+from ._member_rules import choose_neighbours, is_usable
 from ._members import Members
 from ._messages import Heartbeat, Member, MemberState
 from ._timeline import TimeLine
@@ -18,13 +18,13 @@
 SMALL_FLEET = 16
 """Up to this many hosts heartbeats go at the short interval."""
 
-KEEP_BEATS = 2
+KEEPALIVE_EVERY = 2
 """Links to hosts that are no neighbours get every second heartbeat, which keeps them open."""
 
-DIGEST_BEATS = 4
+DIGEST_EVERY = 4
 """A digest goes to one neighbour in turn each this many heartbeats."""
 
-PROBE_BEATS = 4
+PROBE_EVERY = 4
 """A lost host is tried, one in turn, each this many heartbeats."""
 
 
@@ -39,7 +39,7 @@
         detector: Detector,
         seeds: list[Member],
         timeline: TimeLine,
-        on_beat: Callable[[], None],
+        on_heartbeat: Callable[[], None],
     ) -> None:
         self.members = members
         self.links = links
@@ -47,7 +47,7 @@
         self.detector = detector
         self.seeds = seeds
         self.timeline = timeline
-        self.on_beat = on_beat
+        self.on_heartbeat = on_heartbeat
         self.sequence = 0
         self.usable: list[HostId] = []
         self.neighbours: list[HostId] = []
@@ -56,7 +56,7 @@
         """Send heartbeats until the process stops."""
         while not stopping.wait(self.interval() / MILLIS_PER_SECOND):
             self.beat()
-            self.on_beat()
+            self.on_heartbeat()
 
     def interval(self) -> Millis:
         """Return the time between two heartbeats."""
@@ -66,24 +66,24 @@
     def beat(self) -> None:
         """Do what is due once an interval."""
         self.sequence += 1
-        self.detector.check(self._watched(), self.interval())
-        for member in self._watched():
+        self.detector.check(self._watched_members(), self.interval())
+        for member in self._watched_members():
             self.links.ensure(member.host, member.address)
-        keep = self.sequence % KEEP_BEATS == 0
+        send_to_all = self.sequence % KEEPALIVE_EVERY == 0
         for host in self.links.open_hosts():
-            if keep or host in self.neighbours:
-                self._send(host, with_digest=host == self._partner())
-        if self.sequence % PROBE_BEATS == 0:
-            self._probe_lost()
-        self.links.drop_unused(self.neighbours)
-        self.members.forget_old()
+            if send_to_all or host in self.neighbours:
+                self._send(host, with_digest=host == self._digest_peer())
+        if self.sequence % PROBE_EVERY == 0:
+            self._probe_dead()
+        self.links.close_idle(self.neighbours)
+        self.members.remove_expired()
 
     def announce(self) -> None:
         """Tell every host with an open link at once what a heartbeat would tell later."""
         for host in self.links.open_hosts():
             self._send(host, with_digest=False)
 
-    def _watched(self) -> list[Member]:
+    def _watched_members(self) -> list[Member]:
         """Return the neighbours, chosen anew where the usable hosts changed."""
         usable = self.members.usable()
         if usable is not self.usable:
@@ -95,15 +95,15 @@
         watched = [self.members.get(host) for host in self.neighbours]
         return [member for member in watched if member is not None and is_usable(member)]
 
-    def _partner(self) -> HostId | None:
+    def _digest_peer(self) -> HostId | None:
         """Return the neighbour whose turn it is to compare digests."""
-        turn, rest = divmod(self.sequence, DIGEST_BEATS)
+        turn, rest = divmod(self.sequence, DIGEST_EVERY)
         if rest or not self.neighbours:
             return None
         return self.neighbours[turn % len(self.neighbours)]
 
     def _send(self, host: HostId, *, with_digest: bool) -> None:
-        updates = self.members.take_updates()
+        updates = self.members.next_updates()
         member = self.members.get(host)
         if member is not None and member.state is not MemberState.ALIVE and member not in updates:
             updates = (*updates, member)
@@ -111,15 +111,17 @@
         beat = Heartbeat(self.timeline.sequence, self.versions.versions(), updates, digest)
         self.links.send(host, beat)
 
-    def _probe_lost(self) -> None:
+    def _probe_dead(self) -> None:
         """Try one host that is believed dead: a split may have healed."""
-        lost = [m for m in self.members.list_members() if m.state is MemberState.DEAD]
-        known = {member.host for member in lost}
-        lost += [s for s in self.seeds if s.host not in known and not self._may_answer(s.host)]
-        if lost:
-            member = lost[self.sequence // PROBE_BEATS % len(lost)]
+        dead = [m for m in self.members.list_members() if m.state is MemberState.DEAD]
+        known = {member.host for member in dead}
+        dead += [
+            s for s in self.seeds if s.host not in known and not self._is_presumed_alive(s.host)
+        ]
+        if dead:
+            member = dead[self.sequence // PROBE_EVERY % len(dead)]
             self.links.ensure(member.host, member.address)
 
-    def _may_answer(self, host: HostId) -> bool:
+    def _is_presumed_alive(self, host: HostId) -> bool:
         member = self.members.get(host)
         return member is not None and member.state is not MemberState.DEAD
--- a/src/masticgate/process/_host_list.py
+++ b/src/masticgate/process/_host_list.py
@@ -7,7 +7,7 @@
 from ..connection import ListedHost
 from ._messages import Member, MemberState
 
-LIST_LAG = Millis(10_000.0)
+MAX_HOST_LIST_LAG = Millis(10_000.0)
 """The host list may lag by this much."""
 
 
@@ -18,25 +18,25 @@
     ``LIST_LAG``; for a younger one the mark may be late and mean the run before.
     """
 
-    def __init__(self, known: Callable[[HostId], Member | None]) -> None:
-        self.known = known
+    def __init__(self, get_member: Callable[[HostId], Member | None]) -> None:
+        self.get_member = get_member
         self.since: dict[HostId, tuple[Incarnation, Millis]] = {}
 
     def read(self, hosts: Iterable[ListedHost], now: Millis) -> list[Member]:
         """Return the beliefs that ``hosts`` gives rise to."""
-        beliefs = [self._believe(host, now) for host in hosts]
-        named = {belief.host for belief in beliefs}
+        members = [self._to_member(host, now) for host in hosts]
+        named = {member.host for member in members}
         self.since = {host: since for host, since in self.since.items() if host in named}
-        return beliefs
+        return members
 
-    def _believe(self, listed: ListedHost, now: Millis) -> Member:
+    def _to_member(self, listed: ListedHost, now: Millis) -> Member:
         state = MemberState.LEAVING if listed.leaving else MemberState.ALIVE
         unknown = Member(listed.host, listed.address, listed.failure_domain, Incarnation(0), state)
-        known = self.known(listed.host) or unknown
+        known = self.get_member(listed.host) or unknown
         incarnation, since = self.since.get(listed.host, (None, now))
         if incarnation != known.incarnation:
             since = now
             self.since[listed.host] = (known.incarnation, now)
-        if listed.leaving and now - since >= LIST_LAG:
+        if listed.leaving and now - since >= MAX_HOST_LIST_LAG:
             return replace(known, state=MemberState.LEAVING)
         return unknown
--- a/src/masticgate/process/_links.py
+++ b/src/masticgate/process/_links.py
@@ -9,16 +9,16 @@
 from ..connection import LinkState, Message, PeerHandler, PeerLink
 from ..request import Ask, Book, Forward
 
-SILENCE = Millis(60.0)
+SILENT_AFTER = Millis(60.0)
 """A host that has left a heartbeat unanswered for this long counts as silent."""
 
-QUIET = Millis(20.0)
+PROBE_AFTER = Millis(20.0)
 """A host that has sent nothing for this long is asked for a reply with the next work."""
 
-RESPONSIVE = Millis(1000.0)
+RESPONSIVE_WITHIN = Millis(1000.0)
 """A host that has sent something within this time keeps its link, and refutes that it is dead."""
 
-LINK_IDLE = Millis(30_000.0)
+LINK_IDLE_TIMEOUT = Millis(30_000.0)
 """A link that is not to a neighbour is closed after this long without work."""
 
 
@@ -26,11 +26,11 @@
     """One link to each neighbour, and to each other host that work is sent to."""
 
     def __init__(
-        self, handler: PeerHandler, clock: Clock, start: Callable[[Callable[[], None]], None]
+        self, handler: PeerHandler, clock: Clock, start_task: Callable[[Callable[[], None]], None]
     ) -> None:
         self.handler = handler
         self.clock = clock
-        self.start = start
+        self.start_task = start_task
         self.lock = Lock()
         self.links: dict[HostId, PeerLink] = {}
         self.stopping = False
@@ -45,28 +45,28 @@
                 known.stop()
             link = PeerLink(host, address, self.handler, self.clock)
             self.links[host] = link
-        self.start(link.run)
+        self.start_task(link.run)
 
-    def drop(self, host: HostId) -> None:
+    def close(self, host: HostId) -> None:
         """Close the link to a host that is gone."""
         with self.lock:
             link = self.links.pop(host, None)
         if link is not None:
             link.stop()
 
-    def drop_unused(self, neighbours: Collection[HostId]) -> None:
+    def close_idle(self, neighbours: Collection[HostId]) -> None:
         """Close the links to hosts, other than ``neighbours``, that no work goes to any more."""
-        limit = self.clock.now() - LINK_IDLE
+        limit = self.clock.now() - LINK_IDLE_TIMEOUT
         for link in self.list_links():
             if link.host not in neighbours and link.last_used < limit:
-                self.drop(link.host)
+                self.close(link.host)
 
     def is_open(self, host: HostId) -> bool:
         """Tell whether messages can be sent to ``host``."""
         link = self.links.get(host)
         return link is not None and link.state is LinkState.OPEN
 
-    def is_lost(self, host: HostId) -> bool:
+    def is_closed(self, host: HostId) -> bool:
         """Tell whether there is a link to ``host`` and it is closed."""
         link = self.links.get(host)
         return link is not None and link.state is LinkState.CLOSED
@@ -74,22 +74,22 @@
     def is_silent(self, host: HostId) -> bool:
         """Tell whether ``host`` has left a heartbeat unanswered for too long."""
         link = self.links.get(host)
-        return link is None or self._unanswered(link) > SILENCE
+        return link is None or self._unanswered_time(link) > SILENT_AFTER
 
     def probe(self, host: HostId) -> None:
         """Ask ``host`` for a reply unless it gave one lately or was asked already."""
         link = self.links.get(host)
         if link is None or link.unanswered_since is not None:
             return
-        if self.clock.now() - link.last_received > QUIET:
+        if self.clock.now() - link.last_received > PROBE_AFTER:
             link.send(self.handler.probe_heartbeat())
 
     def is_responsive(self, host: HostId) -> bool:
         """Tell whether ``host`` sent something lately, whatever others believe of it."""
         link = self.links.get(host)
-        return link is not None and self.clock.now() - link.last_received < RESPONSIVE
+        return link is not None and self.clock.now() - link.last_received < RESPONSIVE_WITHIN
 
-    def heard_at(self, host: HostId) -> Millis | None:
+    def last_received(self, host: HostId) -> Millis | None:
         """Return when ``host`` last sent something over its link."""
         link = self.links.get(host)
         return link.last_received if link is not None else None
@@ -128,6 +128,6 @@
         for link in links:
             link.stop()
 
-    def _unanswered(self, link: PeerLink) -> Millis:
+    def _unanswered_time(self, link: PeerLink) -> Millis:
         since = link.unanswered_since
         return Millis(0.0) if since is None else Millis(self.clock.now() - since)
--- a/src/masticgate/process/_beliefs.py
+++ b/src/masticgate/process/_member_rules.py
@@ -33,9 +33,9 @@
     return _precedence(new) > _precedence(known)
 
 
-def contradicts(told: Member, known: Member) -> bool:
+def needs_correction(received: Member, known: Member) -> bool:
     """Tell whether whoever believes ``told`` would route otherwise than by ``known``."""
-    return told.incarnation != known.incarnation or is_usable(told) != is_usable(known)
+    return received.incarnation != known.incarnation or is_usable(received) != is_usable(known)
 
 
 def choose_neighbours(own: Member, others: Iterable[Member]) -> list[Member]:
--- a/src/masticgate/process/_members.py
+++ b/src/masticgate/process/_members.py
@@ -10,28 +10,28 @@
 
 from .._clock import Clock
 from .._ids import HostId, Millis
-from ._beliefs import (
+from ._member_rules import (
     bucket_of,
-    contradicts,
     differing_buckets,
     digest_of,
     fingerprint,
     is_usable,
+    needs_correction,
     supersedes,
 )
 from ._messages import Member, MemberState
 from ._timeline import EventKind, TimeLine
 
-SPREAD_FACTOR = 3
+RETRANSMIT_FACTOR = 3
 """A changed belief is sent this many times the logarithm of the number of hosts."""
 
-MAX_UPDATES = 20
+MAX_UPDATES_PER_MESSAGE = 20
 """The most changed beliefs that one message carries."""
 
-FORGET_AFTER = Millis(7_200_000.0)
+DEPARTED_MEMBER_TTL = Millis(7_200_000.0)
 """A host that left or died is listed and probed for this long."""
 
-MAX_FORGOTTEN = 10_000
+MAX_TOMBSTONES = 10_000
 """The number of forgotten hosts of which old beliefs are still refused, the latest."""
 
 
@@ -51,9 +51,9 @@
         self.on_change = on_change
         self.lock = Lock()
         self.members: dict[HostId, Member] = {own.host: own}
-        self.forgotten: OrderedDict[HostId, Member] = OrderedDict()
+        self.tombstones: OrderedDict[HostId, Member] = OrderedDict()
         self.changed_at: dict[HostId, Millis] = {own.host: clock.now()}
-        self.unsent: dict[HostId, int] = {}
+        self.remaining_sends: dict[HostId, int] = {}
         self.usable_hosts = SortedSet([own.host])
         self.usable_list: list[HostId] | None = None
         self.digest = list(digest_of([own]))
@@ -93,58 +93,60 @@
                 self.usable_list = list(self.usable_hosts)
             return self.usable_list
 
-    def take_updates(self) -> tuple[Member, ...]:
+    def next_updates(self) -> tuple[Member, ...]:
         """Return the changed beliefs for one message, and count them as sent once more."""
         with self.lock:
-            hosts = sorted(self.unsent, key=lambda host: -self.unsent[host])[:MAX_UPDATES]
+            hosts = sorted(self.remaining_sends, key=lambda host: -self.remaining_sends[host])[
+                :MAX_UPDATES_PER_MESSAGE
+            ]
             for host in hosts:
-                self.unsent[host] -= 1
-                if self.unsent[host] <= 0:
-                    del self.unsent[host]
+                self.remaining_sends[host] -= 1
+                if self.remaining_sends[host] <= 0:
+                    del self.remaining_sends[host]
             return tuple(self.members[host] for host in hosts if host in self.members)
 
-    def compare(self, theirs: Sequence[int]) -> tuple[tuple[Member, ...], bool]:
+    def compare_digest(self, peer_digest: Sequence[int]) -> tuple[tuple[Member, ...], bool]:
         """Return what to tell a host with the digest ``theirs``, and whether it differs."""
         with self.lock:
-            differing = differing_buckets(self.digest, theirs)
+            differing = differing_buckets(self.digest, peer_digest)
             if not differing:
                 return (), False
-            held = [*self.members.values(), *self.forgotten.values()]
+            held = [*self.members.values(), *self.tombstones.values()]
         return tuple(m for m in held if bucket_of(m.host) in differing), True
 
-    def forget_old(self) -> None:
+    def remove_expired(self) -> None:
         """Drop hosts that left or died long ago; older beliefs about them stay refused."""
-        limit = self.clock.now() - FORGET_AFTER
+        limit = self.clock.now() - DEPARTED_MEMBER_TTL
         with self.lock:
             for host, member in list(self.members.items()):
                 if is_usable(member) or host == self.own.host or self.changed_at[host] > limit:
                     continue
-                self.forgotten[host] = self.members.pop(host)
+                self.tombstones[host] = self.members.pop(host)
                 del self.changed_at[host]
-                self.unsent.pop(host, None)
-            while len(self.forgotten) > MAX_FORGOTTEN:
-                self.forgotten.popitem(last=False)
+                self.remaining_sends.pop(host, None)
+            while len(self.tombstones) > MAX_TOMBSTONES:
+                self.tombstones.popitem(last=False)
 
     def _merge_one(self, member: Member, changed: list[Member], corrections: list[Member]) -> None:
         if member.host == self.own.host:
             self._merge_own(member, changed, corrections)
             return
-        known = self.members.get(member.host) or self.forgotten.get(member.host)
+        known = self.members.get(member.host) or self.tombstones.get(member.host)
         if known is None or supersedes(member, known):
-            self._put(member)
+            self._store(member)
             changed.append(member)
-        elif contradicts(member, known):
+        elif needs_correction(member, known):
             corrections.append(known)
 
     def _merge_own(self, member: Member, changed: list[Member], corrections: list[Member]) -> None:
-        refuted = self._refuted(member)
-        if refuted is not None:
-            self._put(refuted)
-            changed.append(refuted)
-        if refuted is not None or contradicts(member, self.own):
+        refutation = self._refutation(member)
+        if refutation is not None:
+            self._store(refutation)
+            changed.append(refutation)
+        if refutation is not None or needs_correction(member, self.own):
             corrections.append(self.own)
 
-    def _refuted(self, member: Member) -> Member | None:
+    def _refutation(self, member: Member) -> Member | None:
         """Return the new belief about this host itself, ``None`` where nothing changes."""
         own = self.own
         if member.incarnation != own.incarnation or not supersedes(member, own):
@@ -155,21 +157,21 @@
             case _:
                 return replace(own, counter=member.counter + 1)
 
-    def _put(self, member: Member) -> None:
+    def _store(self, member: Member) -> None:
         if member.host == self.own.host:
             self.own = member
-        self.forgotten.pop(member.host, None)
+        self.tombstones.pop(member.host, None)
         known = self.members.get(member.host)
         if known is not None and is_usable(known):
             self.digest[bucket_of(known.host)] ^= fingerprint(known)
         self.members[member.host] = member
         self.changed_at[member.host] = self.clock.now()
-        self.unsent[member.host] = SPREAD_FACTOR * ceil(log2(len(self.members) + 1))
-        self._count(member)
+        self.remaining_sends[member.host] = RETRANSMIT_FACTOR * ceil(log2(len(self.members) + 1))
+        self._update_usable(member)
         detail = f"{member.state.name.lower()}, incarnation {member.incarnation}"
         self.timeline.add(EventKind.MEMBER_CHANGED, member.host, detail)
 
-    def _count(self, member: Member) -> None:
+    def _update_usable(self, member: Member) -> None:
         """Bring the digest and the list of usable hosts up to date."""
         if is_usable(member):
             self.digest[bucket_of(member.host)] ^= fingerprint(member)
--- a/src/masticgate/process/_peer_service.py
+++ b/src/masticgate/process/_peer_service.py
@@ -107,7 +107,7 @@
         self.timeline.note_sequence(peer.host, beat.events)
         corrections = self.members.merge(beat.members)
         self.distribution.compare_versions(peer, beat.versions, answer)
-        missing, differs = self.members.compare(beat.digest)
+        missing, differs = self.members.compare_digest(beat.digest)
         digest = tuple(self.members.digest) if differs else ()
         versions = self.versions.versions()
         answer(HeartbeatReply(self.timeline.sequence, versions, corrections + missing, digest))
@@ -118,7 +118,7 @@
         self.timeline.note_sequence(peer.host, reply.events)
         corrections = self.members.merge(reply.members)
         self.distribution.compare_versions(peer, reply.versions, answer)
-        missing, _ = self.members.compare(reply.digest)
+        missing, _ = self.members.compare_digest(reply.digest)
         if corrections or missing:
             answer(
                 Heartbeat(self.timeline.sequence, self.versions.versions(), corrections + missing)
--- a/src/masticgate/process/_server.py
+++ b/src/masticgate/process/_server.py
@@ -171,7 +171,7 @@
             self.members,
             self.links,
             self.versions,
-            Detector(self.members, self.links.heard_at, self.clock, self.timeline),
+            Detector(self.members, self.links.last_received, self.clock, self.timeline),
             seeds_of(self.settings),
             self.timeline,
             self.after_heartbeat,
@@ -217,7 +217,7 @@
     def _members_changed(self, members: Sequence[Member]) -> None:
         for member in members:
             if member.state is MemberState.DEAD and not self.links.is_responsive(member.host):
-                self.links.drop(member.host)
+                self.links.close(member.host)
         self.tier.refresh_hosts()
 
     def _count_hosts(self) -> int:
--- a/tests/process/test_members.py
+++ b/tests/process/test_members.py
@@ -7,10 +7,10 @@
 from masticgate import Address, FailureDomainId, HostId, Incarnation, ManualClock, Millis
 from masticgate.connection import ListedHost
 from masticgate.process import Member, MemberState
-from masticgate.process._beliefs import choose_neighbours, digest_of, is_usable, supersedes
 from masticgate.process._detector import Detector
-from masticgate.process._host_list import LIST_LAG, HostList
-from masticgate.process._members import FORGET_AFTER, Members
+from masticgate.process._host_list import MAX_HOST_LIST_LAG, HostList
+from masticgate.process._member_rules import choose_neighbours, digest_of, is_usable, supersedes
+from masticgate.process._members import DEPARTED_MEMBER_TTL, Members
 from masticgate.process._timeline import EventKind, TimeLine
 
 INTERVAL = Millis(500.0)
@@ -97,8 +97,8 @@
         clock = ManualClock()
         known = members_of("a", clock)
         known.merge([member("x", MemberState.DEAD, counter=2)])
-        clock.advance(Millis(FORGET_AFTER + 1))
-        known.forget_old()
+        clock.advance(Millis(DEPARTED_MEMBER_TTL + 1))
+        known.remove_expired()
         assert known.get("x") is None
         dead = member("x", MemberState.DEAD, counter=2)
         assert known.merge([member("x", counter=2)]) == (dead,)
@@ -187,14 +187,14 @@
 
     def test_its_word_that_a_host_leaves_counts(self):
         assert self.read(False, 0.0) is MemberState.ALIVE
-        assert self.read(True, LIST_LAG) is MemberState.LEAVING
-        assert self.read(False, LIST_LAG + 1) is MemberState.LEAVING
+        assert self.read(True, MAX_HOST_LIST_LAG) is MemberState.LEAVING
+        assert self.read(False, MAX_HOST_LIST_LAG + 1) is MemberState.LEAVING
 
     def test_a_late_word_does_not_stop_the_restarted_host(self):
         self.read(False, 0.0)
         self.known.merge([member("h0", incarnation=2)])
-        assert self.read(True, LIST_LAG) is MemberState.ALIVE
-        assert self.read(False, 2 * LIST_LAG) is MemberState.ALIVE
+        assert self.read(True, MAX_HOST_LIST_LAG) is MemberState.ALIVE
+        assert self.read(False, 2 * MAX_HOST_LIST_LAG) is MemberState.ALIVE
 
 
 class Gossip(RuleBasedStateMachine):
@@ -207,7 +207,7 @@
 
     @rule(sender=st.integers(0, 2), receiver=st.integers(0, 2), lost=st.booleans())
     def send_updates(self, sender, receiver, lost):
-        updates = self.hosts[sender].take_updates()
+        updates = self.hosts[sender].next_updates()
         if not lost:
             self.hosts[receiver].merge(updates)
 
@@ -233,9 +233,9 @@
 
     def exchange(self, one, other):
         other.merge([one.own])
-        missing, _ = other.compare(tuple(one.digest))
+        missing, _ = other.compare_digest(tuple(one.digest))
         other.merge(one.merge(missing))
-        missing, _ = one.compare(tuple(other.digest))
+        missing, _ = one.compare_digest(tuple(other.digest))
         one.merge(other.merge(missing))
 
     @invariant()
