--- a/bench/process/counted_host.py
+++ b/bench/process/counted_host.py
@@ -21,7 +21,7 @@
 from masticgate.process import Settings, read_settings
 from masticgate.process._heartbeats import Heartbeats
 from masticgate.process._peer_service import PeerService
-from masticgate.process._pressure import PressureExchange
+from masticgate.process._pressure import PressureReporter
 from masticgate.process._watch import HostListWatch, KeyWatch
 from masticgate.process.server import Host
 
@@ -96,7 +96,7 @@
     PeerService.receive = counted_receive  # type: ignore[method-assign]
     for owner, name in (
         (Heartbeats, "beat"),
-        (PressureExchange, "run_once"),
+        (PressureReporter, "run_once"),
         (KeyWatch, "read_once"),
         (HostListWatch, "read_once"),
         (Host, "after_heartbeat"),
--- a/src/masticgate/process/_admission.py
+++ b/src/masticgate/process/_admission.py
@@ -11,7 +11,7 @@
 from ..version import Service
 from ._messages import RefusedCount, ServicePressure
 
-PRESSURE_LIFETIME = Millis(1500.0)
+PRESSURE_TTL = Millis(1500.0)
 """A pressure report that is older than this no longer counts."""
 
 
@@ -35,7 +35,7 @@
         self.limits: dict[ServiceId, _Limit] = {}
         self.refused: dict[tuple[ServiceId, Rank], int] = {}
 
-    def note_pressure(self, owner: HostId, services: Iterable[ServicePressure]) -> None:
+    def record_pressure(self, owner: HostId, services: Iterable[ServicePressure]) -> None:
         """Remember what an owner says that its services can take."""
         now = self.clock.now()
         with self.lock:
@@ -48,7 +48,7 @@
         if not limits:
             return None
         needed = [service.id for service in services]
-        oldest = self.clock.now() - PRESSURE_LIFETIME
+        oldest = self.clock.now() - PRESSURE_TTL
         for service in needed:
             limit = limits.get(service)
             if limit is None or limit.reported_at < oldest or number < limit.admitted[rank]:
@@ -57,11 +57,11 @@
             return NotRun(Reason.OVERLOAD, Step.ADMISSION, peer=service)
         return None
 
-    def take_refused(self) -> dict[HostId, list[RefusedCount]]:
+    def pop_refused(self) -> dict[HostId, list[RefusedCount]]:
         """Return and clear what was refused since the last call, by owner."""
         with self.lock:
             refused, self.refused = self.refused, {}
-            oldest = self.clock.now() - PRESSURE_LIFETIME
+            oldest = self.clock.now() - PRESSURE_TTL
             self.limits = {s: x for s, x in self.limits.items() if x.reported_at >= oldest}
             by_owner: dict[HostId, list[RefusedCount]] = {}
             for (service, rank), count in refused.items():
--- a/src/masticgate/process/_peer_service.py
+++ b/src/masticgate/process/_peer_service.py
@@ -20,7 +20,7 @@
 from ._members import Members
 from ._messages import Demand, Heartbeat, HeartbeatReply, Hello, Member, MemberState, Pressure
 from ._owner import Owner
-from ._pressure import PressureExchange
+from ._pressure import PressureReporter
 from ._timeline import EventKind, TimeLine
 from ._versions import VersionStore
 
@@ -45,7 +45,7 @@
         self.mailboxes = mailboxes
         self.owner: Owner
         self.links: Links
-        self.pressure: PressureExchange
+        self.pressure: PressureReporter
         self.distribution: Distribution
         self.run_forward: ForwardRunner
 
@@ -76,7 +76,7 @@
         """Handle one message from ``peer``; ``answer`` sends on the same connection."""
         match message:
             case Ask():
-                self.pressure.note_asker(peer.host, answer)
+                self.pressure.record_entry_host(peer.host, answer)
                 self.owner.ask(message, answer)
             case Cancel():
                 self.owner.cancel(message)
@@ -95,9 +95,9 @@
             case TextPush() | SectionsPush() | CataloguePush():
                 self.distribution.take_push(message, answer)
             case Demand():
-                self.pressure.note_demand(message)
+                self.pressure.receive_demand(message)
             case Pressure(services=services):
-                self.pressure.admission.note_pressure(peer.host, services)
+                self.pressure.admission.record_pressure(peer.host, services)
             case Hello():
                 return
 
--- a/src/masticgate/process/_server.py
+++ b/src/masticgate/process/_server.py
@@ -32,7 +32,7 @@
 from ._peer_service import PeerService, member_of
 from ._policy import NAIVE_POLICY, OWNER_POLICY, Policy
 from ._pools import Pools
-from ._pressure import PRESSURE_INTERVAL, PressureExchange
+from ._pressure import PRESSURE_INTERVAL, PressureReporter
 from ._service_pool import ServicePool
 from ._settings import Settings
 from ._tickets import TicketTable
@@ -72,7 +72,7 @@
         self.pools = Pools(self.policy, self.clock, self.timeline, self._start_connection)
         self.owner = Owner(self.pools, self.versions, self.clock, self._count_hosts)
         self.admission = AdmissionControl(self.clock)
-        self.pressure = PressureExchange(
+        self.pressure = PressureReporter(
             self.id, self.pools, self.admission, self.timeline, self.clock
         )
         self.tier = self._build_tier()
--- a/src/masticgate/process/_service_pool.py
+++ b/src/masticgate/process/_service_pool.py
@@ -93,7 +93,7 @@
                 case BookingWork() if entry.state is WorkState.PENDING:
                     self._settle(entry, NotRun(Reason.CANCELLED, Step.QUEUE, peer=self.service))
 
-    def note_refused(self, rank: Rank, count: int) -> None:
+    def record_refused(self, rank: Rank, count: int) -> None:
         """Count work that an entry host refused because of this service's pressure."""
         with self.lock:
             self.load.arrive(rank, count)
--- a/tests/process/test_admission.py
+++ b/tests/process/test_admission.py
@@ -5,7 +5,7 @@
 
 from masticgate import HostId, ManualClock, Millis, NotRun, Rank, Reason, ServiceId
 from masticgate.process import RefusedCount, ServicePressure
-from masticgate.process._admission import PRESSURE_LIFETIME, AdmissionControl
+from masticgate.process._admission import PRESSURE_TTL, AdmissionControl
 from masticgate.process._service_load import (
     ENGAGE_WAIT,
     PoolReading,
@@ -76,25 +76,25 @@
             ServicePressure(ServiceId("a"), (1.0, 1.0, 0.5)),
             ServicePressure(ServiceId("b"), (1.0, 1.0, 0.2)),
         ]
-        control.note_pressure(HostId("h2"), reports)
+        control.record_pressure(HostId("h2"), reports)
         needed = services("a", "b", "c")
         assert control.admit(Rank.BULK, 0.1, needed) is None
         assert control.admit(Rank.URGENT, 0.9, needed) is None
         refusal = control.admit(Rank.BULK, 0.3, needed)
         assert isinstance(refusal, NotRun) and refusal.reason is Reason.OVERLOAD
-        counted = control.take_refused()[HostId("h2")]
+        counted = control.pop_refused()[HostId("h2")]
         assert set(counted) == {
             RefusedCount(ServiceId("a"), Rank.BULK, 1),
             RefusedCount(ServiceId("b"), Rank.BULK, 1),
         }
-        assert control.take_refused() == {}
+        assert control.pop_refused() == {}
 
     def test_forgets_the_pressure_of_an_owner_that_fell_silent(self):
         clock = ManualClock()
         control = AdmissionControl(clock)
-        control.note_pressure(HostId("h2"), [ServicePressure(ServiceId("a"), (0.0, 0.0, 0.0))])
+        control.record_pressure(HostId("h2"), [ServicePressure(ServiceId("a"), (0.0, 0.0, 0.0))])
         assert control.admit(Rank.URGENT, 0.5, services("a")) is not None
-        clock.advance(Millis(PRESSURE_LIFETIME + 1))
+        clock.advance(Millis(PRESSURE_TTL + 1))
         assert control.admit(Rank.URGENT, 0.5, services("a")) is None
 
 
