--- a/bench/connection/_connection_memory.py
+++ b/bench/connection/_connection_memory.py
@@ -93,7 +93,7 @@
         call = HttpCall(address)
         calls.append(call)
         call.get("/", CALL_TIMEOUT)
-        pool.take(searcher)
+        pool.wait_for_work(searcher)
 
     sizes = grow(lambda: tasks.submit(serve) and None)
     pool.stop()
--- a/src/masticgate/connection/_searcher.py
+++ b/src/masticgate/connection/_searcher.py
@@ -11,12 +11,12 @@
 from ..process import (
     BookingWork,
     CheckLoad,
-    Idle,
+    CloseConnection,
     LoadReport,
+    NoWork,
     SearchWork,
     Send,
     ServicePool,
-    Stopped,
 )
 from ..request import BookingOutcome, Hit, Hits, Ran, SubReply, VersionGone
 from ..version import Searcher
@@ -76,19 +76,19 @@
             _serve(pool, searcher, call, clock)
         finally:
             call.close()
-            wanted = pool.leave(searcher)
+            wanted = pool.record_closed_connection(searcher)
 
 
 def _serve(pool: ServicePool, searcher: Searcher, call: HttpCall, clock: Clock) -> None:
     while True:
-        match pool.take(searcher):
-            case Stopped():
+        match pool.wait_for_work(searcher):
+            case CloseConnection():
                 return
-            case Idle():
+            case NoWork():
                 continue
             case CheckLoad():
                 call.allow()
-                pool.note_load(searcher, _read_load(call.get("/load", LOAD_TIMEOUT)))
+                pool.record_load(searcher, _read_load(call.get("/load", LOAD_TIMEOUT)))
             case Send() as send:
                 _run_send(pool, send, call, clock)
 
--- a/src/masticgate/process/_delivery_lock.py
+++ b/src/masticgate/process/_delivery_lock.py
@@ -10,13 +10,13 @@
 
     def __init__(self) -> None:
         self.lock = Lock()
-        self.settled: list[tuple[Entry, Result]] = []
+        self.undelivered: list[tuple[Entry, Result]] = []
 
     def __enter__(self) -> None:
         self.lock.acquire()
 
     def __exit__(self, *_: object) -> None:
-        settled, self.settled = self.settled, []
+        undelivered, self.undelivered = self.undelivered, []
         self.lock.release()
-        for entry, result in settled:
+        for entry, result in undelivered:
             entry.deliver(result)
--- a/src/masticgate/process/_dispatcher.py
+++ b/src/masticgate/process/_dispatcher.py
@@ -32,7 +32,7 @@
         self.pending = RankQueue(policy.order, floors)
         self.budget = HedgeBudget(policy.hedging)
         self.searchers = SearcherGroup(service, listener)
-        self.searchers.set_shares(searchers)
+        self.searchers.apply_shares(searchers)
         self.candidates = HedgeCandidates()
         self.idle_connections = IdleConnections()
         self.next_expiry = Millis(0.0)
--- a/src/masticgate/process/_idle_connections.py
+++ b/src/masticgate/process/_idle_connections.py
@@ -9,12 +9,12 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Stopped:
+class CloseConnection:
     """The connection is no longer wanted and has to close."""
 
 
 @dataclass(frozen=True, slots=True)
-class Idle:
+class NoWork:
     """Nothing to do within the wait."""
 
 
--- a/src/masticgate/process/_owner.py
+++ b/src/masticgate/process/_owner.py
@@ -91,7 +91,7 @@
     def _queue(self, work: Work) -> None:
         """Queue ``work`` in the pool of its service, or deliver why it cannot be."""
         pool = self._find_pool(work.service)
-        refusal = pool if isinstance(pool, NotRun) else pool.offer(work)
+        refusal = pool if isinstance(pool, NotRun) else pool.submit(work)
         if refusal is not None:
             work.deliver(refusal)
 
--- a/src/masticgate/process/_pools.py
+++ b/src/masticgate/process/_pools.py
@@ -92,7 +92,7 @@
         """Put the shares in force; only connections beyond those still open are started."""
         shares = [(s, service_connections(s, hosts)) for s in service.searchers]
         self.configured[service.id] = (service, hosts, configuration.floors)
-        for searcher in pool.change(shares, configuration.floors):
+        for searcher in pool.apply_configuration(shares, configuration.floors):
             self.start_connection(pool, searcher)
 
     def _close(self, name: ServiceId) -> None:
--- a/src/masticgate/process/_public.py
+++ b/src/masticgate/process/_public.py
@@ -1,8 +1,8 @@
 """The public names of :mod:`masticgate.process`, loaded on first use."""
 
 from ._idle_connections import CheckLoad as CheckLoad
-from ._idle_connections import Idle as Idle
-from ._idle_connections import Stopped as Stopped
+from ._idle_connections import CloseConnection as CloseConnection
+from ._idle_connections import NoWork as NoWork
 from ._messages import Demand as Demand
 from ._messages import Heartbeat as Heartbeat
 from ._messages import HeartbeatReply as HeartbeatReply
--- a/src/masticgate/process/_searcher_group.py
+++ b/src/masticgate/process/_searcher_group.py
@@ -31,7 +31,7 @@
 
     # Connections.
 
-    def set_shares(self, shares: Iterable[tuple[Searcher, int]]) -> list[Searcher]:
+    def apply_shares(self, shares: Iterable[tuple[Searcher, int]]) -> list[Searcher]:
         """Put other searchers or shares in force; return one searcher a connection to open."""
         known = [*self.health.values(), *self.retired]
         self.health = {}
@@ -112,7 +112,7 @@
                     self._eject(health, now)
         self._notify(before)
 
-    def note_load(self, searcher: Searcher, report: LoadReport | None) -> None:
+    def record_load(self, searcher: Searcher, report: LoadReport | None) -> None:
         """Take what a searcher says of itself, ``None`` where it could not be asked."""
         health = self.find(searcher)
         before = self._states()
--- a/src/masticgate/process/_searcher_health.py
+++ b/src/masticgate/process/_searcher_health.py
@@ -94,7 +94,7 @@
         self.closing += 1
         return True
 
-    def closed(self) -> bool:
+    def record_closed_connection(self) -> bool:
         """Count a closed connection; return ``True`` where it is wanted again by now."""
         self.closing -= 1
         if self.open - self.closing <= self.connections:
--- a/src/masticgate/process/_service_load.py
+++ b/src/masticgate/process/_service_load.py
@@ -40,7 +40,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class PoolReading:
+class PoolSample:
     """One look at a pool.
 
     ``slots`` may be filled now, ``in_flight`` pieces of work are sent, ``pending`` wait, the
@@ -88,7 +88,7 @@
         self.last_completion = now
         self.had_backlog = backlog
 
-    def tick(self, reading: PoolReading) -> None:
+    def tick(self, reading: PoolSample) -> None:
         """Fold what happened since the last tick into the averages."""
         self._follow_slots(reading.slots)
         self._engage(reading)
@@ -119,7 +119,7 @@
             return None
         return self.busy_completions / max(1.0, self.busy_slot_millis) * slots
 
-    def _engage(self, reading: PoolReading) -> None:
+    def _engage(self, reading: PoolSample) -> None:
         if self.rate is not None or reading.longest_wait < ENGAGE_WAIT:
             return
         capacity = self.capacity(reading.slots)
@@ -133,7 +133,7 @@
             self.rate *= slots / self.slots
         self.slots = slots or self.slots
 
-    def _adapt(self, reading: PoolReading) -> None:
+    def _adapt(self, reading: PoolSample) -> None:
         """Follow the backlog and the idle slots that the admitted rate leads to.
 
         The age of the oldest work would mislead: under overload the work with the highest numbers
--- a/src/masticgate/process/_service_pool.py
+++ b/src/masticgate/process/_service_pool.py
@@ -10,18 +10,18 @@
 from ..version import Searcher
 from ._delivery_lock import DeliveryLock
 from ._dispatcher import Dispatcher
-from ._idle_connections import CheckLoad, Idle, IdleConnection, Stopped
+from ._idle_connections import CheckLoad, CloseConnection, IdleConnection, NoWork
 from ._policy import NoHedge, Policy
 from ._retry import RetryCost, retry_cost
 from ._searcher_group import StateListener
 from ._searcher_health import LOAD_CHECK_INTERVAL, LoadReport, SearcherHealth
-from ._service_load import PoolReading, ServiceLoad
+from ._service_load import PoolSample, ServiceLoad
 from ._work import BookingWork, Entry, Result, SearchWork, Send, SendState, Work, WorkState
 
 MAX_PENDING = 2000
 """Work beyond this is refused as overload."""
 
-IDLE_WAIT = Millis(4000.0)
+MAX_IDLE_WAIT = Millis(4000.0)
 """The longest that a connection waits for work before it may check the searcher's load."""
 
 
@@ -43,8 +43,8 @@
         self.service = service
         self.policy = policy
         self.clock = clock
-        self.delivering = DeliveryLock()
-        self.lock = self.delivering.lock
+        self.delivery_lock = DeliveryLock()
+        self.lock = self.delivery_lock.lock
         self.dispatcher = Dispatcher(service, searchers, floors, policy, listener)
         self.pending = self.dispatcher.pending
         self.budget = self.dispatcher.budget
@@ -62,9 +62,9 @@
 
     # What the owner's peers call.
 
-    def offer(self, work: Work) -> NotRun | None:
+    def submit(self, work: Work) -> NotRun | None:
         """Queue ``work``; its ``deliver`` is called once with the result, unless refused here."""
-        with self.delivering:
+        with self.delivery_lock:
             self.last_used = self.clock.now()
             if work.query in self.entries:
                 return None  # The message came twice; the first copy is answered.
@@ -82,7 +82,7 @@
 
         A booking is settled as not run while it is pending, and is left alone once sent.
         """
-        with self.delivering:
+        with self.delivery_lock:
             entry = self.entries.get(query)
             if entry is None:
                 return
@@ -101,19 +101,19 @@
     def measure_pressure(self) -> dict[Rank, float]:
         """Return the share of each rank's demand that this service can take."""
         with self.lock:
-            self.load.tick(self._read())
+            self.load.tick(self._sample_pool())
             return self.load.shares(self.pending.floors)
 
     def stop(self) -> None:
         """Hand pending work back as not run and let connections end after their present work."""
-        with self.delivering:
+        with self.delivery_lock:
             self.stopping = True
             for entry in list(self.pending.entries()):
                 self._settle_unsent(entry, Reason.SHUTTING_DOWN)
-            self.searchers.set_shares(())
+            self.searchers.apply_shares(())
             self.idle_connections.wake_all()
 
-    def change(
+    def apply_configuration(
         self, searchers: Iterable[tuple[Searcher, int]], floors: Mapping[Rank, float]
     ) -> list[Searcher]:
         """Put other searchers, shares and floors in force, also after :meth:`stop`.
@@ -121,10 +121,10 @@
         The queue and the connections that stay are kept. Returns one searcher a connection that
         the caller has to open.
         """
-        with self.delivering:
+        with self.delivery_lock:
             self.stopping = False
             self.pending.floors = dict(floors)
-            missing = self.searchers.set_shares(searchers)
+            missing = self.searchers.apply_shares(searchers)
             self.idle_connections.wake_all()
             self.dispatch()
             return missing
@@ -136,14 +136,14 @@
 
     # What connection tasks call.
 
-    def take(self, searcher: Searcher) -> Send | CheckLoad | Idle | Stopped:
+    def wait_for_work(self, searcher: Searcher) -> Send | CheckLoad | NoWork | CloseConnection:
         """Wait for work for an idle connection of ``searcher``."""
         with self.lock:
             connection = IdleConnection(self.lock, self.searchers.find(searcher))
             self.idle_connections.add(connection)
-        end = Millis(self.clock.now() + IDLE_WAIT)
+        end = Millis(self.clock.now() + MAX_IDLE_WAIT)
         while True:
-            with self.delivering:
+            with self.delivery_lock:
                 outcome = self._wait_once(connection, end)
                 if outcome is not None:
                     return outcome
@@ -161,12 +161,12 @@
 
     def finish(self, send: Send, result: Result) -> None:
         """Take the result of ``send``; deliver it, retry it elsewhere or drop it as late."""
-        with self.delivering:
+        with self.delivery_lock:
             entry = send.entry
-            self._observe(send, result)
+            self._record_result(send, result)
             entry.sends.remove(send)
             if entry.state is not WorkState.DONE:
-                self._take_result(send, result)
+                self._handle_result(send, result)
             self.dispatch()
 
     def abandon(self, send: Send) -> None:
@@ -175,16 +175,16 @@
         reason = Reason.DEADLINE if expired else Reason.CANCELLED
         self.finish(send, NotRun(reason, Step.SEND, peer=send.searcher))
 
-    def note_load(self, searcher: Searcher, report: LoadReport | None) -> None:
+    def record_load(self, searcher: Searcher, report: LoadReport | None) -> None:
         """Take what a searcher says of its load, ``None`` where it could not be asked."""
-        with self.delivering:
-            self.searchers.note_load(searcher, report)
+        with self.delivery_lock:
+            self.searchers.record_load(searcher, report)
             self.dispatch()
 
-    def leave(self, searcher: Searcher) -> bool:
+    def record_closed_connection(self, searcher: Searcher) -> bool:
         """Count a connection as closed; return ``True`` where it has to open again."""
         with self.lock:
-            wanted = self.searchers.find(searcher).closed()
+            wanted = self.searchers.find(searcher).record_closed_connection()
             self.searchers.forget_closed()
             return wanted
 
@@ -195,12 +195,12 @@
         for entry in self.dispatcher.run(self.clock.now()):
             self._settle_unsent(entry, Reason.DEADLINE)
 
-    def _read(self) -> PoolReading:
+    def _sample_pool(self) -> PoolSample:
         now = self.clock.now()
         wait = max(self.pending.oldest_wait(rank, now) for rank in Rank)
         in_flight = sum(health.in_flight for health in self.health.values())
         slots = self.searchers.usable_slots(now)
-        return PoolReading(now, slots, in_flight, len(self.pending), wait)
+        return PoolSample(now, slots, in_flight, len(self.pending), wait)
 
     def _refuse(self, work: Work) -> NotRun | None:
         if self.stopping:
@@ -215,7 +215,7 @@
 
     def _wait_once(
         self, connection: IdleConnection, end: Millis
-    ) -> Send | CheckLoad | Idle | Stopped | None:
+    ) -> Send | CheckLoad | NoWork | CloseConnection | None:
         """Return what ``connection`` has to do, or ``None`` after one wait for it."""
         if connection.send is None and self.dispatcher.is_watching():
             self.idle_connections.claim_timer(connection)
@@ -223,17 +223,17 @@
         if connection.send is not None:
             return connection.send
         if connection.health.should_close():
-            self._withdraw(connection)
-            return Stopped()
+            self._remove_idle(connection)
+            return CloseConnection()
         now = self.clock.now()
         if now >= end:
-            self._withdraw(connection)
-            return self._end_wait(connection.health, now)
-        if not self.delivering.settled:
+            self._remove_idle(connection)
+            return self._handle_wait_timeout(connection.health, now)
+        if not self.delivery_lock.undelivered:
             self._wait(connection, end, now)
         return None
 
-    def _withdraw(self, connection: IdleConnection) -> None:
+    def _remove_idle(self, connection: IdleConnection) -> None:
         self.idle_connections.remove(connection)
         if self.dispatcher.is_watching():
             self.idle_connections.ensure_timer()
@@ -246,13 +246,13 @@
                 self.idle_connections.timer = None
         connection.ready.wait((end - now) / MILLIS_PER_SECOND)
 
-    def _end_wait(self, health: SearcherHealth, now: Millis) -> CheckLoad | Idle:
+    def _handle_wait_timeout(self, health: SearcherHealth, now: Millis) -> CheckLoad | NoWork:
         if now < health.load_check_at:
-            return Idle()
+            return NoWork()
         health.load_check_at = Millis(now + LOAD_CHECK_INTERVAL)
         return CheckLoad()
 
-    def _observe(self, send: Send, result: Result) -> None:
+    def _record_result(self, send: Send, result: Result) -> None:
         now = self.clock.now()
         self.searchers.observe(send, result, now)
         superseded = send.state is SendState.SUPERSEDED
@@ -262,7 +262,7 @@
             for entry in list(self.pending.entries()):
                 self._settle_unsent(entry, Reason.NO_SEARCHER)
 
-    def _take_result(self, send: Send, result: Result) -> None:
+    def _handle_result(self, send: Send, result: Result) -> None:
         entry = send.entry
         if entry.sends and not isinstance(result, Hits):
             return
@@ -294,7 +294,7 @@
 
     def _settle(self, entry: Entry, result: Result) -> None:
         self._drop(entry, SendState.SUPERSEDED)
-        self.delivering.settled.append((entry, result))
+        self.delivery_lock.undelivered.append((entry, result))
 
     def _drop(self, entry: Entry, state: SendState) -> None:
         self.dispatcher.remove(entry)
--- a/tests/process/fake_connections.py
+++ b/tests/process/fake_connections.py
@@ -41,7 +41,7 @@
 
 def start_idle(pool, health):
     """Let a connection of a searcher fall idle, as the start of ``take`` does."""
-    with pool.delivering:
+    with pool.delivery_lock:
         connection = IdleConnection(pool.lock, health)
         pool.idle_connections.add(connection)
         pool.dispatch()
@@ -55,7 +55,7 @@
         self.clock = ManualClock(Millis(1000.0))
         self.names = names
         self.pool = ServicePool(SERVICE, (), {}, OWNER_POLICY, self.clock, lambda *change: None)
-        self.pool.change([(SEARCHERS[name], SHARE) for name in names], {})
+        self.pool.apply_configuration([(SEARCHERS[name], SHARE) for name in names], {})
         self.results = {}
         self.idle_connections = []
         self.sends = []
@@ -78,7 +78,7 @@
             "",
             self.results[query].append,
         )
-        return query, self.pool.offer(work)
+        return query, self.pool.submit(work)
 
     def book(self, ticket, attempt=1):
         self.counter += 1
@@ -90,7 +90,7 @@
             return query, NotRun(Reason.TICKET_IN_USE, Step.QUEUE)
         ticket = TicketId(ticket)
         work = BookingWork(query, SERVICE, ticket, attempt, Rank.URGENT, deadline, "{}", deliver)
-        return query, self.pool.offer(work)
+        return query, self.pool.submit(work)
 
     def add_idle(self, name):
         health = self.pool.searchers.find(SEARCHERS[name])
@@ -103,7 +103,7 @@
                 self.add_idle(name)
 
     def wake(self):
-        with self.pool.delivering:
+        with self.pool.delivery_lock:
             self.pool.dispatch()
         return self.collect()
 
--- a/tests/process/test_admission.py
+++ b/tests/process/test_admission.py
@@ -8,7 +8,7 @@
 from masticgate.process._admission import PRESSURE_TTL, AdmissionControl
 from masticgate.process._service_load import (
     ENGAGE_WAIT,
-    PoolReading,
+    PoolSample,
     ServiceLoad,
     share_capacity,
 )
@@ -106,14 +106,14 @@
             load.arrive(Rank.BULK, 100)
             for half in range(20):
                 load.complete(Millis(n * 200.0 + half * 10.0), slots=4, backlog=True)
-            load.tick(PoolReading(Millis((n + 1) * 200.0), 4, 4, 0, Millis(0.0)))
+            load.tick(PoolSample(Millis((n + 1) * 200.0), 4, 4, 0, Millis(0.0)))
         return load
 
     def bulk_share(
         self, load: ServiceLoad, now: float, *, in_flight=4, pending=0, wait=0.0, slots=4
     ) -> float:
         load.arrive(Rank.BULK, 100)
-        load.tick(PoolReading(Millis(now), slots, in_flight, pending, Millis(wait)))
+        load.tick(PoolSample(Millis(now), slots, in_flight, pending, Millis(wait)))
         return load.shares(FLOORS)[Rank.BULK]
 
     def engaged(self) -> ServiceLoad:
@@ -143,22 +143,22 @@
     def test_it_does_not_grow_while_all_demand_fits(self):
         load = self.engaged()
         for n in range(200):
-            load.tick(PoolReading(Millis(20_400.0 + 200.0 * n), 4, 0, 0, Millis(0.0)))
+            load.tick(PoolSample(Millis(20_400.0 + 200.0 * n), 4, 0, 0, Millis(0.0)))
             if min(load.shares(FLOORS).values()) == 1.0:
                 break
         rate = load.rate
-        load.tick(PoolReading(Millis(60_800.0), 4, 0, 0, Millis(0.0)))
+        load.tick(PoolSample(Millis(60_800.0), 4, 0, 0, Millis(0.0)))
         assert load.rate == rate
 
     def test_refusing_ends_once_all_demand_has_fitted_for_a_while(self):
         load = self.engaged()
         for n in range(100):
-            load.tick(PoolReading(Millis(20_400.0 + 200.0 * n), 4, 0, 0, Millis(0.0)))
+            load.tick(PoolSample(Millis(20_400.0 + 200.0 * n), 4, 0, 0, Millis(0.0)))
             load.shares(FLOORS)
         assert load.rate is None
 
     def test_a_flood_is_noticed_in_one_tick(self):
         load = self.loaded()
         load.arrive(Rank.URGENT, 100)
-        load.tick(PoolReading(Millis(20_200.0), 4, 4, 20, Millis(120.0)))
+        load.tick(PoolSample(Millis(20_200.0), 4, 4, 20, Millis(120.0)))
         assert abs(load.demand[Rank.URGENT] - 0.5) < 0.01
--- a/tests/process/test_pool_faults.py
+++ b/tests/process/test_pool_faults.py
@@ -87,8 +87,8 @@
         self.take_up()
 
     @rule(name=st.sampled_from("ab"), draining=st.booleans(), incarnation=st.sampled_from("12"))
-    def note_load(self, name, draining, incarnation):
-        self.fleet.pool.note_load(SEARCHERS[name], LoadReport(0, draining, incarnation))
+    def record_load(self, name, draining, incarnation):
+        self.fleet.pool.record_load(SEARCHERS[name], LoadReport(0, draining, incarnation))
         self.take_up()
 
     @precondition(lambda self: not self.fleet.idle_connections)
@@ -96,7 +96,7 @@
     def stop_and_change(self):
         self.fleet.pool.stop()
         assert not len(self.fleet.pool.pending)
-        self.fleet.pool.change(SHARES, {})
+        self.fleet.pool.apply_configuration(SHARES, {})
 
     @invariant()
     def delivers_at_most_once(self):
--- a/tests/process/test_searcher_choice.py
+++ b/tests/process/test_searcher_choice.py
@@ -21,7 +21,7 @@
         for lie in (0, 1000):
             fleet = FakeConnections()
             fleet.add_all_idle()
-            fleet.pool.note_load(SEARCHERS["a"], LoadReport(lie, False))
+            fleet.pool.record_load(SEARCHERS["a"], LoadReport(lie, False))
             given = Counter()
             for _ in range(60):
                 fleet.search()
@@ -61,22 +61,22 @@
         fleet = FakeConnections()
         fleet.add_all_idle()
         health = fleet.pool.health["a"]
-        fleet.pool.note_load(SEARCHERS["a"], LoadReport(0, False, "1"))
+        fleet.pool.record_load(SEARCHERS["a"], LoadReport(0, False, "1"))
         while health.state is not SearcherState.DRAINING:
             self.run(fleet, {"a": DRAINING, "b": HITS})
-        fleet.pool.note_load(SEARCHERS["a"], LoadReport(0, False, "1"))
+        fleet.pool.record_load(SEARCHERS["a"], LoadReport(0, False, "1"))
         assert health.state is SearcherState.DRAINING
-        fleet.pool.note_load(SEARCHERS["a"], LoadReport(0, False, "2"))
+        fleet.pool.record_load(SEARCHERS["a"], LoadReport(0, False, "2"))
         assert health.state is SearcherState.WARMING
 
     def test_takes_back_a_restarted_searcher_that_states_no_incarnation(self):
         fleet = FakeConnections()
         health = fleet.pool.health["a"]
         health.drain()
-        fleet.pool.note_load(SEARCHERS["a"], LoadReport(0, False))
+        fleet.pool.record_load(SEARCHERS["a"], LoadReport(0, False))
         assert health.state is SearcherState.DRAINING
-        fleet.pool.note_load(SEARCHERS["a"], None)
-        fleet.pool.note_load(SEARCHERS["a"], LoadReport(0, False))
+        fleet.pool.record_load(SEARCHERS["a"], None)
+        fleet.pool.record_load(SEARCHERS["a"], LoadReport(0, False))
         assert health.state is SearcherState.WARMING
 
     def test_gives_less_to_a_searcher_that_sheds_but_does_not_eject_it(self):
--- a/tests/process/test_service_pool.py
+++ b/tests/process/test_service_pool.py
@@ -128,8 +128,8 @@
         fleet.pool.stop()
         for _ in range(SHARE - 1):
             assert fleet.pool.searchers.find(SEARCHERS["a"]).should_close()
-            assert not fleet.pool.leave(SEARCHERS["a"])
-        missing = fleet.pool.change(SHARES[:1], {})
+            assert not fleet.pool.record_closed_connection(SEARCHERS["a"])
+        missing = fleet.pool.apply_configuration(SHARES[:1], {})
         assert len(missing) == SHARE - 1
         assert fleet.pool.open_connections() == SHARE
 
@@ -138,8 +138,8 @@
         fleet.pool.stop()
         health = fleet.pool.searchers.find(SEARCHERS["a"])
         assert health.should_close()
-        assert fleet.pool.change(SHARES[:1], {}) == []
-        assert fleet.pool.leave(SEARCHERS["a"])
+        assert fleet.pool.apply_configuration(SHARES[:1], {}) == []
+        assert fleet.pool.record_closed_connection(SEARCHERS["a"])
         assert fleet.pool.open_connections() == SHARE
 
 
@@ -147,5 +147,5 @@
     def test_gives_a_connection_its_work(self):
         fleet = FakeConnections()
         fleet.search()
-        taken = fleet.pool.take(SEARCHERS["a"])
+        taken = fleet.pool.wait_for_work(SEARCHERS["a"])
         assert isinstance(taken, Send)
