--- a/src/masticgate/process/_dispatcher.py
+++ b/src/masticgate/process/_dispatcher.py
@@ -37,7 +37,7 @@
         self.idle_connections = IdleConnections()
         self.next_expiry = Millis(0.0)
 
-    def run(self, now: Millis) -> list[Entry]:
+    def dispatch(self, now: Millis) -> list[Entry]:
         """Hand out all work that may be sent now; return the entries found expired."""
         expired = self._find_expired(now)
         if self.idle_connections:
@@ -48,22 +48,22 @@
                 pass
             if delay is not None and not self.pending.size:
                 self._send_hedges(now, delay, None)
-            if self.is_watching():
+            if self.needs_timer():
                 self.idle_connections.ensure_timer()
         return expired
 
-    def is_watching(self) -> bool:
+    def needs_timer(self) -> bool:
         """Tell whether something may fall due while nobody calls :meth:`run`."""
         return bool(self.candidates.entries) or self.pending.size > 0
 
-    def keeps_watch(self) -> bool:
+    def should_keep_timer(self) -> bool:
         """Tell whether the timer has to wait on, since work came after it last asked.
 
         While work comes, one wake-up an interval is cheaper than to arm the timer at each send.
         """
-        return self.candidates.take_added() or self.is_watching()
+        return self.candidates.pop_added() or self.needs_timer()
 
-    def next_due(self, now: Millis, latest: Millis) -> Millis:
+    def next_wake_up(self, now: Millis, latest: Millis) -> Millis:
         """Return when there may be a hedge to send or a searcher to try again."""
         times = [latest]
         delay = self.budget.hedge_delay()
@@ -74,11 +74,11 @@
             times.append(eligible)
         return min(times)
 
-    def requeue(self, entry: Entry, failed_at: SearcherHealth) -> None:
+    def requeue(self, entry: Entry, failed_searcher: SearcherHealth) -> None:
         """Put an entry back after a send failed."""
         self.candidates.discard(entry)
         entry.retries += 1
-        entry.failed_at = failed_at
+        entry.failed_searcher = failed_searcher
         entry.state = WorkState.PENDING
         self.pending.add(entry)
 
@@ -99,31 +99,31 @@
 
     def _send_next(self, now: Millis, expired: list[Entry]) -> bool:
         """Send one pending entry; return ``False`` where no searcher may have more."""
-        any_searcher = self.searchers.best(self.idle_connections.by_searcher, now)
-        if any_searcher is None:
+        fallback = self.searchers.choose(self.idle_connections.by_searcher, now)
+        if fallback is None:
             return False
         entry = self.pending.pop(now)
         if entry.work.deadline <= now:
             expired.append(entry)
             return True
         self.pending.charge(entry)
-        self._assign(self._choose(entry, now) or any_searcher, entry, now)
+        self._assign(self._choose(entry, now) or fallback, entry, now)
         return True
 
     def _choose(self, entry: Entry, now: Millis) -> SearcherHealth | None:
         """Return a searcher that did not fail ``entry``; a booking is no probe either."""
-        barred = [] if entry.failed_at is None else [entry.failed_at]
+        excluded = [] if entry.failed_searcher is None else [entry.failed_searcher]
         if isinstance(entry.work, BookingWork):
-            barred += self.searchers.ejected()
-        return self.searchers.best(self.idle_connections.by_searcher, now, barred)
+            excluded += self.searchers.list_ejected()
+        return self.searchers.choose(self.idle_connections.by_searcher, now, excluded)
 
-    def _send_hedges(self, now: Millis, delay: Millis, first: Rank | None) -> None:
+    def _send_hedges(self, now: Millis, delay: Millis, lowest_rank: Rank | None) -> None:
         """Send the hedges that are due, but none of a rank below ``first``."""
         for entry in self.candidates.due(now, delay):
-            if first is not None and entry.work.rank > first:
+            if lowest_rank is not None and entry.work.rank > lowest_rank:
                 return
             sent_to = [send.health for send in entry.sends]
-            health = self.searchers.best(self.idle_connections.by_searcher, now, sent_to)
+            health = self.searchers.choose(self.idle_connections.by_searcher, now, sent_to)
             if health is None:
                 continue
             if not self.budget.spend_on_hedge():
@@ -144,4 +144,4 @@
             if entry.retries == 0:
                 self.budget.earn()
         health.in_flight += 1
-        self.idle_connections.give(send)
+        self.idle_connections.assign(send)
--- a/src/masticgate/process/_hedge_budget.py
+++ b/src/masticgate/process/_hedge_budget.py
@@ -52,7 +52,7 @@
         self.tokens -= 1.0
         return True
 
-    def observe(self, now: Millis, latency: Millis) -> None:
+    def record_latency(self, now: Millis, latency: Millis) -> None:
         """Record the latency of a first send, from which the hedge delay follows."""
         if isinstance(self.hedging, NoHedge):
             return
--- a/src/masticgate/process/_hedge_candidates.py
+++ b/src/masticgate/process/_hedge_candidates.py
@@ -42,7 +42,7 @@
                 return Millis(entry.sent_at + delay)
         return Millis(now + delay)
 
-    def take_added(self) -> bool:
+    def pop_added(self) -> bool:
         """Tell whether an entry was added since the last call."""
         added, self.added = self.added, False
         return added
--- a/src/masticgate/process/_idle_connections.py
+++ b/src/masticgate/process/_idle_connections.py
@@ -63,7 +63,7 @@
         if self.timer is connection:
             self.timer = None
 
-    def give(self, send: Send) -> None:
+    def assign(self, send: Send) -> None:
         """Hand ``send`` to an idle connection of its searcher."""
         connection = self.by_searcher[send.health][-1]
         self.remove(connection)
@@ -76,7 +76,7 @@
             self.timer = next(iter(self))
             self.timer.ready.notify()
 
-    def claim_timer(self, connection: IdleConnection) -> None:
+    def set_timer_if_unset(self, connection: IdleConnection) -> None:
         """Make ``connection`` the timer, unless there is one; its own task is about to wait."""
         if self.timer is None and connection.send is None:
             self.timer = connection
--- a/src/masticgate/process/_searcher_group.py
+++ b/src/masticgate/process/_searcher_group.py
@@ -54,7 +54,7 @@
         known = (*self.health.values(), *self.retired)
         return next(h for h in known if h.searcher.address == searcher.address)
 
-    def forget_closed(self) -> None:
+    def remove_closed(self) -> None:
         """Forget retired searchers without connections."""
         self.retired = [health for health in self.retired if health.open]
 
@@ -72,7 +72,7 @@
         """Return the slots that may be filled now; one that warms up counts in part."""
         return sum(min(h.searcher.slots, h.allowed(now)) for h in self.health.values())
 
-    def best(
+    def choose(
         self,
         candidates: Iterable[SearcherHealth],
         now: Millis,
@@ -82,7 +82,7 @@
         allowed = [h for h in candidates if h not in excluded and h.in_flight < h.allowed(now)]
         return min(allowed, key=lambda health: health.cost(now), default=None)
 
-    def ejected(self) -> list[SearcherHealth]:
+    def list_ejected(self) -> list[SearcherHealth]:
         """Return the searchers that only get a probe."""
         return [h for h in self.health.values() if h.state is SearcherState.EJECTED]
 
@@ -92,7 +92,7 @@
 
     # Observation.
 
-    def observe(self, send: Send, result: Result, now: Millis) -> None:
+    def record_result(self, send: Send, result: Result, now: Millis) -> None:
         """Learn from the end of ``send``."""
         health = send.health
         health.in_flight -= 1
@@ -134,8 +134,8 @@
 
     def _eject(self, health: SearcherHealth, now: Millis) -> None:
         """Eject, but never so that more than half of the service is out."""
-        barred = (SearcherState.EJECTED, SearcherState.DRAINING)
-        out = sum(h.state in barred for h in self.health.values() if h is not health)
+        unavailable = (SearcherState.EJECTED, SearcherState.DRAINING)
+        out = sum(h.state in unavailable for h in self.health.values() if h is not health)
         if (out + 1) * 2 <= len(self.health):
             health.eject(now)
 
--- a/src/masticgate/process/_service_pool.py
+++ b/src/masticgate/process/_service_pool.py
@@ -185,14 +185,14 @@
         """Count a connection as closed; return ``True`` where it has to open again."""
         with self.lock:
             wanted = self.searchers.find(searcher).record_closed_connection()
-            self.searchers.forget_closed()
+            self.searchers.remove_closed()
             return wanted
 
     # All below runs under the lock.
 
     def dispatch(self) -> None:
         """Give pending work and hedges to idle connections; settle what expired meanwhile."""
-        for entry in self.dispatcher.run(self.clock.now()):
+        for entry in self.dispatcher.dispatch(self.clock.now()):
             self._settle_unsent(entry, Reason.DEADLINE)
 
     def _sample_pool(self) -> PoolSample:
@@ -217,8 +217,8 @@
         self, connection: IdleConnection, end: Millis
     ) -> Send | CheckLoad | NoWork | CloseConnection | None:
         """Return what ``connection`` has to do, or ``None`` after one wait for it."""
-        if connection.send is None and self.dispatcher.is_watching():
-            self.idle_connections.claim_timer(connection)
+        if connection.send is None and self.dispatcher.needs_timer():
+            self.idle_connections.set_timer_if_unset(connection)
             self.dispatch()
         if connection.send is not None:
             return connection.send
@@ -235,13 +235,13 @@
 
     def _remove_idle(self, connection: IdleConnection) -> None:
         self.idle_connections.remove(connection)
-        if self.dispatcher.is_watching():
+        if self.dispatcher.needs_timer():
             self.idle_connections.ensure_timer()
 
     def _wait(self, connection: IdleConnection, end: Millis, now: Millis) -> None:
         if self.idle_connections.timer is connection:
-            if self.dispatcher.keeps_watch():
-                end = self.dispatcher.next_due(now, end)
+            if self.dispatcher.should_keep_timer():
+                end = self.dispatcher.next_wake_up(now, end)
             else:
                 self.idle_connections.timer = None
         connection.ready.wait((end - now) / MILLIS_PER_SECOND)
@@ -254,10 +254,10 @@
 
     def _record_result(self, send: Send, result: Result) -> None:
         now = self.clock.now()
-        self.searchers.observe(send, result, now)
+        self.searchers.record_result(send, result, now)
         superseded = send.state is SendState.SUPERSEDED
         if not send.hedge and (superseded or not isinstance(result, NotRun | Unknown)):
-            self.budget.observe(now, Millis(now - send.sent_at))
+            self.budget.record_latency(now, Millis(now - send.sent_at))
         if self.searchers.all_draining():
             for entry in list(self.pending.entries()):
                 self._settle_unsent(entry, Reason.NO_SEARCHER)
--- a/src/masticgate/process/_work.py
+++ b/src/masticgate/process/_work.py
@@ -68,7 +68,7 @@
     sent_at: Millis = Millis(0.0)
     sends: "list[Send]" = field(default_factory=list)
     failure: Result | None = None
-    failed_at: SearcherHealth | None = None
+    failed_searcher: SearcherHealth | None = None
 
     def deliver(self, result: Result) -> None:
         """Hand the result to whoever offered the work."""
