--- a/src/masticgate/process/_searcher_group.py
+++ b/src/masticgate/process/_searcher_group.py
@@ -70,7 +70,7 @@
 
     def usable_slots(self, now: Millis) -> int:
         """Return the slots that may be filled now; one that warms up counts in part."""
-        return sum(min(h.searcher.slots, h.allowed(now)) for h in self.health.values())
+        return sum(min(h.searcher.slots, h.max_in_flight(now)) for h in self.health.values())
 
     def choose(
         self,
@@ -79,8 +79,10 @@
         excluded: Collection[SearcherHealth] = (),
     ) -> SearcherHealth | None:
         """Return the searcher to give work to, ``None`` where none may have more."""
-        allowed = [h for h in candidates if h not in excluded and h.in_flight < h.allowed(now)]
-        return min(allowed, key=lambda health: health.cost(now), default=None)
+        eligible = [
+            h for h in candidates if h not in excluded and h.in_flight < h.max_in_flight(now)
+        ]
+        return min(eligible, key=lambda health: health.cost(now), default=None)
 
     def list_ejected(self) -> list[SearcherHealth]:
         """Return the searchers that only get a probe."""
@@ -101,14 +103,14 @@
             health.incarnation = send.incarnation
         match result:
             case Hits() | Ran() | VersionGone():
-                health.succeed(Millis(now - send.sent_at), now)
+                health.record_success(Millis(now - send.sent_at), now)
                 self._eject_slow(now)
             case NotRun(reason=Reason.SEARCHER_DRAINING):
                 health.drain()
             case NotRun(reason=Reason.SEARCHER_SHED):
-                health.refuse(now)
+                health.record_refusal(now)
             case NotRun(reason=reason) | Unknown(reason=reason):
-                if _is_failure(send, reason) and health.fail():
+                if _is_failure(send, reason) and health.record_failure():
                     self._eject(health, now)
         self._notify(before)
 
@@ -117,9 +119,9 @@
         health = self.find(searcher)
         before = self._states()
         if report is not None:
-            health.note_report(report)
+            health.record_report(report)
         elif health.state is SearcherState.DRAINING:
-            health.fail()
+            health.record_failure()
         self._notify(before)
 
     def _usable(self) -> Iterator[SearcherHealth]:
@@ -153,7 +155,7 @@
 
     One that has answered other work since then is alive, so that one lost send does not count.
     """
-    answered_since = send.health.measured_at >= send.sent_at
+    answered_since = send.health.last_success_at >= send.sent_at
     match send.state:
         case SendState.WANTED if reason is Reason.SEARCHER_LOST:
             return not answered_since
--- a/src/masticgate/process/_searcher_health.py
+++ b/src/masticgate/process/_searcher_health.py
@@ -11,11 +11,11 @@
 SLOW_FACTOR = 4.0
 """A searcher this many times slower than its fastest sibling is ejected."""
 
-SLOW_MINIMUM_SAMPLES = 20
-FIRST_EJECTION = Millis(500.0)
-LONGEST_EJECTION = Millis(8000.0)
-FIRST_BACKOFF = Millis(20.0)
-LONGEST_BACKOFF = Millis(500.0)
+SLOW_MIN_SAMPLES = 20
+INITIAL_EJECTION = Millis(500.0)
+MAX_EJECTION = Millis(8000.0)
+INITIAL_BACKOFF = Millis(20.0)
+MAX_BACKOFF = Millis(500.0)
 WARM_UP_STEP = 4
 """Successes after which a warming searcher may have one more request in flight."""
 
@@ -23,7 +23,7 @@
 LATENCY_STEP = 1.25
 """Latencies within this factor of one another count as equal in the choice of a searcher."""
 
-LATENCY_KEPT = Millis(3000.0)
+LATENCY_TTL = Millis(3000.0)
 """The latency of an idle searcher is ignored once its last success is older than this."""
 
 LOAD_CHECK_INTERVAL = Millis(4000.0)
@@ -63,21 +63,21 @@
         self.incarnation = ""
         self.reported_load = 0
         self.load_check_at = Millis(0.0)
-        self.restart()
+        self.reset()
 
-    def restart(self) -> None:
+    def reset(self) -> None:
         """Treat the searcher as newly started: nothing is known of it."""
         self.state = SearcherState.WARMING
         self.window = 1.0
         self.latency = Millis(0.0)
-        self.measured_at = Millis(0.0)
+        self.last_success_at = Millis(0.0)
         self.samples = 0
         self.failures = 0
-        self.ejection = FIRST_EJECTION
-        self.backoff = FIRST_BACKOFF
+        self.next_ejection = INITIAL_EJECTION
+        self.next_backoff = INITIAL_BACKOFF
         self.eligible_at = Millis(0.0)
-        self.drained = ""
-        self.lost = False
+        self.drained_incarnation = ""
+        self.lost_while_draining = False
 
     def resize(self, searcher: Searcher, connections: int) -> int:
         """Change the share of connections; return how many more have to be opened."""
@@ -102,7 +102,7 @@
         self.open -= 1
         return False
 
-    def allowed(self, now: Millis) -> int:
+    def max_in_flight(self, now: Millis) -> int:
         """Return the requests that may be in flight now."""
         match self.state:
             case SearcherState.ACTIVE:
@@ -120,18 +120,18 @@
         Own counts and latency decide; the searcher's own report only breaks a tie.
         """
         probe = self.state is SearcherState.EJECTED
-        stale = self.in_flight == 0 and now - self.measured_at > LATENCY_KEPT
+        stale = self.in_flight == 0 and now - self.last_success_at > LATENCY_TTL
         if probe or stale or self.latency <= 0.0:
             return 0.0, self.reported_load
         step = round(log(self.latency) / log(LATENCY_STEP))
         return (self.in_flight + 1) / self.searcher.slots * LATENCY_STEP**step, self.reported_load
 
-    def succeed(self, latency: Millis, now: Millis) -> None:
+    def record_success(self, latency: Millis, now: Millis) -> None:
         """Count a success; an ejected searcher starts to warm up again."""
         self.failures = 0
-        self.backoff = FIRST_BACKOFF
+        self.next_backoff = INITIAL_BACKOFF
         self.samples += 1
-        self.measured_at = now
+        self.last_success_at = now
         if self.samples == 1:
             self.latency = latency
         self.latency = Millis(self.latency + LATENCY_WEIGHT * (latency - self.latency))
@@ -140,38 +140,38 @@
                 self.state = SearcherState.WARMING
                 self.window = 1.0
             case SearcherState.WARMING:
-                self._widen()
+                self._widen_window()
             case SearcherState.ACTIVE | SearcherState.DRAINING:
                 return
 
-    def fail(self) -> bool:
+    def record_failure(self) -> bool:
         """Count a failure; return ``True`` where it calls for an ejection."""
         self.failures += 1
         if self.state is SearcherState.DRAINING:
-            self.lost = True
+            self.lost_while_draining = True
             return False
         return self.failures >= FAILURES_TO_EJECT or self.state is SearcherState.EJECTED
 
-    def refuse(self, now: Millis) -> None:
+    def record_refusal(self, now: Millis) -> None:
         """Give less work for a while to a searcher that shed or is cold; that is no failure."""
         if self.state is SearcherState.DRAINING:
             return
         if self.state is not SearcherState.EJECTED:
             self.state = SearcherState.WARMING
         self.window = max(1.0, min(self.window, float(self.connections)) / 2)
-        self.eligible_at = Millis(now + self.backoff)
-        self.backoff = min(LONGEST_BACKOFF, Millis(self.backoff * 2))
+        self.eligible_at = Millis(now + self.next_backoff)
+        self.next_backoff = min(MAX_BACKOFF, Millis(self.next_backoff * 2))
 
     def is_slow(self, fastest: Millis) -> bool:
         """Tell whether this searcher is an outlier beside its ``fastest`` sibling."""
-        known = self.samples >= SLOW_MINIMUM_SAMPLES and fastest > 0
+        known = self.samples >= SLOW_MIN_SAMPLES and fastest > 0
         return known and self.latency > SLOW_FACTOR * fastest
 
     def eject(self, now: Millis) -> None:
         """Give it nothing until the ejection ends, then one request as a probe."""
         self.state = SearcherState.EJECTED
-        self.eligible_at = Millis(now + self.ejection)
-        self.ejection = min(LONGEST_EJECTION, Millis(self.ejection * 2))
+        self.eligible_at = Millis(now + self.next_ejection)
+        self.next_ejection = min(MAX_EJECTION, Millis(self.next_ejection * 2))
         self.failures = 0
         self.window = 1.0
         self.samples = 0
@@ -180,26 +180,26 @@
         """Give this incarnation of the searcher no new work any more."""
         if self.state is not SearcherState.DRAINING:
             self.state = SearcherState.DRAINING
-            self.drained = self.incarnation
-            self.lost = False
+            self.drained_incarnation = self.incarnation
+            self.lost_while_draining = False
 
-    def note_report(self, report: LoadReport) -> None:
+    def record_report(self, report: LoadReport) -> None:
         """Take the searcher's report; a new incarnation that does not drain starts anew."""
         self.reported_load = report.load
         if self.state is SearcherState.DRAINING:
             if self._is_new(report) and not report.draining:
-                self.restart()
-            elif not self.drained and not self.lost:
-                self.drained = report.incarnation
+                self.reset()
+            elif not self.drained_incarnation and not self.lost_while_draining:
+                self.drained_incarnation = report.incarnation
         self.incarnation = report.incarnation
 
     def _is_new(self, report: LoadReport) -> bool:
-        if report.incarnation and self.drained:
-            return report.incarnation != self.drained
-        return self.lost
+        if report.incarnation and self.drained_incarnation:
+            return report.incarnation != self.drained_incarnation
+        return self.lost_while_draining
 
-    def _widen(self) -> None:
+    def _widen_window(self) -> None:
         self.window += 1.0 / WARM_UP_STEP
         if self.window >= self.connections + 1:
             self.state = SearcherState.ACTIVE
-            self.ejection = FIRST_EJECTION
+            self.next_ejection = INITIAL_EJECTION
--- a/tests/process/test_searcher_choice.py
+++ b/tests/process/test_searcher_choice.py
@@ -47,7 +47,7 @@
         (probe,) = [send for send in fleet.collect() if send.searcher == "a"]
         fleet.finish(probe, HITS)
         assert health.state is SearcherState.WARMING
-        assert health.allowed(fleet.clock.now()) == 1
+        assert health.max_in_flight(fleet.clock.now()) == 1
 
     def test_never_ejects_more_than_half_of_a_service(self):
         fleet = FakeConnections()
@@ -87,9 +87,9 @@
             self.run(fleet, {"a": HITS, "b": HITS})
         while health.eligible_at <= fleet.clock.now():
             self.run(fleet, {"a": SHED, "b": HITS})
-        assert health.allowed(fleet.clock.now()) == 0
+        assert health.max_in_flight(fleet.clock.now()) == 0
         fleet.clock.advance(Millis(600.0))
-        assert health.allowed(fleet.clock.now()) == 1
+        assert health.max_in_flight(fleet.clock.now()) == 1
         assert health.state is not SearcherState.EJECTED
 
     @staticmethod
