--- a/src/masticgate/process/_caller_service.py
+++ b/src/masticgate/process/_caller_service.py
@@ -122,10 +122,10 @@
             case AdmitAll():
                 return run_search(query, self.tier)
             case AdmitByCapacity():
-                return self._run_limited(query)
+                return self._run_with_limit(query)
 
-    def _run_limited(self, query: Query) -> Answer | NotRun:
-        if not self.concurrency.enter(query.rank):
+    def _run_with_limit(self, query: Query) -> Answer | NotRun:
+        if not self.concurrency.acquire(query.rank):
             return NotRun(Reason.OVERLOAD, Step.ADMISSION, peer=self.host)
         result: Answer | NotRun | None = None
         try:
@@ -133,9 +133,9 @@
             return result
         finally:
             if result is not None and is_refused(result):
-                self.concurrency.leave_refused(query.rank)
+                self.concurrency.release_refused(query.rank)
             else:
-                self.concurrency.leave(query.rank, late=result is None or is_late(result))
+                self.concurrency.release(query.rank, late=result is None or is_late(result))
 
     def _count_search(self, rank: Rank, result: Answer | NotRun, duration: Millis) -> None:
         match result:
--- a/src/masticgate/process/_concurrency.py
+++ b/src/masticgate/process/_concurrency.py
@@ -7,9 +7,9 @@
 from .._ids import Millis
 from .._ranks import Rank
 
-FIRST_LIMIT = 16.0
-SMALLEST_LIMIT = 8.0
-LARGEST_LIMIT = 256.0
+INITIAL_LIMIT = 16.0
+MIN_LIMIT = 8.0
+MAX_LIMIT = 256.0
 DECREASE = 0.9
 DECREASE_INTERVAL = Millis(100.0)
 """The limit falls at most once in this time, however many searches are late."""
@@ -28,11 +28,11 @@
     def __init__(self, clock: Clock) -> None:
         self.clock = clock
         self.lock = Lock()
-        self.limit = FIRST_LIMIT
+        self.limit = INITIAL_LIMIT
         self.in_progress = dict.fromkeys(Rank, 0)
         self.decreased_at = clock.now()
 
-    def enter(self, rank: Rank) -> bool:
+    def acquire(self, rank: Rank) -> bool:
         """Count one search in; return ``False`` where its rank has too many in progress."""
         with self.lock:
             if self.in_progress[rank] >= self.limit * RANK_SHARES[rank]:
@@ -40,19 +40,19 @@
             self.in_progress[rank] += 1
             return True
 
-    def leave_refused(self, rank: Rank) -> None:
+    def release_refused(self, rank: Rank) -> None:
         """Count out a search that was refused before its fan-out; it tells nothing of the load."""
         with self.lock:
             self.in_progress[rank] -= 1
 
-    def leave(self, rank: Rank, *, late: bool) -> None:
+    def release(self, rank: Rank, *, late: bool) -> None:
         """Count one search out; ``late`` tells that its deadline cut it short."""
         with self.lock:
             self.in_progress[rank] -= 1
             if not late:
-                self.limit = min(LARGEST_LIMIT, self.limit + 1.0 / self.limit)
+                self.limit = min(MAX_LIMIT, self.limit + 1.0 / self.limit)
                 return
             now = self.clock.now()
             if now - self.decreased_at >= DECREASE_INTERVAL:
                 self.decreased_at = now
-                self.limit = max(SMALLEST_LIMIT, self.limit * DECREASE)
+                self.limit = max(MIN_LIMIT, self.limit * DECREASE)
--- a/src/masticgate/process/_dispatcher.py
+++ b/src/masticgate/process/_dispatcher.py
@@ -106,7 +106,7 @@
         if entry.work.deadline <= now:
             expired.append(entry)
             return True
-        self.pending.charge(entry)
+        self.pending.record_served(entry)
         self._assign(self._choose(entry, now) or fallback, entry, now)
         return True
 
--- a/src/masticgate/process/_hedge_budget.py
+++ b/src/masticgate/process/_hedge_budget.py
@@ -8,13 +8,13 @@
 """Tokens that hedges leave for retries: without a retry a lost send costs coverage for certain."""
 
 MAX_TOKENS = RETRY_RESERVE + 8.0
-FIRST_DELAY = Millis(50.0)
+INITIAL_DELAY = Millis(50.0)
 
 HEDGE_PERCENTILE = 90.0
 """Low enough that the stragglers themselves do not move the delay."""
 
-MARGIN_FULL = 1.2
-MARGIN_EMPTY = 1.6
+DELAY_FACTOR_FULL = 1.2
+DELAY_FACTOR_EMPTY = 1.6
 """The delay over that percentile, with a full and with an empty budget.
 
 In between, the delay settles where hedges cost what the budget earns.
@@ -27,7 +27,7 @@
     def __init__(self, hedging: Hedging) -> None:
         self.hedging = hedging
         self.tokens = RETRY_RESERVE + 1.0
-        self.usual: Millis | None = None
+        self.percentile_latency: Millis | None = None
         self.window = LatencyWindow()
 
     def earn(self) -> None:
@@ -57,7 +57,7 @@
         if isinstance(self.hedging, NoHedge):
             return
         self.window.add(now, latency)
-        self.usual = self.window.percentile(HEDGE_PERCENTILE)
+        self.percentile_latency = self.window.percentile(HEDGE_PERCENTILE)
 
     def hedge_delay(self) -> Millis | None:
         """Return the age at which a send is hedged, ``None`` where it never is."""
@@ -68,8 +68,11 @@
                 return max(minimum, self._delay())
 
     def _delay(self) -> Millis:
-        if self.usual is None:
-            return FIRST_DELAY
+        if self.percentile_latency is None:
+            return INITIAL_DELAY
         spare = (self.tokens - RETRY_RESERVE) / (MAX_TOKENS - RETRY_RESERVE)
         fill = max(0.0, min(1.0, spare))
-        return Millis(self.usual * (MARGIN_EMPTY + fill * (MARGIN_FULL - MARGIN_EMPTY)))
+        return Millis(
+            self.percentile_latency
+            * (DELAY_FACTOR_EMPTY + fill * (DELAY_FACTOR_FULL - DELAY_FACTOR_EMPTY))
+        )
--- a/src/masticgate/process/_rank_queue.py
+++ b/src/masticgate/process/_rank_queue.py
@@ -29,7 +29,7 @@
         self.size = 0
         self.floors = dict(floors)
         self.credit = dict.fromkeys(Rank, 0.0)
-        self.by_age: dict[Rank, dict[int, Entry]] = {rank: {} for rank in Rank}
+        self.by_arrival: dict[Rank, dict[int, Entry]] = {rank: {} for rank in Rank}
         self.by_number = {rank: SortedKeyList(key=_number) for rank in Rank}
 
     def __len__(self) -> int:
@@ -37,35 +37,35 @@
 
     def depth(self, rank: Rank) -> int:
         """Return the number of pending entries of ``rank``."""
-        return len(self.by_age[rank])
+        return len(self.by_arrival[rank])
 
     def oldest_wait(self, rank: Rank, now: Millis) -> Millis:
         """Return how long the oldest pending entry of ``rank`` has waited, 0 where none does."""
-        oldest = next(iter(self.by_age[rank].values()), None)
+        oldest = next(iter(self.by_arrival[rank].values()), None)
         return Millis(now - oldest.queued_at) if oldest else Millis(0.0)
 
     def entries(self) -> Iterator[Entry]:
         """Iterate over all pending entries."""
         for rank in Rank:
-            yield from self.by_age[rank].values()
+            yield from self.by_arrival[rank].values()
 
     def add(self, entry: Entry) -> None:
         """Add a pending entry."""
         rank = entry.work.rank
-        self.by_age[rank][id(entry)] = entry
+        self.by_arrival[rank][id(entry)] = entry
         self.by_number[rank].add(entry)
         self.size += 1
 
     def remove(self, entry: Entry) -> None:
         """Remove an entry, pending or not."""
         rank = entry.work.rank
-        if self.by_age[rank].pop(id(entry), None) is not None:
+        if self.by_arrival[rank].pop(id(entry), None) is not None:
             self.by_number[rank].remove(entry)
             self.size -= 1
 
     def first_rank(self) -> Rank | None:
         """Return the most urgent rank that waits."""
-        return next((rank for rank in Rank if self.by_age[rank]), None)
+        return next((rank for rank in Rank if self.by_arrival[rank]), None)
 
     def pop(self, now: Millis) -> Entry:
         """Remove and return the entry to serve next.
@@ -74,13 +74,13 @@
         """
         match self.order:
             case ArrivalOrder():
-                entry = self._oldest_of_all()
+                entry = self._oldest_entry()
             case RankOrder(shared_order_after=limit):
-                entry = self._next_of(self._next_rank(), now, limit)
+                entry = self._next_entry(self._next_rank(), now, limit)
         self.remove(entry)
         return entry
 
-    def charge(self, entry: Entry) -> None:
+    def record_served(self, entry: Entry) -> None:
         """Count a popped entry as served: each waiting rank earns its floor.
 
         An entry that expired in the queue is not charged, so that it uses up no floor.
@@ -89,23 +89,23 @@
         for rank in Rank:
             if rank is served and self.credit[rank] >= 1.0:
                 self.credit[rank] -= 1.0
-            if not self.by_age[rank]:
+            if not self.by_arrival[rank]:
                 self.credit[rank] = 0.0
             else:
                 earned = self.credit[rank] + self.floors.get(rank, 0.0)
                 self.credit[rank] = min(MAX_FLOOR_CREDIT, earned)
 
-    def _oldest_of_all(self) -> Entry:
-        heads = [next(iter(entries.values())) for entries in self.by_age.values() if entries]
+    def _oldest_entry(self) -> Entry:
+        heads = [next(iter(entries.values())) for entries in self.by_arrival.values() if entries]
         return min(heads, key=lambda entry: entry.queued_at)
 
     def _next_rank(self) -> Rank:
-        waiting = [rank for rank in Rank if self.by_age[rank]]
+        waiting = [rank for rank in Rank if self.by_arrival[rank]]
         owed = [rank for rank in waiting if self.credit[rank] >= 1.0]
         return (owed or waiting)[0]
 
-    def _next_of(self, rank: Rank, now: Millis, limit: Millis) -> Entry:
+    def _next_entry(self, rank: Rank, now: Millis, limit: Millis) -> Entry:
         if self.oldest_wait(rank, now) > limit:
             first: Entry = self.by_number[rank][0]
             return first
-        return next(iter(self.by_age[rank].values()))
+        return next(iter(self.by_arrival[rank].values()))
--- a/src/masticgate/process/_repeat_budget.py
+++ b/src/masticgate/process/_repeat_budget.py
@@ -2,10 +2,10 @@
 
 from threading import Lock
 
-EARNED_A_PART = 0.005
+EARNED_PER_PART = 0.005
 """Earned by each part of a search that is asked of an owner."""
 
-MOST_PARTS = 64.0
+MAX_PARTS = 64.0
 """Enough for the searches in flight when one owner pauses."""
 
 
@@ -14,12 +14,12 @@
 
     def __init__(self) -> None:
         self.lock = Lock()
-        self.parts = MOST_PARTS
+        self.parts = MAX_PARTS
 
     def earn(self, parts: int) -> None:
         """Count parts asked for the first time."""
         with self.lock:
-            self.parts = min(MOST_PARTS, self.parts + parts * EARNED_A_PART)
+            self.parts = min(MAX_PARTS, self.parts + parts * EARNED_PER_PART)
 
     def spend(self, parts: int) -> bool:
         """Take ``parts``; return ``False`` where the budget does not cover them."""
--- a/src/masticgate/process/_service_load.py
+++ b/src/masticgate/process/_service_load.py
@@ -8,31 +8,31 @@
 from .._ranks import Rank
 
 DEMAND_WINDOW = Millis(1500.0)
-DEMAND_JUMP = 2.0
+DEMAND_JUMP_FACTOR = 2.0
 DEMAND_JUMP_COUNT = 30
 """Demand that rises by this factor, by this many pieces of work, is taken over at once."""
 
 CAPACITY_WINDOW = Millis(10_000.0)
-MINIMUM_EVIDENCE = 20.0
+MIN_COMPLETIONS = 20.0
 """Completions under backlog before the capacity counts as known."""
 
-LONGEST_GAP = Millis(500.0)
+MAX_COMPLETION_GAP = Millis(500.0)
 """A longer time between two completions is a stall of this host, not of the searchers."""
 
-FIRST_SHARE = 0.95
+INITIAL_SHARE = 0.95
 """The part of the estimated capacity that is admitted first."""
 
 TARGET_BACKLOG = Millis(30.0)
 """The backlog, as the time its searchers need for it, above which less is admitted."""
 
-TICK_WEIGHT = 0.3
+SAMPLE_WEIGHT = 0.3
 """The weight of the latest tick in the averages of backlog and utilisation."""
 
-GROWTH = 0.2
-DECREASE = 0.06
+MAX_GROWTH = 0.2
+MAX_DECREASE = 0.06
 """The most that one tick changes the admitted rate: up where slots idle, down on backlog."""
 
-ENGAGE_WAIT = Millis(100.0)
+MIN_REFUSAL_WAIT = Millis(100.0)
 """Work has to wait this long before any is refused."""
 
 RELEASE_AFTER = Millis(2000.0)
@@ -51,7 +51,7 @@
     slots: int
     in_flight: int
     pending: int
-    longest_wait: Millis
+    max_wait: Millis
 
 
 class ServiceLoad:
@@ -68,92 +68,92 @@
         self.busy_slot_millis = 0.0
         self.last_completion = now
         self.had_backlog = False
-        self.last_tick = now
-        self.exceeded_at = now
-        self.rate: float | None = None
+        self.last_update = now
+        self.limited_at = now
+        self.admitted_rate: float | None = None
         self.slots = 0
         self.backlog = 0.0
         self.utilisation = 1.0
 
-    def arrive(self, rank: Rank, count: int = 1) -> None:
+    def record_arrivals(self, rank: Rank, count: int = 1) -> None:
         """Count work asked for, whether it came here or was refused at its entry."""
         self.arrived[rank] += count
 
-    def complete(self, now: Millis, slots: int, backlog: bool) -> None:
+    def record_completion(self, now: Millis, slots: int, backlog: bool) -> None:
         """Count one completion; ``backlog`` tells whether work still waits for full slots."""
         elapsed = now - self.last_completion
-        if self.had_backlog and elapsed < LONGEST_GAP:
+        if self.had_backlog and elapsed < MAX_COMPLETION_GAP:
             self.busy_completions += 1
             self.busy_slot_millis += elapsed * slots
         self.last_completion = now
         self.had_backlog = backlog
 
-    def tick(self, reading: PoolSample) -> None:
+    def update(self, sample: PoolSample) -> None:
         """Fold what happened since the last tick into the averages."""
-        self._follow_slots(reading.slots)
-        self._engage(reading)
-        self._adapt(reading)
-        elapsed = max(1.0, reading.now - self.last_tick)
-        self.last_tick = reading.now
+        self._scale_to_slots(sample.slots)
+        self._start_refusing(sample)
+        self._adjust_rate(sample)
+        elapsed = max(1.0, sample.now - self.last_update)
+        self.last_update = sample.now
         weight = 1.0 - exp(-elapsed / DEMAND_WINDOW)
         for rank in Rank:
-            self._average(rank, elapsed, weight)
+            self._update_demand(rank, elapsed, weight)
         decay = exp(-elapsed / CAPACITY_WINDOW)
         self.busy_completions *= decay
         self.busy_slot_millis *= decay
 
     def shares(self, floors: Mapping[Rank, float]) -> dict[Rank, float]:
         """Return the share of each rank's demand to admit: all of it until work waits long."""
-        if self.rate is None:
+        if self.admitted_rate is None:
             return dict.fromkeys(Rank, 1.0)
-        shares = share_capacity(self.rate, self.demand, floors)
+        shares = share_capacity(self.admitted_rate, self.demand, floors)
         if min(shares.values()) < 1.0:
-            self.exceeded_at = self.last_tick
-        elif self.last_tick - self.exceeded_at >= RELEASE_AFTER:
-            self.rate = None
+            self.limited_at = self.last_update
+        elif self.last_update - self.limited_at >= RELEASE_AFTER:
+            self.admitted_rate = None
         return shares
 
     def capacity(self, slots: int) -> float | None:
         """Return completions a millisecond over ``slots`` slots, ``None`` while unknown."""
-        if self.busy_completions < MINIMUM_EVIDENCE:
+        if self.busy_completions < MIN_COMPLETIONS:
             return None
         return self.busy_completions / max(1.0, self.busy_slot_millis) * slots
 
-    def _engage(self, reading: PoolSample) -> None:
-        if self.rate is not None or reading.longest_wait < ENGAGE_WAIT:
+    def _start_refusing(self, sample: PoolSample) -> None:
+        if self.admitted_rate is not None or sample.max_wait < MIN_REFUSAL_WAIT:
             return
-        capacity = self.capacity(reading.slots)
+        capacity = self.capacity(sample.slots)
         if capacity is not None:
-            self.rate = capacity * FIRST_SHARE
-            self.exceeded_at = reading.now
+            self.admitted_rate = capacity * INITIAL_SHARE
+            self.limited_at = sample.now
 
-    def _follow_slots(self, slots: int) -> None:
+    def _scale_to_slots(self, slots: int) -> None:
         """Follow a searcher that was lost or came back at once."""
-        if self.rate is not None and slots and self.slots and slots != self.slots:
-            self.rate *= slots / self.slots
+        if self.admitted_rate is not None and slots and self.slots and slots != self.slots:
+            self.admitted_rate *= slots / self.slots
         self.slots = slots or self.slots
 
-    def _adapt(self, reading: PoolSample) -> None:
+    def _adjust_rate(self, sample: PoolSample) -> None:
         """Follow the backlog and the idle slots that the admitted rate leads to.
 
         The age of the oldest work would mislead: under overload the work with the highest numbers
         waits until its deadline, however short the queue is.
         """
-        if self.rate is None or not reading.slots:
+        if self.admitted_rate is None or not sample.slots:
             return
-        used = min(1.0, reading.in_flight / reading.slots)
-        self.utilisation += TICK_WEIGHT * (used - self.utilisation)
-        self.backlog += TICK_WEIGHT * (reading.pending / self.rate - self.backlog)
+        used = min(1.0, sample.in_flight / sample.slots)
+        self.utilisation += SAMPLE_WEIGHT * (used - self.utilisation)
+        self.backlog += SAMPLE_WEIGHT * (sample.pending / self.admitted_rate - self.backlog)
         excess = max(0.0, min(1.0, self.backlog / TARGET_BACKLOG - 1.0))
-        limits = self.last_tick == self.exceeded_at
-        growth = GROWTH * (1.0 - self.utilisation) if limits else 0.0
-        self.rate *= 1.0 + growth - DECREASE * excess
+        limits = self.last_update == self.limited_at
+        growth = MAX_GROWTH * (1.0 - self.utilisation) if limits else 0.0
+        self.admitted_rate *= 1.0 + growth - MAX_DECREASE * excess
 
-    def _average(self, rank: Rank, elapsed: float, weight: float) -> None:
+    def _update_demand(self, rank: Rank, elapsed: float, weight: float) -> None:
         known = self.demand[rank]
         count = self.arrived[rank]
         rate = count / elapsed
-        jumped = count >= DEMAND_JUMP_COUNT and rate > known * DEMAND_JUMP
+        jumped = count >= DEMAND_JUMP_COUNT and rate > known * DEMAND_JUMP_FACTOR
         self.demand[rank] = rate if jumped else known + weight * (rate - known)
         self.arrived[rank] = 0
 
@@ -166,12 +166,12 @@
     Each rank gets what the more urgent ones leave, but never less than its floor, and no more
     than it asks for. Both rates are in the same unit.
     """
-    kept = {rank: min(demand[rank], floors.get(rank, 0.0) * capacity) for rank in Rank}
-    left = capacity
+    guaranteed = {rank: min(demand[rank], floors.get(rank, 0.0) * capacity) for rank in Rank}
+    remaining = capacity
     shares: dict[Rank, float] = {}
     for rank in Rank:
-        below = sum(kept[other] for other in Rank if other > rank)
-        granted = min(demand[rank], max(kept[rank], left - below))
-        left = max(0.0, left - granted)
+        below = sum(guaranteed[other] for other in Rank if other > rank)
+        granted = min(demand[rank], max(guaranteed[rank], remaining - below))
+        remaining = max(0.0, remaining - granted)
         shares[rank] = granted / demand[rank] if demand[rank] > 0 else 1.0
     return shares
--- a/src/masticgate/process/_service_pool.py
+++ b/src/masticgate/process/_service_pool.py
@@ -68,7 +68,7 @@
             self.last_used = self.clock.now()
             if work.query in self.entries:
                 return None  # The message came twice; the first copy is answered.
-            self.load.arrive(work.rank)
+            self.load.record_arrivals(work.rank)
             refusal = self._refuse(work)
             if refusal is None:
                 entry = Entry(work, self.last_used)
@@ -96,12 +96,12 @@
     def record_refused(self, rank: Rank, count: int) -> None:
         """Count work that an entry host refused because of this service's pressure."""
         with self.lock:
-            self.load.arrive(rank, count)
+            self.load.record_arrivals(rank, count)
 
     def measure_pressure(self) -> dict[Rank, float]:
         """Return the share of each rank's demand that this service can take."""
         with self.lock:
-            self.load.tick(self._sample_pool())
+            self.load.update(self._sample_pool())
             return self.load.shares(self.pending.floors)
 
     def stop(self) -> None:
@@ -272,7 +272,9 @@
         else:
             if isinstance(result, Hits | Ran):
                 now = self.clock.now()
-                self.load.complete(now, self.searchers.usable_slots(now), len(self.pending) > 0)
+                self.load.record_completion(
+                    now, self.searchers.usable_slots(now), len(self.pending) > 0
+                )
             self._settle(entry, result)
 
     def _should_retry(self, entry: Entry, result: Result) -> bool:
--- a/tests/process/test_admission.py
+++ b/tests/process/test_admission.py
@@ -7,7 +7,7 @@
 from masticgate.process import RefusedCount, ServicePressure
 from masticgate.process._admission import PRESSURE_TTL, AdmissionControl
 from masticgate.process._service_load import (
-    ENGAGE_WAIT,
+    MIN_REFUSAL_WAIT,
     PoolSample,
     ServiceLoad,
     share_capacity,
@@ -56,7 +56,7 @@
     def test_learns_its_capacity_from_completions_under_backlog(self):
         load = ServiceLoad(Millis(0.0))
         for n in range(1, 200):
-            load.complete(Millis(n * 8.0), slots=4, backlog=True)
+            load.record_completion(Millis(n * 8.0), slots=4, backlog=True)
         capacity = load.capacity(slots=4)
         assert capacity is not None
         assert abs(capacity - 1 / 8) < 0.001
@@ -65,7 +65,7 @@
     def test_claims_no_capacity_while_nothing_waits(self):
         load = ServiceLoad(Millis(0.0))
         for n in range(1, 200):
-            load.complete(Millis(n * 8.0), slots=4, backlog=False)
+            load.record_completion(Millis(n * 8.0), slots=4, backlog=False)
         assert load.capacity(slots=4) is None
 
 
@@ -103,26 +103,26 @@
         """Return a load of five times its capacity of 0.1/ms in bulk demand, at 20 s."""
         load = ServiceLoad(Millis(0.0))
         for n in range(100):
-            load.arrive(Rank.BULK, 100)
+            load.record_arrivals(Rank.BULK, 100)
             for half in range(20):
-                load.complete(Millis(n * 200.0 + half * 10.0), slots=4, backlog=True)
-            load.tick(PoolSample(Millis((n + 1) * 200.0), 4, 4, 0, Millis(0.0)))
+                load.record_completion(Millis(n * 200.0 + half * 10.0), slots=4, backlog=True)
+            load.update(PoolSample(Millis((n + 1) * 200.0), 4, 4, 0, Millis(0.0)))
         return load
 
     def bulk_share(
         self, load: ServiceLoad, now: float, *, in_flight=4, pending=0, wait=0.0, slots=4
     ) -> float:
-        load.arrive(Rank.BULK, 100)
-        load.tick(PoolSample(Millis(now), slots, in_flight, pending, Millis(wait)))
+        load.record_arrivals(Rank.BULK, 100)
+        load.update(PoolSample(Millis(now), slots, in_flight, pending, Millis(wait)))
         return load.shares(FLOORS)[Rank.BULK]
 
     def engaged(self) -> ServiceLoad:
         load = self.loaded()
-        assert 0.15 < self.bulk_share(load, 20_200.0, pending=3, wait=ENGAGE_WAIT) < 0.2
+        assert 0.15 < self.bulk_share(load, 20_200.0, pending=3, wait=MIN_REFUSAL_WAIT) < 0.2
         return load
 
     def test_nothing_is_refused_until_work_has_waited_long(self):
-        assert self.bulk_share(self.loaded(), 20_200.0, pending=3, wait=ENGAGE_WAIT - 1) == 1.0
+        assert self.bulk_share(self.loaded(), 20_200.0, pending=3, wait=MIN_REFUSAL_WAIT - 1) == 1.0
 
     def test_idle_slots_raise_it_quickly(self):
         load = self.engaged()
@@ -136,29 +136,29 @@
 
     def test_a_lost_searcher_halves_it_at_once(self):
         load = self.engaged()
-        before = load.rate
+        before = load.admitted_rate
         self.bulk_share(load, 20_400.0, in_flight=2, slots=2)
-        assert abs(load.rate - before / 2) < 0.02 * before
+        assert abs(load.admitted_rate - before / 2) < 0.02 * before
 
     def test_it_does_not_grow_while_all_demand_fits(self):
         load = self.engaged()
         for n in range(200):
-            load.tick(PoolSample(Millis(20_400.0 + 200.0 * n), 4, 0, 0, Millis(0.0)))
+            load.update(PoolSample(Millis(20_400.0 + 200.0 * n), 4, 0, 0, Millis(0.0)))
             if min(load.shares(FLOORS).values()) == 1.0:
                 break
-        rate = load.rate
-        load.tick(PoolSample(Millis(60_800.0), 4, 0, 0, Millis(0.0)))
-        assert load.rate == rate
+        rate = load.admitted_rate
+        load.update(PoolSample(Millis(60_800.0), 4, 0, 0, Millis(0.0)))
+        assert load.admitted_rate == rate
 
     def test_refusing_ends_once_all_demand_has_fitted_for_a_while(self):
         load = self.engaged()
         for n in range(100):
-            load.tick(PoolSample(Millis(20_400.0 + 200.0 * n), 4, 0, 0, Millis(0.0)))
+            load.update(PoolSample(Millis(20_400.0 + 200.0 * n), 4, 0, 0, Millis(0.0)))
             load.shares(FLOORS)
-        assert load.rate is None
+        assert load.admitted_rate is None
 
     def test_a_flood_is_noticed_in_one_tick(self):
         load = self.loaded()
-        load.arrive(Rank.URGENT, 100)
-        load.tick(PoolSample(Millis(20_200.0), 4, 4, 20, Millis(120.0)))
+        load.record_arrivals(Rank.URGENT, 100)
+        load.update(PoolSample(Millis(20_200.0), 4, 4, 20, Millis(120.0)))
         assert abs(load.demand[Rank.URGENT] - 0.5) < 0.01
--- a/tests/process/test_concurrency.py
+++ b/tests/process/test_concurrency.py
@@ -8,42 +8,42 @@
 from masticgate.process._caller_service import CallerService
 from masticgate.process._concurrency import (
     DECREASE_INTERVAL,
-    FIRST_LIMIT,
-    SMALLEST_LIMIT,
+    INITIAL_LIMIT,
+    MIN_LIMIT,
     ConcurrencyLimit,
 )
 
 
 def fill(limit: ConcurrencyLimit, rank: Rank) -> int:
-    entered = 0
-    while limit.enter(rank):
-        entered += 1
-    return entered
+    acquired = 0
+    while limit.acquire(rank):
+        acquired += 1
+    return acquired
 
 
 class TestConcurrencyLimit:
     def test_a_flood_of_one_rank_leaves_room_for_the_others(self):
         limit = ConcurrencyLimit(ManualClock())
-        assert fill(limit, Rank.BULK) == FIRST_LIMIT / 2
-        assert fill(limit, Rank.URGENT) == FIRST_LIMIT * 3 / 4
-        assert limit.enter(Rank.STANDARD)
+        assert fill(limit, Rank.BULK) == INITIAL_LIMIT / 2
+        assert fill(limit, Rank.URGENT) == INITIAL_LIMIT * 3 / 4
+        assert limit.acquire(Rank.STANDARD)
 
     def test_grows_while_searches_end_in_time(self):
         limit = ConcurrencyLimit(ManualClock())
         for _ in range(500):
-            assert limit.enter(Rank.URGENT)
-            limit.leave(Rank.URGENT, late=False)
-        assert limit.limit > FIRST_LIMIT + 10
+            assert limit.acquire(Rank.URGENT)
+            limit.release(Rank.URGENT, late=False)
+        assert limit.limit > INITIAL_LIMIT + 10
 
     def test_falls_once_an_interval_and_never_to_nothing(self):
         clock = ManualClock()
         limit = ConcurrencyLimit(clock)
         for _ in range(200):
             clock.advance(Millis(DECREASE_INTERVAL / 10))
-            assert limit.enter(Rank.URGENT)
-            limit.leave(Rank.URGENT, late=True)
-        assert FIRST_LIMIT * 0.9**21 <= SMALLEST_LIMIT == limit.limit
-        assert fill(limit, Rank.BULK) == SMALLEST_LIMIT / 2
+            assert limit.acquire(Rank.URGENT)
+            limit.release(Rank.URGENT, late=True)
+        assert INITIAL_LIMIT * 0.9**21 <= MIN_LIMIT == limit.limit
+        assert fill(limit, Rank.BULK) == MIN_LIMIT / 2
 
 
 class TestSearchesOfAFullHost:
@@ -71,5 +71,5 @@
         request = SearchRequest((ServiceId("desk"),), "", Rank.BULK, Millis(100.0), 1)
         for _ in range(50):
             assert service.search(request).reason is Reason.NO_CONFIGURATION
-        assert service.concurrency.limit == FIRST_LIMIT
+        assert service.concurrency.limit == INITIAL_LIMIT
         assert service.concurrency.in_progress[Rank.BULK] == 0
--- a/tests/process/test_rank_queue.py
+++ b/tests/process/test_rank_queue.py
@@ -29,7 +29,7 @@
 
 def serve(queue, now=0.0):
     found = queue.pop(Millis(now))
-    queue.charge(found)
+    queue.record_served(found)
     return found
 
 
