--- a/src/masticgate/process/_booking_log.py
+++ b/src/masticgate/process/_booking_log.py
@@ -6,11 +6,11 @@
 from .._clock import Clock
 from .._ids import Millis, TicketId
 
-RETENTION = Millis(300_000.0)
+ATTEMPT_TTL = Millis(300_000.0)
 """How long an attempt is remembered, longer than the outcome of a ticket is kept."""
 
 MAX_ATTEMPTS = 100_000
-DROPPED_AT_ONCE = 2
+MAX_DROPPED_AT_ONCE = 2
 
 
 class BookingLog:
@@ -25,7 +25,7 @@
         self.lock = Lock()
         self.received: dict[tuple[TicketId, int], Millis] = {}
 
-    def take(self, ticket: TicketId, attempt: int) -> bool:
+    def record_attempt(self, ticket: TicketId, attempt: int) -> bool:
         """Remember the attempt; return ``False`` where it has come before."""
         now = self.clock.now()
         with self.lock:
@@ -36,6 +36,6 @@
             return True
 
     def _drop_old(self, now: Millis) -> None:
-        for attempt, received in list(islice(self.received.items(), DROPPED_AT_ONCE)):
-            if now - received > RETENTION or len(self.received) >= MAX_ATTEMPTS:
+        for attempt, received in list(islice(self.received.items(), MAX_DROPPED_AT_ONCE)):
+            if now - received > ATTEMPT_TTL or len(self.received) >= MAX_ATTEMPTS:
                 del self.received[attempt]
--- a/src/masticgate/process/_command_book.py
+++ b/src/masticgate/process/_command_book.py
@@ -12,7 +12,7 @@
 from ._command_query import RANKS
 from ._exit_codes import ExitCode
 
-EXIT_OF_OUTCOME = {
+EXIT_CODES = {
     "ran": ExitCode.DONE,
     "not_run": ExitCode.NOT_RUN,
     "unknown": ExitCode.UNKNOWN,
@@ -55,7 +55,7 @@
     }
     outcome = _submit(hosts, body)
     click.echo(json.dumps(outcome) if as_json else _describe(outcome))
-    raise SystemExit(EXIT_OF_OUTCOME.get(str(outcome["outcome"]), ExitCode.UNKNOWN))
+    raise SystemExit(EXIT_CODES.get(str(outcome["outcome"]), ExitCode.UNKNOWN))
 
 
 def _mint(hosts: tuple[str, ...]) -> str:
--- a/src/masticgate/process/_command_check.py
+++ b/src/masticgate/process/_command_check.py
@@ -39,8 +39,8 @@
 
 
 def _accept(path: Path) -> Configuration:
-    judged = accept_text(path.read_text(encoding="utf-8", errors="replace"), Revision(1))
-    match judged:
+    outcome = accept_text(path.read_text(encoding="utf-8", errors="replace"), Revision(1))
+    match outcome:
         case Accepted(configuration=configuration):
             return configuration
         case Refused(problems=problems):
--- a/src/masticgate/process/_command_explain.py
+++ b/src/masticgate/process/_command_explain.py
@@ -11,7 +11,7 @@
 
 from ._exit_codes import ExitCode
 
-BELIEFS = frozenset(
+HOST_EVENTS = frozenset(
     {
         "started",
         "stopping",
@@ -29,12 +29,12 @@
 )
 """Events that bear on every request of their host."""
 
-HEAD = frozenset({"wall_ms", "host", "event", "request"})
-WORD = re.compile(r"[\w~.:/-]+")
+HEADER_FIELDS = frozenset({"wall_ms", "host", "event", "request"})
+TOKEN = re.compile(r"[\w~.:/-]+")
 
 
 @dataclass(frozen=True, slots=True)
-class Line:
+class LogLine:
     """One line of a gateway's log."""
 
     wall: float
@@ -43,12 +43,12 @@
     fields: dict[str, Any]
 
     @property
-    def words(self) -> set[str]:
+    def tokens(self) -> set[str]:
         """The words of all fields, by which a line names searchers and services."""
-        return set(WORD.findall(" ".join(str(value) for value in self.fields.values())))
+        return set(TOKEN.findall(" ".join(str(value) for value in self.fields.values())))
 
 
-def read_lines(paths: Iterable[Path]) -> Iterator[Line]:
+def read_lines(paths: Iterable[Path]) -> Iterator[LogLine]:
     """Yield the log lines of all files; what is no such line is passed over."""
     for path in paths:
         for text in path.read_text(encoding="utf-8", errors="replace").splitlines():
@@ -58,10 +58,10 @@
             except ValueError:
                 continue
             if isinstance(fields, dict) and {"wall_ms", "host", "event"} <= fields.keys():
-                yield Line(float(fields["wall_ms"]), fields["host"], fields["event"], fields)
+                yield LogLine(float(fields["wall_ms"]), fields["host"], fields["event"], fields)
 
 
-def tell_story(lines: list[Line], request: str, before_ms: float) -> list[Line]:
+def select_lines(lines: list[LogLine], request: str, before_ms: float) -> list[LogLine]:
     """Return the lines of ``request``, and the beliefs that may have decided it.
 
     Those are lines of the same hosts, at most ``before_ms`` older than the request's last line by
@@ -70,16 +70,16 @@
     """
     own = [line for line in lines if line.fields.get("request") == request]
     ends = {line.host: line.wall for line in own}
-    named = {word for line in own for word in line.words} - {request}
-    story = []
+    named = {token for line in own for token in line.tokens} - {request}
+    selected = []
     for line in lines:
         end = ends.get(line.host)
         if end is None or not end - before_ms <= line.wall <= end:
             continue
         subject = {str(line.fields.get(key)) for key in ("searcher", "service")}
-        if line in own or line.event in BELIEFS or subject & named:
-            story.append(line)
-    return sorted(story, key=lambda line: (line.wall, line.host))
+        if line in own or line.event in HOST_EVENTS or subject & named:
+            selected.append(line)
+    return sorted(selected, key=lambda line: (line.wall, line.host))
 
 
 @click.command()
@@ -88,11 +88,11 @@
 @click.argument("logs", nargs=-1, required=True, type=click.Path(exists=True, path_type=Path))
 def explain(before: float, request: str, logs: tuple[Path, ...]) -> None:
     """Tell what happened to REQUEST from the LOGS of all gateways."""
-    story = tell_story(list(read_lines(logs)), request, before * 1000.0)
-    if not any(line.fields.get("request") == request for line in story):
+    selected = select_lines(list(read_lines(logs)), request, before * 1000.0)
+    if not any(line.fields.get("request") == request for line in selected):
         click.echo(f"no line of request {request}; whole answers in time are sampled", err=True)
         raise SystemExit(ExitCode.UNKNOWN)
-    for line in story:
+    for line in selected:
         mark = "*" if line.fields.get("request") == request else " "
-        rest = " ".join(f"{k}={v}" for k, v in line.fields.items() if k not in HEAD)
+        rest = " ".join(f"{k}={v}" for k, v in line.fields.items() if k not in HEADER_FIELDS)
         click.echo(f"{mark} {line.wall:.0f} {line.host} {line.event} {rest}")
--- a/src/masticgate/process/_command_serve.py
+++ b/src/masticgate/process/_command_serve.py
@@ -28,13 +28,13 @@
         for problem in settings.problems:
             click.echo(f"masticgate serve: {problem}", err=True)
         raise SystemExit(ExitCode.USAGE)
-    asked = Event()
+    stop_requested = Event()
 
-    def ask_to_stop(*_: Any) -> None:
-        asked.set()
+    def request_stop(*_: Any) -> None:
+        stop_requested.set()
 
-    signal.signal(signal.SIGTERM, ask_to_stop)
-    signal.signal(signal.SIGINT, ask_to_stop)
+    signal.signal(signal.SIGTERM, request_stop)
+    signal.signal(signal.SIGINT, request_stop)
     start_logs(settings)
     try:
         host = Host(settings)
@@ -42,5 +42,5 @@
         click.echo(f"masticgate serve: cannot listen: {error}", err=True)
         raise SystemExit(ExitCode.NOT_RUN) from error
     host.start()
-    asked.wait()
+    stop_requested.wait()
     host.stop()
--- a/src/masticgate/process/_command_timeline.py
+++ b/src/masticgate/process/_command_timeline.py
@@ -56,7 +56,7 @@
     for event in merged:
         click.echo(json.dumps(event_fields(event)) if as_json else _describe(event))
     if html is not None:
-        html.write_text(draw_events(merged), encoding="utf-8")
+        html.write_text(render_html(merged), encoding="utf-8")
     raise SystemExit(ExitCode.UNREACHABLE if unreachable else ExitCode.DONE)
 
 
@@ -92,11 +92,11 @@
     return f"{line}  {event.detail}" if event.detail else line
 
 
-def draw_events(events: list[Event]) -> str:
+def render_html(events: list[Event]) -> str:
     """Return an HTML page with one column a host and one row an event."""
     hosts = sorted({event.host for event in events})
     head = "".join(f"<th>{escape(host)}</th>" for host in hosts)
-    rows = "\n".join(_draw_row(event, hosts) for event in events)
+    rows = "\n".join(_render_row(event, hosts) for event in events)
     return f"""<!DOCTYPE html>
 <html lang="en"><head><meta charset="utf-8"><title>masticgate time line</title>
 <style>
@@ -113,7 +113,7 @@
 """
 
 
-def _draw_row(event: Event, hosts: list[HostId]) -> str:
+def _render_row(event: Event, hosts: list[HostId]) -> str:
     text = f'<span class="kind">{escape(event.kind.value)}</span> {escape(event.subject)}'
     detail = f"<br>{escape(event.detail)}" if event.detail else ""
     cells = "".join(
--- a/src/masticgate/process/_host_tier.py
+++ b/src/masticgate/process/_host_tier.py
@@ -152,9 +152,9 @@
     def _send_to_self(self, message: Ask | Book | Cancel | Forward) -> None:
         match message:
             case Ask():
-                self.owner.ask(message, self._deliver_own)
+                self.owner.submit_search(message, self._deliver_own)
             case Book():
-                self.owner.book(message, self._deliver_own)
+                self.owner.submit_booking(message, self._deliver_own)
             case Cancel():
                 self.owner.cancel(message)
             case Forward():
--- a/src/masticgate/process/_owner.py
+++ b/src/masticgate/process/_owner.py
@@ -22,37 +22,37 @@
 from ._versions import VersionStore
 from ._work import BookingWork, SearchWork, Work
 
-AnswerTo = Callable[[Reply | BookReply], object]
+SendReply = Callable[[Reply | BookReply], object]
 
 
 class Owner:
     """Takes asks and bookings, of this host's own requests too."""
 
     def __init__(
-        self, pools: Pools, versions: VersionStore, clock: Clock, listed: Callable[[], int]
+        self, pools: Pools, versions: VersionStore, clock: Clock, count_hosts: Callable[[], int]
     ) -> None:
         self.pools = pools
         self.versions = versions
         self.clock = clock
-        self.listed = listed
+        self.count_hosts = count_hosts
         self.stopping = False
         self.bookings = BookingLog(clock)
 
-    def ask(self, ask: Ask, answer: AnswerTo) -> None:
+    def submit_search(self, ask: Ask, send_reply: SendReply) -> None:
         """Queue each part of ``ask``; its reply goes to ``answer``."""
         for part in ask.parts:
-            self._ask_part(ask, part, answer)
+            self._submit_part(ask, part, send_reply)
 
-    def book(self, book: Book, answer: AnswerTo) -> None:
+    def submit_booking(self, book: Book, send_reply: SendReply) -> None:
         """Queue one attempt of a booking; its outcome goes to ``answer``.
 
         A message that comes twice is dropped: the first copy's outcome stands for both.
         """
-        if not self.bookings.take(book.ticket, book.attempt):
+        if not self.bookings.record_attempt(book.ticket, book.attempt):
             return
 
         def deliver(outcome: BookingOutcome) -> None:
-            answer(BookReply(book.query, outcome))
+            send_reply(BookReply(book.query, outcome))
 
         work = BookingWork(
             book.query,
@@ -64,16 +64,16 @@
             book.payload,
             deliver,
         )
-        self._queue(work)
+        self._submit(work)
 
     def cancel(self, cancel: Cancel) -> None:
         """Drop what is queued or in flight for a query."""
         for pool in self.pools.list_pools():
             pool.cancel(cancel.query)
 
-    def _ask_part(self, ask: Ask, part: ServicePart, answer: AnswerTo) -> None:
+    def _submit_part(self, ask: Ask, part: ServicePart, send_reply: SendReply) -> None:
         def deliver(result: SubReply) -> None:
-            answer(Reply(ask.query, part.service, result))
+            send_reply(Reply(ask.query, part.service, result))
 
         work = SearchWork(
             ask.query,
@@ -86,9 +86,9 @@
             ask.text,
             deliver,
         )
-        self._queue(work)
+        self._submit(work)
 
-    def _queue(self, work: Work) -> None:
+    def _submit(self, work: Work) -> None:
         """Queue ``work`` in the pool of its service, or deliver why it cannot be."""
         pool = self._find_pool(work.service)
         refusal = pool if isinstance(pool, NotRun) else pool.submit(work)
@@ -101,12 +101,14 @@
             return NotRun(Reason.SHUTTING_DOWN, Step.QUEUE, peer=name)
         if configuration is None:
             return NotRun(Reason.NO_CONFIGURATION, Step.QUEUE, peer=name)
-        return self._pool_in(configuration, name)
+        return self._find_configured_pool(configuration, name)
 
-    def _pool_in(self, configuration: Configuration, name: ServiceId) -> ServicePool | NotRun:
+    def _find_configured_pool(
+        self, configuration: Configuration, name: ServiceId
+    ) -> ServicePool | NotRun:
         service = configuration.services.get(name)
         if service is None:
             return NotRun(Reason.UNKNOWN_SERVICE, Step.QUEUE, peer=name)
         if configuration.is_leaving(service):
             return NotRun(Reason.DEPARTMENT_LEFT, Step.QUEUE, peer=name)
-        return self.pools.get(configuration, service, self.listed())
+        return self.pools.get(configuration, service, self.count_hosts())
--- a/src/masticgate/process/_peer_service.py
+++ b/src/masticgate/process/_peer_service.py
@@ -77,11 +77,11 @@
         match message:
             case Ask():
                 self.pressure.record_entry_host(peer.host, answer)
-                self.owner.ask(message, answer)
+                self.owner.submit_search(message, answer)
             case Cancel():
                 self.owner.cancel(message)
             case Book():
-                self.owner.book(message, answer)
+                self.owner.submit_booking(message, answer)
             case Reply() | BookReply() | ForwardReply():
                 self.mailboxes.deliver(peer.host, message)
             case Forward():
--- a/src/masticgate/process/_pools.py
+++ b/src/masticgate/process/_pools.py
@@ -12,7 +12,7 @@
 from ._service_pool import ServicePool
 from ._timeline import EventKind, TimeLine
 
-POOL_IDLE = Millis(10_000.0)
+POOL_IDLE_TIMEOUT = Millis(10_000.0)
 """A pool of a service that this host does not own is closed after this long without work."""
 
 ConnectionStarter = Callable[[ServicePool, Searcher], None]
@@ -37,14 +37,14 @@
         self.closing: dict[ServiceId, ServicePool] = {}
         self.configured: dict[ServiceId, tuple[Service, int, Mapping[Rank, float]]] = {}
 
-    def get(self, configuration: Configuration, service: Service, hosts: int) -> ServicePool:
+    def get(self, configuration: Configuration, service: Service, host_count: int) -> ServicePool:
         """Return the pool of ``service``, with the searchers and shares now in force."""
         with self.lock:
             pool = self.pools.get(service.id)
             if pool is None:
-                return self._open(configuration, service, hosts)
-            if self.configured[service.id] != (service, hosts, configuration.floors):
-                self._change(pool, configuration, service, hosts)
+                return self._open(configuration, service, host_count)
+            if self.configured[service.id] != (service, host_count, configuration.floors):
+                self._apply_configuration(pool, configuration, service, host_count)
             return pool
 
     def list_pools(self) -> list[ServicePool]:
@@ -59,7 +59,7 @@
             for name, pool in list(self.pools.items()):
                 service = configuration.services.get(name)
                 left = service is None or configuration.is_leaving(service)
-                idle = name not in owned and now - pool.last_used > POOL_IDLE
+                idle = name not in owned and now - pool.last_used > POOL_IDLE_TIMEOUT
                 if left or idle:
                     self._close(name)
 
@@ -69,7 +69,7 @@
             for name in list(self.pools):
                 self._close(name)
 
-    def _open(self, configuration: Configuration, service: Service, hosts: int) -> ServicePool:
+    def _open(self, configuration: Configuration, service: Service, host_count: int) -> ServicePool:
         """Open a pool, again where its last connections have not closed yet."""
         pool = self.closing.pop(service.id, None)
         if pool is None:
@@ -79,19 +79,19 @@
                 configuration.floors,
                 self.policy,
                 self.clock,
-                self._searcher_changed,
+                self._record_searcher_change,
             )
         self.pools[service.id] = pool
         self.timeline.add(EventKind.POOL_OPENED, service.id)
-        self._change(pool, configuration, service, hosts)
+        self._apply_configuration(pool, configuration, service, host_count)
         return pool
 
-    def _change(
-        self, pool: ServicePool, configuration: Configuration, service: Service, hosts: int
+    def _apply_configuration(
+        self, pool: ServicePool, configuration: Configuration, service: Service, host_count: int
     ) -> None:
         """Put the shares in force; only connections beyond those still open are started."""
-        shares = [(s, service_connections(s, hosts)) for s in service.searchers]
-        self.configured[service.id] = (service, hosts, configuration.floors)
+        shares = [(s, service_connections(s, host_count)) for s in service.searchers]
+        self.configured[service.id] = (service, host_count, configuration.floors)
         for searcher in pool.apply_configuration(shares, configuration.floors):
             self.start_connection(pool, searcher)
 
@@ -103,7 +103,7 @@
         self.configured.pop(name)
         self.timeline.add(EventKind.POOL_CLOSED, name)
 
-    def _searcher_changed(
+    def _record_searcher_change(
         self, service: ServiceId, searcher: SearcherId, state: SearcherState
     ) -> None:
         self.timeline.add(EventKind.SEARCHER_CHANGED, searcher, f"{state.value}, of {service}")
--- a/src/masticgate/process/_server.py
+++ b/src/masticgate/process/_server.py
@@ -60,7 +60,7 @@
         self.timeline = TimeLine(self.id, self.clock, log_event)
         self.metrics = Metrics(settings)
         self.tickets = TicketTable(self.id, self.incarnation, self.clock)
-        self.mailboxes = Mailboxes(self.tickets.learn)
+        self.mailboxes = Mailboxes(self.tickets.record_late_outcome)
         self.versions = VersionStore(self.timeline, self._configuration_changed, starting=True)
         own = self._hello()
         self.members = Members(member_of(own), self.clock, self.timeline, self._members_changed)
--- a/src/masticgate/process/_tickets.py
+++ b/src/masticgate/process/_tickets.py
@@ -16,7 +16,7 @@
 """How long after its minting a ticket may be used; its outcome is kept as long again."""
 
 MAX_TICKETS = 50_000
-DROPPED_AT_ONCE = 16
+MAX_DROPPED_AT_ONCE = 16
 MAX_REQUESTS = 64
 """The requests for one ticket that may begin or join an attempt."""
 
@@ -41,7 +41,7 @@
     outcome: "Future[BookingOutcome]" = field(default_factory=Future)
     content: tuple[str, str] | None = None
     query: QueryId = QueryId("")
-    late: BookingOutcome | None = None
+    late_outcome: BookingOutcome | None = None
     requests: "dict[QueryId, Future[BookingOutcome]]" = field(default_factory=dict)
 
 
@@ -71,7 +71,7 @@
         self.lock = Lock()
         self.sequence = 0
         self.records: dict[TicketId, _Record] = {}
-        self.unproven: dict[QueryId, TicketId] = {}
+        self.unresolved: dict[QueryId, TicketId] = {}
 
     def mint(self) -> TicketId | NotRun:
         """Return a new ticket, or why none can be had."""
@@ -113,7 +113,7 @@
             record.attempt += 1
             record.query = booking.id
             record.requests[booking.id] = record.outcome
-            self.unproven[booking.id] = booking.ticket
+            self.unresolved[booking.id] = booking.ticket
             return Attempt(booking.ticket, record.attempt)
 
     def settle(self, attempt: Attempt, outcome: BookingOutcome) -> None:
@@ -126,29 +126,29 @@
                 return
             waiting = record.outcome
             record.state = TicketState.SETTLED
-            self._conclude(record, outcome)
-            if record.late is not None:
-                self._conclude(record, record.late)
+            self._resolve(record, outcome)
+            if record.late_outcome is not None:
+                self._resolve(record, record.late_outcome)
         waiting.set_result(outcome)
 
-    def learn(self, query: QueryId, outcome: BookingOutcome) -> None:
+    def record_late_outcome(self, query: QueryId, outcome: BookingOutcome) -> None:
         """Record the owner's late outcome of an attempt that nobody waits for any more.
 
         A retry then gets the true outcome in place of "unknown", or may run where it did not.
         """
         with self.lock:
-            ticket = self.unproven.get(query)
+            ticket = self.unresolved.get(query)
             record = self.records.get(ticket) if ticket is not None else None
             if record is None:
                 return
             if record.state is TicketState.RUNNING:
-                record.late = outcome
+                record.late_outcome = outcome
             else:
-                self._conclude(record, outcome)
+                self._resolve(record, outcome)
 
-    def _conclude(self, record: _Record, outcome: BookingOutcome) -> None:
+    def _resolve(self, record: _Record, outcome: BookingOutcome) -> None:
         """Make ``outcome`` final for the latest attempt, unless it is known already."""
-        if record.query not in self.unproven:
+        if record.query not in self.unresolved:
             return
         match outcome:
             case NotRun():
@@ -159,17 +159,17 @@
             case Unknown():
                 record.outcome = _done(outcome)
                 return
-        record.late = None
-        del self.unproven[record.query]
+        record.late_outcome = None
+        del self.unresolved[record.query]
 
     def _drop_expired(self) -> None:
         """Drop the oldest records once their outcome is no longer kept."""
         limit = self.clock.now() - TICKET_LIFETIME
-        for ticket, record in list(islice(self.records.items(), DROPPED_AT_ONCE)):
+        for ticket, record in list(islice(self.records.items(), MAX_DROPPED_AT_ONCE)):
             if record.expires > limit:
                 return
             if record.state is not TicketState.RUNNING:
-                self.unproven.pop(record.query, None)
+                self.unresolved.pop(record.query, None)
                 del self.records[ticket]
 
 
--- a/tests/process/fake_connections.py
+++ b/tests/process/fake_connections.py
@@ -39,7 +39,7 @@
 SHARES = [(s, SHARE) for s in SEARCHERS.values()]
 
 
-def start_idle(pool, health):
+def add_idle_connection(pool, health):
     """Let a connection of a searcher fall idle, as the start of ``take`` does."""
     with pool.delivery_lock:
         connection = IdleConnection(pool.lock, health)
@@ -86,7 +86,7 @@
         self.results[query] = []
         deadline = Millis(self.clock.now() + 1000.0)
         deliver = self.results[query].append
-        if not self.bookings.take(ticket, attempt):
+        if not self.bookings.record_attempt(ticket, attempt):
             return query, NotRun(Reason.TICKET_IN_USE, Step.QUEUE)
         ticket = TicketId(ticket)
         work = BookingWork(query, SERVICE, ticket, attempt, Rank.URGENT, deadline, "{}", deliver)
@@ -94,7 +94,7 @@
 
     def add_idle(self, name):
         health = self.pool.searchers.find(SEARCHERS[name])
-        self.idle_connections.append(start_idle(self.pool, health))
+        self.idle_connections.append(add_idle_connection(self.pool, health))
         return self.collect()
 
     def add_all_idle(self):
--- a/tests/process/test_owner_bookings.py
+++ b/tests/process/test_owner_bookings.py
@@ -18,7 +18,7 @@
 from masticgate.process._timeline import TimeLine
 from masticgate.process._versions import VersionStore
 from masticgate.request import Book, BookReply, Cancel, Ran
-from tests.process.fake_connections import start_idle
+from tests.process.fake_connections import add_idle_connection
 from tests.texts import SMALL
 
 
@@ -35,15 +35,15 @@
 
     def book(self, query="q1", remaining=100.0):
         book = Book(QueryId(query), f"t-{query}", 1, "orders", Rank.URGENT, Millis(remaining), "{}")
-        self.owner.book(book, self.replies.append)
+        self.owner.submit_booking(book, self.replies.append)
 
     def pool(self):
         return self.pools.list_pools()[0]
 
-    def take_next(self):
+    def take_send(self):
         """Take the next work as an idle connection would."""
         pool = self.pool()
-        return start_idle(pool, pool.health[SearcherId("oa")]).send
+        return add_idle_connection(pool, pool.health[SearcherId("oa")]).send
 
     def outcomes(self):
         return [reply.outcome for reply in self.replies]
@@ -54,13 +54,13 @@
         bench = Bench()
         bench.book()
         bench.book()
-        send = bench.take_next()
+        send = bench.take_send()
         assert bench.pool().may_send(send, lambda: None)
         bench.book()
         bench.pool().finish(send, Ran("1"))
         bench.book()
         assert bench.outcomes() == [Ran("1")]
-        assert bench.take_next() is None
+        assert bench.take_send() is None
 
     def test_second_copy_is_dropped_after_a_refusal_and_by_a_newly_opened_pool(self):
         bench = Bench()
@@ -68,21 +68,21 @@
         bench.hosts = 4
         bench.book(remaining=100.0)
         assert [outcome.reason for outcome in bench.outcomes()] == [Reason.DEADLINE]
-        assert bench.take_next() is None
+        assert bench.take_send() is None
 
     def test_cancelled_while_queued_never_runs(self):
         bench = Bench()
         bench.book()
         bench.owner.cancel(Cancel(QueryId("q1")))
         bench.book()
-        assert bench.take_next() is None
+        assert bench.take_send() is None
         assert [o.reason for o in bench.outcomes()] == [Reason.CANCELLED]
 
     def test_cancel_of_what_was_sent_or_never_came_says_nothing(self):
         bench = Bench()
         bench.owner.cancel(Cancel(QueryId("q1")))
         bench.book()
-        send = bench.take_next()
+        send = bench.take_send()
         bench.owner.cancel(Cancel(QueryId("q1")))
         assert bench.outcomes() == []
         assert bench.pool().may_send(send, lambda: None)
@@ -90,7 +90,7 @@
     def test_deadline_is_checked_again_after_a_pause(self):
         bench = Bench()
         bench.book()
-        send = bench.take_next()
+        send = bench.take_send()
         bench.clock.advance(Millis(200))
         assert not bench.pool().may_send(send, lambda: None)
         bench.pool().abandon(send)
--- a/tests/process/test_pool_faults.py
+++ b/tests/process/test_pool_faults.py
@@ -30,28 +30,28 @@
         self.fleet = FakeConnections()
         self.booked = set()
         self.sent = Counter()
-        self.paid = 0
+        self.charged = 0
         self.refused = set()
 
-    def note(self, sends):
+    def count_sends(self, sends):
         for send in sends:
             entry = send.entry
             self.sent[entry.work.query] += 1
             free = entry.failure is not None and entry.failure.reason in FREE_RETRY_REASONS
             if self.sent[entry.work.query] > 1 and (send.hedge or not free):
-                self.paid += 1
+                self.charged += 1
 
     @rule(rank=st.sampled_from(list(Rank)), remaining=st.sampled_from([30.0, 200.0, 2000.0]))
     def search(self, rank, remaining):
         query, refusal = self.fleet.search(rank, remaining)
-        self.note(self.fleet.collect())
+        self.count_sends(self.fleet.collect())
         if refusal is not None:
             self.refused.add(query)
 
     @rule()
     def book(self):
         query, refusal = self.fleet.book("t")
-        self.note(self.fleet.collect())
+        self.count_sends(self.fleet.collect())
         if refusal is None:
             self.booked.add(query)
         else:
@@ -62,7 +62,7 @@
         busy = sum(s.searcher == name for s in self.fleet.sends)
         idle = sum(s.health.searcher.id == name for s in self.fleet.idle_connections)
         if busy + idle < SHARE and not self.fleet.pool.stopping:
-            self.note(self.fleet.add_idle(name))
+            self.count_sends(self.fleet.add_idle(name))
 
     @precondition(lambda self: self.fleet.sends)
     @rule(data=st.data(), result=st.sampled_from([HITS, DRAINING, SHED, LOST]))
@@ -70,15 +70,15 @@
         send = data.draw(st.sampled_from(self.fleet.sends))
         if isinstance(send.entry.work, BookingWork) and result is HITS:
             result = Ran("{}")
-        self.note(self.fleet.finish(send, result))
+        self.count_sends(self.fleet.finish(send, result))
 
     @rule(duration=st.sampled_from([5.0, 60.0, 600.0]))
     def advance(self, duration):
         self.fleet.clock.advance(Millis(duration))
-        self.note(self.fleet.wake())
+        self.count_sends(self.fleet.wake())
 
     def take_up(self):
-        self.note(self.fleet.collect())
+        self.count_sends(self.fleet.collect())
 
     @precondition(lambda self: self.fleet.results)
     @rule(data=st.data())
@@ -116,7 +116,7 @@
     @invariant()
     def keeps_to_the_budget(self):
         assert self.fleet.pool.budget.tokens >= 0.0
-        assert self.paid <= 1 + 0.05 * len(self.sent)
+        assert self.charged <= 1 + 0.05 * len(self.sent)
 
     @invariant()
     def loses_no_work(self):
--- a/tests/request/test_booking.py
+++ b/tests/request/test_booking.py
@@ -100,22 +100,22 @@
     def test_late_result_reaches_the_next_retry(self):
         bench = Bench()
         assert isinstance(bench.run("q1"), Unknown)
-        bench.table.learn(QueryId("q1"), Ran("1"))
+        bench.table.record_late_outcome(QueryId("q1"), Ran("1"))
         assert bench.run("q2") == Ran("1")
-        bench.table.learn(QueryId("q1"), CANCELLED)
+        bench.table.record_late_outcome(QueryId("q1"), CANCELLED)
         assert bench.run("q3") == Ran("1")
 
     def test_late_word_that_it_did_not_run_lets_a_retry_run(self):
         bench = Bench()
         bench.run("q1")
-        bench.table.learn(QueryId("q1"), CANCELLED)
+        bench.table.record_late_outcome(QueryId("q1"), CANCELLED)
         bench.tier.react = answer(Ran("2"))
         assert bench.run("q2") == Ran("2")
 
     def test_word_that_comes_before_the_settling_is_kept(self):
         bench = Bench()
         attempt = bench.table.begin(bench.booking("q1"))
-        bench.table.learn(QueryId("q1"), Ran("1"))
+        bench.table.record_late_outcome(QueryId("q1"), Ran("1"))
         bench.table.settle(attempt, LOST)
         assert bench.run("q2") == Ran("1")
 
@@ -124,7 +124,7 @@
         bench.run("q1")
         bench.tier.react = answer(LOST)
         bench.run("q2")
-        bench.table.learn(QueryId("q1"), CANCELLED)
+        bench.table.record_late_outcome(QueryId("q1"), CANCELLED)
         assert bench.run("q3") == LOST
 
     def test_duplicate_request_never_runs_after_it_was_told_not_run(self):
--- a/tests/request/test_booking_faults.py
+++ b/tests/request/test_booking_faults.py
@@ -26,7 +26,7 @@
 from masticgate.process._timeline import TimeLine
 from masticgate.process._versions import VersionStore
 from masticgate.request import Book, Booking, Cancel, Ran, run_booking
-from tests.process.fake_connections import start_idle
+from tests.process.fake_connections import add_idle_connection
 from tests.request.script_tier import ScriptTier
 from tests.texts import SMALL
 
@@ -69,12 +69,12 @@
             case Cancel():
                 self.owner.cancel(message)
             case Book():
-                self.owner.book(message, answer)
+                self.owner.submit_booking(message, answer)
                 self.tier.at(plan["idle"], lambda: self.add_idle(plan))
 
     def add_idle(self, plan):
         for pool in self.pools.list_pools():
-            self.idle_connections.append(start_idle(pool, pool.health[SearcherId("oa")]))
+            self.idle_connections.append(add_idle_connection(pool, pool.health[SearcherId("oa")]))
             for connection in [c for c in self.idle_connections if c.send is not None]:
                 self.idle_connections.remove(connection)
                 self.serve(pool, connection.send, plan)
@@ -116,7 +116,7 @@
         self.incarnation += 1
         self.tier.minted.clear()
         self.table = TicketTable(MINTER, Incarnation(self.incarnation), self.tier.clock)
-        self.tier.learn = self.table.learn
+        self.tier.learn = self.table.record_late_outcome
         self.mint()
 
     @rule()
