--- a/src/masticgate/connection/gateway/_caller.py
+++ b/src/masticgate/connection/gateway/_caller.py
@@ -103,7 +103,9 @@
             self._write(request, close=True)
             return False
         if not self.settings.between_gateways:
-            request = replace(request, fresh=self.fresh, network=Millis(0.0), version=None)
+            request = replace(
+                request, is_first_on_connection=self.fresh, network_time=Millis(0.0), version=None
+            )
             self.fresh = False
         reply = self.settings.handler(request, RequestInbox(self.link))
         if isinstance(reply, Abandoned):
@@ -212,7 +214,7 @@
         parsed.body,
         _read_millis(find_header(parsed.headers, header_names.caller_timeout)),
         now,
-        network=network or Millis(0.0),
+        network_time=network or Millis(0.0),
         version=None if version is None else ConfigurationVersion(version),
     )
 
--- a/src/masticgate/connection/gateway/_catalogue_codec.py
+++ b/src/masticgate/connection/gateway/_catalogue_codec.py
@@ -24,7 +24,7 @@
     Unreadable,
 )
 from ...version.gateway import (
-    Kind,
+    Idempotency,
     Limits,
     OneService,
     Route,
@@ -97,7 +97,7 @@
             return {"service": service}
         case Split(parts=parts):
             return {"split": [[part.service, part.weight] for part in parts]}
-        case Shards(services=services, top=top, least_share=least):
+        case Shards(services=services, top=top, min_shard_ratio=least):
             return {"shards": list(services), "top": top, "least": least}
 
 
@@ -152,7 +152,7 @@
         id=RouteId(route["id"]),
         host=route["host"],
         prefix=route["prefix"],
-        kind=Kind(route["kind"]),
+        kind=Idempotency(route["kind"]),
         target=_decode_target(route["target"]),
         attempts=int(route["attempts"]),
         timeout=Millis(route["timeout"]),
--- a/src/masticgate/connection/gateway/_encoding.py
+++ b/src/masticgate/connection/gateway/_encoding.py
@@ -8,8 +8,8 @@
 from ...request.gateway import (
     Answered,
     Failed,
+    LocalPage,
     Merged,
-    Plain,
     Refused,
     Relayed,
     Reply,
@@ -62,7 +62,7 @@
             return _encode_message(status, ((b"Retry-After", seconds),), body, close)
         case Failed(status=status, failure=failure):
             return _encode_message(status, (), describe(failure).encode(), close)
-        case Plain(status=status, body=body):
+        case LocalPage(status=status, body=body):
             return _encode_message(status, (), body, close)
         case _:
             return b""
@@ -86,7 +86,7 @@
     lines.append(b"%s: %s\r\n" % (header_names.expected_searcher, searcher.encode("latin-1")))
     if request.version is not None:
         lines.append(b"%s: %d\r\n" % (CONFIGURATION_VERSION_HEADER, request.version))
-        lines.append(b"%s: %d\r\n" % (NETWORK_TIME_HEADER, request.network))
+        lines.append(b"%s: %d\r\n" % (NETWORK_TIME_HEADER, request.network_time))
     if request.body or request.method not in (b"GET", b"HEAD"):
         lines.append(b"Content-Length: %d\r\n" % len(request.body))
     lines.append(b"\r\n")
--- a/src/masticgate/connection/gateway/_inbox.py
+++ b/src/masticgate/connection/gateway/_inbox.py
@@ -130,4 +130,4 @@
 
 
 def _is_success(call: Call) -> bool:
-    return isinstance(call.outcome, Answered) and call.outcome.success
+    return isinstance(call.outcome, Answered) and call.outcome.is_success
--- a/src/masticgate/connection/gateway/_response_parser.py
+++ b/src/masticgate/connection/gateway/_response_parser.py
@@ -5,7 +5,7 @@
 
 import httptools
 
-from ...request.gateway._exchange import Ending, Header
+from ...request.gateway._exchange import BodyFraming, Header
 from ._parser import Malformed
 
 MAX_HEAD_BYTES = 65_536
@@ -42,7 +42,7 @@
     fields: dict[bytes, bytes]
     body: bytes
     keep_alive: bool
-    ending: Ending
+    ending: BodyFraming
     repeated: frozenset[bytes]
 
 
@@ -91,7 +91,7 @@
     def feed_eof(self) -> None:
         """Complete a response without a length, whose connection ended in order."""
         if self.in_message and self.in_body and not self.framed and not self._contains_head():
-            self._complete(Ending.CLOSE, keep_alive=False)
+            self._complete(BodyFraming.CLOSE, keep_alive=False)
 
     def _reset(self) -> None:
         self.in_message = False
@@ -137,7 +137,7 @@
         """Queue the response, unless it is an interim one."""
         if self._contains_head():
             raise TruncatedResponseError("a response is filled up by the bytes of another")
-        ending = Ending.CHUNKS if b"transfer-encoding" in self.fields else Ending.LENGTH
+        ending = BodyFraming.CHUNKS if b"transfer-encoding" in self.fields else BodyFraming.LENGTH
         self._complete(ending, keep_alive=self.parser.should_keep_alive())
 
     def _contains_head(self) -> bool:
@@ -182,7 +182,7 @@
         if self.ready and self.ready[-1].body.endswith(starts):
             self.ready.pop()
 
-    def _complete(self, ending: Ending, *, keep_alive: bool) -> None:
+    def _complete(self, ending: BodyFraming, *, keep_alive: bool) -> None:
         status = self.parser.get_status_code()
         if status >= 200:
             body = b"".join(self.chunks)
--- a/src/masticgate/connection/gateway/_searcher_task.py
+++ b/src/masticgate/connection/gateway/_searcher_task.py
@@ -13,7 +13,7 @@
 from ..._clock import Clock
 from ..._failures import Reason
 from ..._ids import Address, ConnectionNumber, Millis, RequestId, SearcherId
-from ...request.gateway import Answered, Call, Declined, Lost, Outcome, Receipt
+from ...request.gateway import Answered, Call, Declined, Lost, Outcome, ReceiveInfo
 from ._client import HttpClient, parse_keep_alive_timeout
 from ._encoding import encode_request
 from ._header_names import HeaderNames
@@ -309,10 +309,10 @@
         stamp = response.fields.get(self.header_names.stamp, b"").decode("latin-1")
         latency = Millis(self.clock.now() - self.started_at)
         headers = tuple(response.headers)
-        receipt = Receipt(self.number, response.ending, self.skipped)
+        receive_info = ReceiveInfo(self.number, response.ending, self.skipped)
         self.skipped = 0
         return Answered(
-            self.searcher, response.status, headers, response.body, stamp, latency, receipt
+            self.searcher, response.status, headers, response.body, stamp, latency, receive_info
         )
 
     def _decode_load(self, response: ParsedResponse) -> Load | None:
--- a/src/masticgate/platform/_configuration.py
+++ b/src/masticgate/platform/_configuration.py
@@ -2,7 +2,7 @@
 
 from .._ids import ConfigurationVersion, Millis, RouteId, ServiceId
 from ..version.gateway import (
-    Kind,
+    Idempotency,
     Limits,
     OneService,
     Route,
@@ -15,7 +15,7 @@
 )
 from ._fields import Fields
 
-KINDS = {"idempotent": Kind.IDEMPOTENT, "non_idempotent": Kind.NON_IDEMPOTENT}
+KINDS = {"idempotent": Idempotency.IDEMPOTENT, "non_idempotent": Idempotency.NON_IDEMPOTENT}
 DEFAULT_TIMEOUT_MS = 30_000.0
 DEFAULT_OBJECTIVE_MS = 1_000.0
 LOWEST_RANK = 9
@@ -44,7 +44,7 @@
         id=RouteId(fields.text("name")),
         host=fields.text("hostname"),
         prefix=fields.text("prefix"),
-        kind=KINDS.get(fields.text("type"), Kind.NON_IDEMPOTENT),
+        kind=KINDS.get(fields.text("type"), Idempotency.NON_IDEMPOTENT),
         target=_decode_target(fields),
         attempts=int(fields.number("maxAttempts", 1.0)),
         timeout=Millis(fields.number("timeoutMs", DEFAULT_TIMEOUT_MS)),
--- a/src/masticgate/process/gateway/_fleet.py
+++ b/src/masticgate/process/gateway/_fleet.py
@@ -18,7 +18,7 @@
     UnrequestedBytes,
     peer_header_names,
 )
-from ...request.gateway import Answered, Call, Declined, Ending, Lost, Repeat
+from ...request.gateway import Answered, BodyFraming, Call, Declined, Lost, Repeat
 from ...version.gateway import Route, RouteTable
 from ._catalogue import PEER_SERVICE, SearcherEntry, SearcherPhase
 from ._hedge_delays import HedgeDelays
@@ -359,8 +359,10 @@
     def _judge(self, replica: Replica, call: Call, now: Millis) -> None:
         """Learn from one outcome; the lock is held."""
         match call.outcome:
-            case Answered(status=status, latency=latency, receipt=receipt) if status < 500:
-                if receipt.ending is Ending.CLOSE:
+            case Answered(status=status, latency=latency, receive_info=receive_info) if (
+                status < 500
+            ):
+                if receive_info.framing is BodyFraming.CLOSE:
                     self.metrics.count("answers_ended_by_close")
                 first = not call.repeat
                 ratio = self.delays.note(call.route.id, latency, now, first=first)
--- a/src/masticgate/process/gateway/_gateway.py
+++ b/src/masticgate/process/gateway/_gateway.py
@@ -8,7 +8,7 @@
 from ..._ids import Address, Millis
 from ...connection.gateway import CallerSettings, Handler, HeaderNames, Listener, peer_header_names
 from ...connection.gateway._caller import CallerState
-from ...request.gateway import Inbox, Plain, Reply, Request
+from ...request.gateway import Inbox, LocalPage, Reply, Request
 from ...version.gateway import Limits, RouteTable
 from ._catalogue import PlatformSource, Source
 from ._fleet import Fleet
@@ -176,10 +176,10 @@
         return self.follower.table is not None and not self.stopping.is_set()
 
     def _ready_page(self, request: Request, inbox: Inbox) -> Reply:
-        return Plain(200, b"ready\n") if self._is_ready() else Plain(503, b"not ready\n")
+        return LocalPage(200, b"ready\n") if self._is_ready() else LocalPage(503, b"not ready\n")
 
     def _metrics_page(self, request: Request, inbox: Inbox) -> Reply:
-        return Plain(200, self.metrics.render())
+        return LocalPage(200, self.metrics.render())
 
     def _tick(self) -> None:
         """Do what is due regularly, until the process ends."""
--- a/src/masticgate/process/gateway/_network_times.py
+++ b/src/masticgate/process/gateway/_network_times.py
@@ -46,11 +46,11 @@
     def estimate(self, route: RouteId, request: Request) -> Millis:
         """Return what opening the connection took, if it did, and the way there and back."""
         with self.lock:
-            if request.patience is not None:
+            if request.caller_timeout is not None:
                 longest = self.routes.setdefault(route, LongestPatience())
-                longest.note(request.patience, fresh=request.fresh)
+                longest.note(request.caller_timeout, fresh=request.is_first_on_connection)
                 self.trip = longest.round_trip() or self.trip
-            return Millis(self.trip * (2.0 if request.fresh else 1.0))
+            return Millis(self.trip * (2.0 if request.is_first_on_connection else 1.0))
 
     def follow(self, table: RouteTable) -> None:
         """Forget the routes that a newer configuration dropped."""
--- a/src/masticgate/process/gateway/_peers.py
+++ b/src/masticgate/process/gateway/_peers.py
@@ -15,8 +15,8 @@
 from ..._clock import MILLIS_PER_SECOND, Clock
 from ..._ids import Address, FailureDomainId, HostId, Millis, RouteId, SearcherId
 from ...connection.gateway import GetTimeouts, HttpClient, HttpResponse
-from ...request.gateway import Plain, Request
-from ...version.gateway import Kind, OneService, Route, RouteTable
+from ...request.gateway import LocalPage, Request
+from ...version.gateway import Idempotency, OneService, Route, RouteTable
 from ._catalogue import PEER_SERVICE, SearcherEntry, SearcherPhase
 from ._fleet import Fleet
 from ._log import EventLog, LogEvent
@@ -74,7 +74,7 @@
     return replace(
         route,
         id=RouteId(f"{PEER_SERVICE}/{route.id}"),
-        kind=Kind.NON_IDEMPOTENT,
+        kind=Idempotency.NON_IDEMPOTENT,
         target=OneService(PEER_SERVICE),
         attempts=PEER_ATTEMPTS,
     )
@@ -113,7 +113,7 @@
             if seed != self.settings.peers:
                 Thread(target=self._follow, args=(seed,), daemon=True).start()
 
-    def answer_heartbeat(self, request: Request) -> Plain:
+    def answer_heartbeat(self, request: Request) -> LocalPage:
         """Count a heartbeat, and say how many gateways there are."""
         query = parse_qs(request.target.partition(b"?")[2].decode("latin-1"))
         host = HostId(query.get("host", [""])[0])
@@ -131,7 +131,7 @@
             "relays": self.ready() and self.hears_platform(),
             "members": members,
         }
-        return Plain(200, json.dumps(reply).encode())
+        return LocalPage(200, json.dumps(reply).encode())
 
     def relays(self) -> list[Address]:
         """Return the seeds to follow the platform by, those of the own domain first.
--- a/src/masticgate/process/gateway/_relay.py
+++ b/src/masticgate/process/gateway/_relay.py
@@ -19,7 +19,7 @@
     decode_changes,
     encode_change,
 )
-from ...request.gateway import Plain, Request
+from ...request.gateway import LocalPage, Request
 from ._catalogue import (
     Change,
     Changes,
@@ -85,39 +85,39 @@
             self.changes.append((self.number, value))
             self.changed.notify_all()
 
-    def answer(self, request: Request) -> Plain:
+    def answer(self, request: Request) -> LocalPage:
         """Answer a read, or a watch once something changed or its wait is over."""
         query = parse_qs(request.target.partition(b"?")[2].decode("latin-1"))
         after = query.get("after", [""])[0]
         if self.age() > MAX_PLATFORM_AGE:
-            return Plain(503, b"the platform was not heard")
+            return LocalPage(503, b"the platform was not heard")
         if not after.isdigit():
             return self._answer_all()
         wait = query.get("wait", ["0"])[0]
         if query.get("epoch", [""])[0] != self.epoch or not wait.isdigit():
-            return Plain(HTTP_GONE, b"another start of this gateway")
+            return LocalPage(HTTP_GONE, b"another start of this gateway")
         return self._answer_since(int(after), min(MAX_WATCH_WAIT, Millis(float(wait))))
 
-    def _answer_all(self) -> Plain:
+    def _answer_all(self) -> LocalPage:
         with self.changed:
             if "table" not in self.state:
-                return Plain(503, b"no configuration")
+                return LocalPage(503, b"no configuration")
             return self._encode(list(self.state.values()))
 
-    def _answer_since(self, after: int, wait: Millis) -> Plain:
+    def _answer_since(self, after: int, wait: Millis) -> LocalPage:
         deadline = monotonic() + wait / MILLIS_PER_SECOND
         with self.changed:
             while self.number <= after and (left := deadline - monotonic()) > 0:
                 self.changed.wait(left)
             if self.age() > MAX_PLATFORM_AGE:
-                return Plain(503, b"the platform was not heard")
+                return LocalPage(503, b"the platform was not heard")
             if self.changes and after + 1 < self.changes[0][0]:
-                return Plain(HTTP_GONE, b"the changes are no longer known")
+                return LocalPage(HTTP_GONE, b"the changes are no longer known")
             return self._encode([value for number, value in self.changes if number > after])
 
-    def _encode(self, changes: list[object]) -> Plain:
+    def _encode(self, changes: list[object]) -> LocalPage:
         body = {"epoch": self.epoch, "number": self.number, "changes": changes}
-        return Plain(200, json.dumps(body, separators=(",", ":")).encode())
+        return LocalPage(200, json.dumps(body, separators=(",", ":")).encode())
 
 
 class RelayedSource:
--- a/src/masticgate/process/gateway/_service.py
+++ b/src/masticgate/process/gateway/_service.py
@@ -101,7 +101,7 @@
         else:
             assert beliefs.table is not None
             self.network.follow(beliefs.table)
-            request = replace(request, network=self.network.estimate(route.id, request))
+            request = replace(request, network_time=self.network.estimate(route.id, request))
             reply = self._run(request, beliefs.table, route, inbox)
         self._account(request, beliefs, route, reply)
         return reply
@@ -174,10 +174,10 @@
 
     def _read_peer_answer(self, answer: Answered) -> Reply:
         """Return a gatherer's answer as this gateway's own."""
-        match answer.success, parse_missing_shards(answer):
+        match answer.is_success, parse_missing_shards(answer):
             case True, int(missing):
                 stamps = tuple(answer.stamp.split(", "))
-                gatherer = (f"gathered by {answer.searcher}, {answer.receipt}",)
+                gatherer = (f"gathered by {answer.searcher}, {answer.receive_info}",)
                 return Merged(stamps, missing, answer.body, gatherer)
             case True, None:
                 status, detail = 502, "no number of missing shards"
@@ -189,7 +189,7 @@
         self, request: Request, beliefs: Beliefs, route: Route | Refused, reply: Reply
     ) -> None:
         """Count the request, and log it unless it is one of many ordinary ones."""
-        took = Millis(self.fleet.now() - request.arrived)
+        took = Millis(self.fleet.now() - request.arrived_at)
         outcome, detail = _describe_reply(reply)
         kind = "none" if isinstance(route, Refused) else f"rank{route.rank}"
         self.metrics.observe(kind, outcome, took)
@@ -207,8 +207,8 @@
             outcome=outcome,
             detail=detail,
             took_ms=round(took, 1),
-            patience_ms=request.patience,
-            network_ms=round(request.network),
+            patience_ms=request.caller_timeout,
+            network_ms=round(request.network_time),
             version=version,
             beliefs_age_ms=round(beliefs.age),
         )
@@ -228,9 +228,9 @@
     """Tell whether every answer in the reply said where it ends, and came alone."""
     match reply:
         case Relayed(answer=answer):
-            return answer.receipt.is_ordinary
-        case Merged(unusual=unusual):
-            return not unusual
+            return answer.receive_info.is_regular
+        case Merged(irregular_parts=irregular_parts):
+            return not irregular_parts
         case _:
             return True
 
@@ -238,16 +238,27 @@
 def _describe_reply(reply: Reply) -> tuple[str, str]:
     """Return the outcome's name and why it came to that."""
     match reply:
-        case Merged(missing=0, causes=causes, unusual=unusual):
-            return "whole", "; ".join((*causes, *unusual))
-        case Merged(missing=missing, stamps=stamps, causes=causes, unusual=unusual):
+        case Merged(missing=0, missing_causes=missing_causes, irregular_parts=irregular_parts):
+            return "whole", "; ".join((*missing_causes, *irregular_parts))
+        case Merged(
+            missing=missing,
+            stamps=stamps,
+            missing_causes=missing_causes,
+            irregular_parts=irregular_parts,
+        ):
             counts = f"{missing} of {missing + len(stamps)} shards missing"
-            return "partial", "; ".join((counts, *causes, *unusual))
-        case Relayed(answer=answer, sends=sends) if answer.success:
-            detail = f"answer of {answer.searcher}, {answer.receipt}, stamp {answer.stamp}, {sends}"
+            return "partial", "; ".join((counts, *missing_causes, *irregular_parts))
+        case Relayed(answer=answer, send_summary=send_summary) if answer.is_success:
+            detail = (
+                f"answer of {answer.searcher}, {answer.receive_info}, stamp {answer.stamp}, "
+                f"{send_summary}"
+            )
             return "whole", detail
-        case Relayed(answer=answer, sends=sends):
-            return "searcher_failure", f"status {answer.status} of {answer.searcher}, {sends}"
+        case Relayed(answer=answer, send_summary=send_summary):
+            return (
+                "searcher_failure",
+                f"status {answer.status} of {answer.searcher}, {send_summary}",
+            )
         case Refused(status=status, failure=failure):
             return f"refused_{status}", describe(failure)
         case Failed(status=status, failure=failure):
--- a/src/masticgate/request/gateway/_attempts.py
+++ b/src/masticgate/request/gateway/_attempts.py
@@ -131,9 +131,9 @@
         self.in_flight_calls.clear()
 
     def _take_answer(self, answer: Answered) -> None:
-        if answer.success or self.answer is None:
+        if answer.is_success or self.answer is None:
             self.answer = answer
-        if not answer.success:
+        if not answer.is_success:
             reason, detail = Reason.SEARCHER_ERROR, f"status {answer.status}"
             self.failure = NotRun(reason, Step.UPSTREAM, answer.searcher, detail)
 
--- a/src/masticgate/request/gateway/_exchange.py
+++ b/src/masticgate/request/gateway/_exchange.py
@@ -20,13 +20,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Request:
-    """One attempt of a caller.
-
-    ``target`` is the path with its query, as sent; ``headers`` are those to pass on;
-    ``patience`` is how long the caller waits from ``arrived`` on, in milliseconds. ``fresh`` tells
-    whether the caller opened its connection for this request, and ``network`` what the ways to and
-    from the caller take of the route's objective. A request between gateways names the ``version``
-    of the configuration to serve it by.
+    """One attempt of a caller at a request.
+
+    ``target`` is the path with its query string, as received; ``headers`` are those to forward.
+    ``caller_timeout`` is how long the caller waits for its answer, counted from ``arrived_at``, in
+    milliseconds. ``is_first_on_connection`` is whether the caller opened its connection for this
+    request. ``network_time`` is the estimated part of the route's objective that passes on the
+    network between caller and gateway, both directions together. A request from another gateway
+    names the ``version`` of the configuration to serve it by.
     """
 
     id: RequestId
@@ -35,10 +36,10 @@
     host: str
     headers: tuple[Header, ...]
     body: bytes
-    patience: Millis | None
-    arrived: Millis
-    fresh: bool = False
-    network: Millis = Millis(0.0)
+    caller_timeout: Millis | None
+    arrived_at: Millis
+    is_first_on_connection: bool = False
+    network_time: Millis = Millis(0.0)
     version: ConfigurationVersion | None = None
 
     @property
@@ -48,11 +49,11 @@
 
     def deadline(self, route: Route) -> Millis:
         """Return when to give up: the caller's patience and the route's timeout bound it."""
-        patience = route.timeout if self.patience is None else self.patience
-        return Millis(self.arrived + min(patience, route.timeout))
+        caller_timeout = route.timeout if self.caller_timeout is None else self.caller_timeout
+        return Millis(self.arrived_at + min(caller_timeout, route.timeout))
 
 
-class Ending(Enum):
+class BodyFraming(Enum):
     """What told that an answer was whole."""
 
     LENGTH = "length"
@@ -61,26 +62,28 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Receipt:
+class ReceiveInfo:
     """How an answer was received.
 
     ``skipped`` counts the answers to other requests that came on its connection since the last.
     """
 
     connection: ConnectionNumber = ConnectionNumber(0)
-    ending: Ending = Ending.LENGTH
+    framing: BodyFraming = BodyFraming.LENGTH
     skipped: int = 0
 
     @property
-    def is_ordinary(self) -> bool:
+    def is_regular(self) -> bool:
         """Tell whether the answer said where it ends, and came alone."""
-        return self.ending is not Ending.CLOSE and not self.skipped
+        return self.framing is not BodyFraming.CLOSE and not self.skipped
 
     def __str__(self) -> str:
-        return f"connection {self.connection}, ended by {self.ending.value}, {self.skipped} skipped"
+        return (
+            f"connection {self.connection}, ended by {self.framing.value}, {self.skipped} skipped"
+        )
 
 
-ORDINARY = Receipt()
+REGULAR_RECEIVE_INFO = ReceiveInfo()
 
 
 @dataclass(frozen=True, slots=True)
@@ -96,10 +99,10 @@
     body: bytes
     stamp: str
     latency: Millis
-    receipt: Receipt = ORDINARY
+    receive_info: ReceiveInfo = REGULAR_RECEIVE_INFO
 
     @property
-    def success(self) -> bool:
+    def is_success(self) -> bool:
         """Tell whether a caller may take it as a success."""
         return 200 <= self.status < 300 and bool(self.stamp)
 
--- a/src/masticgate/request/gateway/_forward.py
+++ b/src/masticgate/request/gateway/_forward.py
@@ -4,7 +4,7 @@
 
 from ..._failures import Reason, Step, Unknown
 from ..._ids import Millis, ServiceId
-from ...version.gateway import Kind, Route
+from ...version.gateway import Idempotency, Route
 from ._attempts import Attempts
 from ._exchange import Call, CallerDisconnected, Inbox, Request, UpstreamClient
 from ._reply import Abandoned, Failed, Refused, Relayed, Reply
@@ -38,12 +38,12 @@
     ) -> None:
         self.upstream = upstream
         self.inbox = inbox
-        self.repeatable = route.kind is Kind.IDEMPOTENT
+        self.repeatable = route.kind is Idempotency.IDEMPOTENT
         self.deadline = request.deadline(route)
         self.attempts = Attempts(request, route, service, upstream, inbox, self.deadline)
         self.hedge_at: Millis | None = None
         if self.repeatable:
-            self.hedge_at = Millis(request.arrived + upstream.hedge_delay(route))
+            self.hedge_at = Millis(request.arrived_at + upstream.hedge_delay(route))
 
     def run(self) -> Reply:
         """Wait for the answer, until the deadline at most."""
@@ -63,7 +63,7 @@
         return self._reply()
 
     def _is_answered(self) -> bool:
-        return self.attempts.answer is not None and self.attempts.answer.success
+        return self.attempts.answer is not None and self.attempts.answer.is_success
 
     def _take(self, call: Call) -> None:
         if not self.attempts.take(call) or self._is_answered() or self.attempts.pending:
@@ -79,7 +79,7 @@
     def _reply(self) -> Reply:
         attempts = self.attempts
         answer = attempts.answer
-        if answer is not None and (answer.success or answer.status in RELAYED_FAILURES):
+        if answer is not None and (answer.is_success or answer.status in RELAYED_FAILURES):
             return Relayed(answer, attempts.describe_sends())
         failure = attempts.explain()
         attempts.cancel()
--- a/src/masticgate/request/gateway/_gather.py
+++ b/src/masticgate/request/gateway/_gather.py
@@ -44,11 +44,11 @@
         self.inbox = inbox
         self.top = shards.top
         self.deadline = request.deadline(route)
-        left = route.objective - request.network - ANSWER_MARGIN
+        left = route.objective - request.network_time - ANSWER_MARGIN
         soon = Millis(max(SHORTEST_ANSWER_TIME, left))
-        self.answer_at = min(self.deadline, Millis(request.arrived + soon))
-        self.least = max(1, ceil(shards.least_share * len(shards.services) - 1e-9))
-        self.hedge_at: Millis | None = Millis(request.arrived + upstream.hedge_delay(route))
+        self.answer_at = min(self.deadline, Millis(request.arrived_at + soon))
+        self.least = max(1, ceil(shards.min_shard_ratio * len(shards.services) - 1e-9))
+        self.hedge_at: Millis | None = Millis(request.arrived_at + upstream.hedge_delay(route))
         self.waiting = [
             Attempts(request, route, service, upstream, inbox, self.deadline)
             for service in shards.services
@@ -90,7 +90,7 @@
         for attempts in self.waiting:
             if not attempts.take(call):
                 continue
-            if attempts.answer is not None and attempts.answer.success:
+            if attempts.answer is not None and attempts.answer.is_success:
                 self.waiting.remove(attempts)
                 self.done.append(attempts)
             elif not attempts.pending:
@@ -116,10 +116,12 @@
             return self._failure()
         stamps = tuple(answer.stamp for answer in answers)
         records = merge_records((answer.body for answer in answers), self.top)
-        causes = tuple(attempts.describe() for attempts in self.waiting[:MOST_CAUSES])
-        unusual = (answer for answer in answers if not answer.receipt.is_ordinary)
-        received = tuple(f"{a.searcher}: {a.receipt}" for a in islice(unusual, MOST_CAUSES))
-        return Merged(stamps, self.total - len(answers), records, causes, received)
+        missing_causes = tuple(attempts.describe() for attempts in self.waiting[:MOST_CAUSES])
+        irregular_parts = (answer for answer in answers if not answer.receive_info.is_regular)
+        received = tuple(
+            f"{a.searcher}: {a.receive_info}" for a in islice(irregular_parts, MOST_CAUSES)
+        )
+        return Merged(stamps, self.total - len(answers), records, missing_causes, received)
 
     def _failure(self) -> Reply:
         detail = f"{len(self.done)} of {self.total} shards"
--- a/src/masticgate/request/gateway/_reply.py
+++ b/src/masticgate/request/gateway/_reply.py
@@ -9,26 +9,26 @@
 
 @dataclass(frozen=True, slots=True)
 class Relayed:
-    """A searcher's answer, passed on unchanged; ``sends`` tells how it was come by."""
+    """A searcher's answer, passed on unchanged; ``send_summary`` describes the sends behind it."""
 
     answer: Answered
-    sends: str = field(default="", compare=False)
+    send_summary: str = field(default="", compare=False)
 
 
 @dataclass(frozen=True, slots=True)
 class Merged:
     """The merged records of some shards; ``stamps`` names the answers that are included.
 
-    ``causes`` tells for some of the missing shards why they are, or which gateway gathered the
-    answer; ``unusual`` tells of some parts that did not say where they end, or came behind answers
-    to other requests, how they were received.
+    ``missing_causes`` gives, for some of the missing shards, why they are missing, or which gateway
+    gathered the answer. ``irregular_parts`` describes how some parts were received that were
+    delimited by the end of their connection or came after responses to other requests.
     """
 
     stamps: tuple[str, ...]
     missing: int
     records: bytes
-    causes: tuple[str, ...] = field(default=(), compare=False)
-    unusual: tuple[str, ...] = field(default=(), compare=False)
+    missing_causes: tuple[str, ...] = field(default=(), compare=False)
+    irregular_parts: tuple[str, ...] = field(default=(), compare=False)
 
 
 @dataclass(frozen=True, slots=True)
@@ -49,7 +49,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Plain:
+class LocalPage:
     """An answer of the gateway's own pages."""
 
     status: int
@@ -61,4 +61,4 @@
     """The caller left; there is nobody to answer."""
 
 
-Reply = Relayed | Merged | Refused | Failed | Plain | Abandoned
+Reply = Relayed | Merged | Refused | Failed | LocalPage | Abandoned
--- a/src/masticgate/version/gateway/__init__.py
+++ b/src/masticgate/version/gateway/__init__.py
@@ -1,6 +1,6 @@
 """The published configuration of a gateway: its routes, services and limits."""
 
-from ._routes import Kind as Kind
+from ._routes import Idempotency as Idempotency
 from ._routes import Limits as Limits
 from ._routes import OneService as OneService
 from ._routes import Route as Route
--- a/src/masticgate/version/gateway/_routes.py
+++ b/src/masticgate/version/gateway/_routes.py
@@ -7,7 +7,7 @@
 from ..._ids import ConfigurationVersion, Millis, RouteId, ServiceId
 
 
-class Kind(Enum):
+class Idempotency(Enum):
     """Whether a request may run more than once."""
 
     IDEMPOTENT = "idempotent"
@@ -40,12 +40,12 @@
 class Shards:
     """Every request goes to all services; the greatest ``top`` records are returned.
 
-    ``least_share`` is the share of the shards, 0 to 1, below which an answer is a failure.
+    ``min_shard_ratio`` is the share of the shards, 0 to 1, below which an answer is a failure.
     """
 
     services: tuple[ServiceId, ...]
     top: int
-    least_share: float
+    min_shard_ratio: float
 
 
 Target = OneService | Split | Shards
@@ -63,7 +63,7 @@
     id: RouteId
     host: str
     prefix: str
-    kind: Kind
+    kind: Idempotency
     target: Target
     attempts: int
     timeout: Millis
--- a/tests/gateway/fakes.py
+++ b/tests/gateway/fakes.py
@@ -21,7 +21,7 @@
 from masticgate.process.gateway._task_pool import TaskPool
 from masticgate.request.gateway import Answered, Call, CallerDisconnected, Declined, Lost, Request
 from masticgate.version.gateway import (
-    Kind,
+    Idempotency,
     Limits,
     OneService,
     Route,
@@ -48,7 +48,7 @@
 
 def make_route(
     target: Target = ORDERS,
-    kind: Kind = Kind.IDEMPOTENT,
+    kind: Idempotency = Idempotency.IDEMPOTENT,
     attempts: int = 2,
     prefix: str = "/a/",
 ) -> Route:
@@ -77,8 +77,8 @@
     return RouteTable(ConfigurationVersion(version), routes, entries, Limits())
 
 
-def make_request(identity: str = "q1", patience: float | None = 400.0) -> Request:
-    wait = None if patience is None else Millis(patience)
+def make_request(identity: str = "q1", caller_timeout: float | None = 400.0) -> Request:
+    wait = None if caller_timeout is None else Millis(caller_timeout)
     return Request(RequestId(identity), b"GET", b"/a/x", "host.example", (), b"", wait, Millis(0.0))
 
 
--- a/tests/gateway/test_buffers.py
+++ b/tests/gateway/test_buffers.py
@@ -7,7 +7,7 @@
 from masticgate import Address, ManualClock, Millis, SearcherId, ServiceId
 from masticgate.connection.gateway import CallerSettings, SearcherTask
 from masticgate.connection.gateway._caller import Caller
-from masticgate.request.gateway import Answered, Call, Plain
+from masticgate.request.gateway import Answered, Call, LocalPage
 from masticgate.version.gateway import Limits
 
 from .fakes import HEADER_NAMES, make_request, make_route
@@ -120,7 +120,7 @@
         near, far = connect_pair()
         recorded = RecordingSocket(near)
         settings = CallerSettings(
-            lambda request, inbox: Plain(200, request.body),
+            lambda request, inbox: LocalPage(200, request.body),
             HEADER_NAMES,
             ManualClock(),
             Limits,
--- a/tests/gateway/test_descriptors.py
+++ b/tests/gateway/test_descriptors.py
@@ -10,7 +10,7 @@
 from masticgate.connection.gateway import CallerSettings, HttpClient, SearcherTask
 from masticgate.connection.gateway._caller import Caller
 from masticgate.connection.gateway._inbox import Link, RequestInbox
-from masticgate.request.gateway import Call, CallerDisconnected, Plain
+from masticgate.request.gateway import Call, CallerDisconnected, LocalPage
 from masticgate.version.gateway import Limits
 
 from .fakes import HEADER_NAMES, make_request, make_route
@@ -73,7 +73,7 @@
         def handle(request, inbox):
             caller.stop_reading()
             outcomes.append(inbox.wait(Millis(clock.now() + 100.0)))
-            return Plain(200, b"served")
+            return LocalPage(200, b"served")
 
         clock = SystemClock()
         settings = CallerSettings(handle, HEADER_NAMES, clock, Limits, lambda: True)
--- a/tests/gateway/test_forward.py
+++ b/tests/gateway/test_forward.py
@@ -6,14 +6,18 @@
 
 from masticgate import ServiceId
 from masticgate.request.gateway import Abandoned, Failed, Refused, Relayed, run_forward
-from masticgate.version.gateway import Kind
+from masticgate.version.gateway import Idempotency
 
 from .fakes import Script, make_request, make_route
 
 
-def forward(script: Script, kind: Kind = Kind.IDEMPOTENT, patience: float = 400.0):
+def forward(
+    script: Script, kind: Idempotency = Idempotency.IDEMPOTENT, caller_timeout: float = 400.0
+):
     route = make_route(kind=kind)
-    return run_forward(make_request(patience=patience), route, ServiceId("orders"), script, script)
+    return run_forward(
+        make_request(caller_timeout=caller_timeout), route, ServiceId("orders"), script, script
+    )
 
 
 class TestForward:
@@ -38,7 +42,7 @@
 
     def test_the_callers_patience_ends_the_wait(self):
         script = Script({"orders": [(0, "silent"), (0, "silent")]})
-        reply = forward(script, patience=150.0)
+        reply = forward(script, caller_timeout=150.0)
         assert isinstance(reply, Failed) and reply.status == 504
         assert script.now() == 150.0
         assert all(sending.cut for sending in script.sent_calls)
@@ -53,29 +57,29 @@
 class TestAtMostOnce:
     def test_a_lost_answer_is_never_asked_for_again(self):
         script = Script({"orders": [(5, "lost"), (5, b"again")]})
-        reply = forward(script, Kind.NON_IDEMPOTENT)
+        reply = forward(script, Idempotency.NON_IDEMPOTENT)
         assert isinstance(reply, Failed) and reply.status == 502
         assert len(script.sent_calls) == 1
 
     def test_it_is_never_hedged(self):
         script = Script({"orders": [(200, b"slow"), (5, b"again")]})
-        forward(script, Kind.NON_IDEMPOTENT)
+        forward(script, Idempotency.NON_IDEMPOTENT)
         assert len(script.sent_calls) == 1
 
     @pytest.mark.parametrize("outcome", ["declined", "unsent"])
     def test_what_did_not_run_is_sent_elsewhere(self, outcome):
         script = Script({"orders": [(5, outcome), (5, b"ran")]})
-        reply = forward(script, Kind.NON_IDEMPOTENT)
+        reply = forward(script, Idempotency.NON_IDEMPOTENT)
         assert isinstance(reply, Relayed) and reply.answer.body == b"ran"
 
     def test_refused_everywhere_is_refused_as_not_run(self):
         script = Script({"orders": [(5, "declined"), (5, "declined")]})
-        reply = forward(script, Kind.NON_IDEMPOTENT)
+        reply = forward(script, Idempotency.NON_IDEMPOTENT)
         assert isinstance(reply, Refused) and reply.status == 503
 
     @pytest.mark.parametrize("status", [408, 421, 429, 503])
     def test_a_status_that_promises_not_run_is_not_passed_on(self, status):
-        reply = forward(Script({"orders": [(5, status)]}), Kind.NON_IDEMPOTENT)
+        reply = forward(Script({"orders": [(5, status)]}), Idempotency.NON_IDEMPOTENT)
         assert isinstance(reply, Failed) and reply.status == 502
 
     @settings(deadline=None, max_examples=200)
@@ -91,7 +95,7 @@
     )
     def test_it_runs_once_at_most_and_a_refusal_is_true(self, plan, repeats):
         script = Script({"orders": list(plan)}, repeats)
-        reply = forward(script, Kind.NON_IDEMPOTENT)
+        reply = forward(script, Idempotency.NON_IDEMPOTENT)
         may_have_run = [
             outcome
             for (_, outcome), _ in zip(plan, script.sent_calls, strict=False)
--- a/tests/gateway/test_gather.py
+++ b/tests/gateway/test_gather.py
@@ -21,7 +21,7 @@
     services = tuple(ServiceId(name) for name in script.plans)
     target = Shards(services, 3, least)
     route = make_route(target, attempts=attempts)
-    request = replace(make_request(), network=Millis(network))
+    request = replace(make_request(), network_time=Millis(network))
     return run_gather(request, route, target, script, script)
 
 
--- a/tests/gateway/test_irregular_answers.py
+++ b/tests/gateway/test_irregular_answers.py
@@ -14,7 +14,7 @@
     UnrequestedBytes,
 )
 from masticgate.process.gateway._service import _describe_reply
-from masticgate.request.gateway import Answered, Call, Ending, Lost, Merged, Receipt
+from masticgate.request.gateway import Answered, BodyFraming, Call, Lost, Merged, ReceiveInfo
 
 from .fakes import HEADER_NAMES, make_entry, make_fleet, make_request, make_route
 from .test_buffers import Mailbox, Owner, connect_pair
@@ -86,11 +86,11 @@
         connection.ask("q3", ANSWER % b"q3")
         assert connection.owner.finished.acquire(timeout=5)
         connection.close()
-        assert connection.owner.outcomes[1].receipt.is_ordinary
+        assert connection.owner.outcomes[1].receive_info.is_regular
         assert connection.owner.noted == [SkippedResponse("q1", "q2")]
-        receipt = connection.owner.outcomes[0].receipt
-        assert receipt == Receipt(ConnectionNumber(7), Ending.LENGTH, 1)
-        assert not receipt.is_ordinary
+        receive_info = connection.owner.outcomes[0].receive_info
+        assert receive_info == ReceiveInfo(ConnectionNumber(7), BodyFraming.LENGTH, 1)
+        assert not receive_info.is_regular
 
     def test_bytes_behind_an_answer_are_noted(self):
         connection = Connection()
@@ -108,7 +108,7 @@
         connection = Connection()
         connection.ask("q1", UNFRAMED % b"q1")
         connection.close()
-        assert connection.owner.outcomes[0].receipt.ending is Ending.CLOSE
+        assert connection.owner.outcomes[0].receive_info.framing is BodyFraming.CLOSE
 
 
 class TestFleetNotes:
@@ -132,9 +132,9 @@
 
 class TestRequestLine:
     def test_names_what_a_query_took_unusually(self):
-        unusual = Receipt(ConnectionNumber(3), Ending.CLOSE, 0)
+        unusual = ReceiveInfo(ConnectionNumber(3), BodyFraming.CLOSE, 0)
         answer = Answered(SearcherId("s1"), 200, (), b"", "s", Millis(1.0), unusual)
-        merged = Merged(("s",), 0, b"", (), (f"{answer.searcher}: {answer.receipt}",))
+        merged = Merged(("s",), 0, b"", (), (f"{answer.searcher}: {answer.receive_info}",))
         assert _describe_reply(merged) == (
             "whole",
             "s1: connection 3, ended by close, 0 skipped",
--- a/tests/gateway/test_network_times.py
+++ b/tests/gateway/test_network_times.py
@@ -14,7 +14,9 @@
 
 
 def estimate(times: NetworkTimes, patience: float, *, fresh: bool = False) -> float:
-    return times.estimate(ROUTE, replace(make_request(patience=patience), fresh=fresh))
+    return times.estimate(
+        ROUTE, replace(make_request(caller_timeout=patience), is_first_on_connection=fresh)
+    )
 
 
 class TestNetworkTimes:
@@ -42,11 +44,11 @@
         times = NetworkTimes()
         estimate(times, 600.0, fresh=True)
         estimate(times, 602.0)
-        assert times.estimate(RouteId("other"), make_request(patience=2_000.0)) == 2.0
+        assert times.estimate(RouteId("other"), make_request(caller_timeout=2_000.0)) == 2.0
 
     def test_a_caller_without_patience_tells_nothing(self):
         times = NetworkTimes()
-        assert times.estimate(ROUTE, make_request(patience=None)) == INITIAL_ROUND_TRIP
+        assert times.estimate(ROUTE, make_request(caller_timeout=None)) == INITIAL_ROUND_TRIP
         assert times.routes == {}
 
     def test_routes_that_a_configuration_drops_are_forgotten(self):
--- a/tests/gateway/test_peers.py
+++ b/tests/gateway/test_peers.py
@@ -16,7 +16,7 @@
     peer_route,
 )
 from masticgate.request.gateway import Request
-from masticgate.version.gateway import Kind
+from masticgate.version.gateway import Idempotency
 
 from .fakes import make_fleet, make_route, make_settings
 
@@ -51,7 +51,7 @@
         assert choose_gathering(58, 51, is_seed=True) == GatherHere()
 
     def test_a_query_is_handed_on_once_unless_it_did_not_run(self):
-        assert peer_route(make_route()).kind is Kind.NON_IDEMPOTENT
+        assert peer_route(make_route()).kind is Idempotency.NON_IDEMPOTENT
 
 
 class TestMembers:
--- a/tests/gateway/test_pipelined_refusals.py
+++ b/tests/gateway/test_pipelined_refusals.py
@@ -7,7 +7,7 @@
 from masticgate import SystemClock
 from masticgate.connection.gateway import CallerSettings
 from masticgate.connection.gateway._caller import Caller
-from masticgate.request.gateway import Plain
+from masticgate.request.gateway import LocalPage
 from masticgate.version.gateway import Limits
 
 from .fakes import HEADER_NAMES
@@ -24,7 +24,7 @@
     def test_gets_its_own_answer(self, behind):
         near, far = connect_pair()
         settings = CallerSettings(
-            lambda request, inbox: Plain(200, b"served"),
+            lambda request, inbox: LocalPage(200, b"served"),
             HEADER_NAMES,
             SystemClock(),
             Limits,
@@ -59,7 +59,7 @@
 
         def handle(request, inbox):
             served.append(request)
-            return Plain(200, b"served")
+            return LocalPage(200, b"served")
 
         limits = Limits(body_bytes=8)
         settings = CallerSettings(
--- a/tests/gateway/test_refused_tasks.py
+++ b/tests/gateway/test_refused_tasks.py
@@ -13,7 +13,7 @@
 from masticgate.process.gateway._log import EventLog
 from masticgate.process.gateway._metrics import Metrics
 from masticgate.process.gateway._task_pool import Task
-from masticgate.request.gateway import Call, Plain
+from masticgate.request.gateway import Call, LocalPage
 from masticgate.version.gateway import Limits
 
 from .fakes import HEADER_NAMES, make_entry, make_pool, make_request, make_route, make_settings
@@ -55,7 +55,7 @@
 
 
 def serve_page(request, inbox):
-    return Plain(200, b"served")
+    return LocalPage(200, b"served")
 
 
 class TestRefusedCaller:
--- a/tests/gateway/test_relay.py
+++ b/tests/gateway/test_relay.py
@@ -22,14 +22,14 @@
 from masticgate.process.gateway._log import EventLog
 from masticgate.process.gateway._relay import CatalogueLog, RelayedSource
 from masticgate.request.gateway import Request
-from masticgate.version.gateway import Kind, Shards, Split, WeightedService
+from masticgate.version.gateway import Idempotency, Shards, Split, WeightedService
 
 from .fakes import make_entry, make_route, make_table
 from .loopback import StandInSearcher
 
 SHARDS = make_route(Shards((ServiceId("s1"), ServiceId("s2")), 3, 0.5))
 SPLIT = make_route(
-    Split((WeightedService(ServiceId("a"), 3.0),)), Kind.NON_IDEMPOTENT, prefix="/b/"
+    Split((WeightedService(ServiceId("a"), 3.0),)), Idempotency.NON_IDEMPOTENT, prefix="/b/"
 )
 
 
--- a/tests/gateway/test_scarce_descriptors.py
+++ b/tests/gateway/test_scarce_descriptors.py
@@ -20,7 +20,7 @@
 from masticgate.process.gateway._fleet import Fleet
 from masticgate.process.gateway._log import EventLog
 from masticgate.process.gateway._metrics import Metrics
-from masticgate.request.gateway import Call, Plain
+from masticgate.request.gateway import Call, LocalPage
 from masticgate.version.gateway import Limits
 
 from .fakes import HEADER_NAMES, make_entry, make_pool, make_request, make_route, make_settings
@@ -52,7 +52,7 @@
 @pytest.fixture
 def listener():
     settings = CallerSettings(
-        lambda request, inbox: Plain(200, b"served"),
+        lambda request, inbox: LocalPage(200, b"served"),
         HEADER_NAMES,
         SystemClock(),
         Limits,
--- a/tests/gateway/test_whole_gateway.py
+++ b/tests/gateway/test_whole_gateway.py
@@ -5,7 +5,7 @@
 import pytest
 
 from masticgate import ServiceId
-from masticgate.version.gateway import Kind, OneService, Shards
+from masticgate.version.gateway import Idempotency, OneService, Shards
 
 from .fakes import make_route
 from .loopback import (
@@ -24,7 +24,7 @@
     return number.to_bytes(16, "big")
 
 
-def gateway_over(answer, count: int = 1, kind: Kind = Kind.IDEMPOTENT):
+def gateway_over(answer, count: int = 1, kind: Idempotency = Idempotency.IDEMPOTENT):
     searchers = [StandInSearcher(answer) for _ in range(count)]
     return searchers, running_gateway([make_route(ORDERS, kind)], {"orders": searchers})
 
@@ -119,7 +119,7 @@
             sent.append(head)
             return data if len(sent) == 1 else None
 
-        searchers, running = gateway_over(answer, kind=Kind.NON_IDEMPOTENT)
+        searchers, running = gateway_over(answer, kind=Idempotency.NON_IDEMPOTENT)
         searchers[0].answer = answer
         with running as gateway:
             status = RawCaller(gateway).get().read()[0]
@@ -128,7 +128,7 @@
     def test_a_success_without_a_stamp_is_not_passed_on(self):
         _, running = gateway_over(
             lambda head: b"HTTP/1.1 200 X\r\nx-id: q1\r\nContent-Length: 2\r\n\r\nno",
-            kind=Kind.NON_IDEMPOTENT,
+            kind=Idempotency.NON_IDEMPOTENT,
         )
         with running as gateway:
             assert RawCaller(gateway).get().read()[0] == 502
--- a/tests/platform/test_items.py
+++ b/tests/platform/test_items.py
@@ -9,7 +9,7 @@
 
 from masticgate.platform._items import decode_item
 from masticgate.process.gateway import Listed, Published, SearcherPhase, Unlisted, Unreadable
-from masticgate.version.gateway import Kind, OneService, Shards, Split
+from masticgate.version.gateway import Idempotency, OneService, Shards, Split
 
 ENTRY = {
     "service": "huvo",
@@ -128,13 +128,13 @@
         shards, one, split = table.routes
         assert shards.target == Shards(("s1", "s2"), 5, 0.75)
         assert (shards.kind, shards.attempts, shards.timeout, shards.objective, shards.rank) == (
-            Kind.IDEMPOTENT,
+            Idempotency.IDEMPOTENT,
             2,
             250.0,
             44.0,
             0,
         )
-        assert one.target == OneService("s3") and one.kind is Kind.NON_IDEMPOTENT
+        assert one.target == OneService("s3") and one.kind is Idempotency.NON_IDEMPOTENT
         assert isinstance(split.target, Split)
         assert table.services["s1"].connections == 25
         assert table.limits.header_bytes == 100
