--- a/src/masticgate/process/_host_tier.py
+++ b/src/masticgate/process/_host_tier.py
@@ -11,11 +11,11 @@
 from ..version import Configuration, Scope, Snapshot, owner_table, rank_hosts
 from ._admission import AdmissionControl
 from ._links import Links
-from ._mailboxes import Mailboxes
 from ._members import Members
 from ._owner import Owner
 from ._policy import AdmitAll, AdmitByCapacity, LocalRouting, OwnerRouting, Policy
 from ._repeat_budget import RepeatBudget
+from ._reply_router import ReplyRouter
 from ._tickets import parse_ticket
 from ._versions import VersionStore
 
@@ -35,7 +35,7 @@
         versions: VersionStore,
         members: Members,
         links: Links,
-        mailboxes: Mailboxes,
+        reply_router: ReplyRouter,
         owner: Owner,
         admission: AdmissionControl,
     ) -> None:
@@ -46,7 +46,7 @@
         self.versions = versions
         self.members = members
         self.links = links
-        self.mailboxes = mailboxes
+        self.reply_router = reply_router
         self.owner = owner
         self.admission = admission
         self.repeats = RepeatBudget()
@@ -116,18 +116,18 @@
         if isinstance(message, Ask):
             self.repeats.earn(len(message.parts))
         if inbox is not None and not isinstance(message, Cancel):
-            self.mailboxes.register(host, message, inbox)
+            self.reply_router.register(host, message, inbox)
         if host == self.own:
             self._send_to_self(message)
             return None
         refusal = self.links.send(host, message)
         if refusal is not None:
-            self.mailboxes.withdraw(host, message.query)
+            self.reply_router.unregister(host, message.query)
         return refusal
 
     def forget(self, query: QueryId) -> None:
         """Drop replies to ``query`` from now on."""
-        self.mailboxes.forget(query)
+        self.reply_router.unregister_query(query)
 
     def is_silent(self, host: HostId) -> bool:
         """Tell whether ``host`` has sent nothing for longer than a live host would."""
@@ -161,7 +161,7 @@
                 return
 
     def _deliver_own(self, reply: Reply | BookReply) -> None:
-        self.mailboxes.deliver(self.own, reply)
+        self.reply_router.deliver(self.own, reply)
 
     def _reachable_owners(self, service: ServiceId) -> list[HostId]:
         """Return the owners with an open link, silent ones last, else whoever can be reached."""
--- a/src/masticgate/process/_peer_service.py
+++ b/src/masticgate/process/_peer_service.py
@@ -16,11 +16,11 @@
 from ..version import CataloguePush, FetchVersions, SectionsPush, TextPush
 from ._distribution import Distribution
 from ._links import Links
-from ._mailboxes import Mailboxes
 from ._members import Members
 from ._messages import Demand, Heartbeat, HeartbeatReply, Hello, Member, MemberState, Pressure
 from ._owner import Owner
 from ._pressure import PressureReporter
+from ._reply_router import ReplyRouter
 from ._timeline import EventKind, TimeLine
 from ._versions import VersionStore
 
@@ -36,13 +36,13 @@
         members: Members,
         versions: VersionStore,
         timeline: TimeLine,
-        mailboxes: Mailboxes,
+        reply_router: ReplyRouter,
     ) -> None:
         self.own = own
         self.members = members
         self.versions = versions
         self.timeline = timeline
-        self.mailboxes = mailboxes
+        self.reply_router = reply_router
         self.owner: Owner
         self.links: Links
         self.pressure: PressureReporter
@@ -60,17 +60,20 @@
     def link_opened(self, peer: Hello) -> None:
         """Note that the link to ``peer`` is open; tell it what was believed of it."""
         self.timeline.add(EventKind.LINK_OPENED, peer.host, f"incarnation {peer.incarnation}")
-        believed = self.members.merge([member_of(peer)])
+        corrections = self.members.merge([member_from_hello(peer)])
         digest = tuple(self.members.digest)
         beat = Heartbeat(
-            self.timeline.sequence, self.versions.versions(), (self.members.own, *believed), digest
+            self.timeline.sequence,
+            self.versions.versions(),
+            (self.members.own, *corrections),
+            digest,
         )
         self.links.send(peer.host, beat)
 
     def link_lost(self, host: HostId) -> None:
         """Fail the requests that wait for ``host``."""
         self.timeline.add(EventKind.LINK_LOST, host)
-        self.mailboxes.lose(host)
+        self.reply_router.fail_pending(host)
 
     def receive(self, peer: Hello, message: Message, answer: Callable[[Message], bool]) -> None:
         """Handle one message from ``peer``; ``answer`` sends on the same connection."""
@@ -83,13 +86,13 @@
             case Book():
                 self.owner.submit_booking(message, answer)
             case Reply() | BookReply() | ForwardReply():
-                self.mailboxes.deliver(peer.host, message)
+                self.reply_router.deliver(peer.host, message)
             case Forward():
                 self.run_forward(message, answer)
             case Heartbeat():
-                self._answer_heartbeat(peer, message, answer)
+                self._handle_heartbeat(peer, message, answer)
             case HeartbeatReply():
-                self._take_reply(peer, message, answer)
+                self._handle_heartbeat_reply(peer, message, answer)
             case FetchVersions(have=have):
                 self.distribution.answer_fetch(have, answer)
             case TextPush() | SectionsPush() | CataloguePush():
@@ -101,10 +104,10 @@
             case Hello():
                 return
 
-    def _answer_heartbeat(
+    def _handle_heartbeat(
         self, peer: Hello, beat: Heartbeat, answer: Callable[[Message], bool]
     ) -> None:
-        self.timeline.note_sequence(peer.host, beat.events)
+        self.timeline.record_sequence(peer.host, beat.events)
         corrections = self.members.merge(beat.members)
         self.distribution.compare_versions(peer, beat.versions, answer)
         missing, differs = self.members.compare_digest(beat.digest)
@@ -112,10 +115,10 @@
         versions = self.versions.versions()
         answer(HeartbeatReply(self.timeline.sequence, versions, corrections + missing, digest))
 
-    def _take_reply(
+    def _handle_heartbeat_reply(
         self, peer: Hello, reply: HeartbeatReply, answer: Callable[[Message], bool]
     ) -> None:
-        self.timeline.note_sequence(peer.host, reply.events)
+        self.timeline.record_sequence(peer.host, reply.events)
         corrections = self.members.merge(reply.members)
         self.distribution.compare_versions(peer, reply.versions, answer)
         missing, _ = self.members.compare_digest(reply.digest)
@@ -125,6 +128,6 @@
             )
 
 
-def member_of(peer: Hello) -> Member:
+def member_from_hello(peer: Hello) -> Member:
     """Return the belief that a hello gives rise to."""
     return Member(peer.host, peer.address, peer.failure_domain, peer.incarnation, MemberState.ALIVE)
--- a/src/masticgate/process/_mailboxes.py
+++ b/src/masticgate/process/_reply_router.py
@@ -20,57 +20,57 @@
 
 
 @dataclass(frozen=True, slots=True)
-class _Sent:
+class _PendingRequest:
     message: Ask | Book | Forward
     inbox: Inbox
 
 
-class Mailboxes:
+class ReplyRouter:
     """The messages that await a reply, by query and by host.
 
     ``learn`` is told of the outcomes of bookings that nobody waits for any more.
     """
 
-    def __init__(self, learn: Callable[[QueryId, BookingOutcome], None]) -> None:
-        self.learn = learn
+    def __init__(self, on_late_outcome: Callable[[QueryId, BookingOutcome], None]) -> None:
+        self.on_late_outcome = on_late_outcome
         self.lock = Lock()
-        self.sent: dict[QueryId, dict[HostId, _Sent]] = {}
+        self.pending: dict[QueryId, dict[HostId, _PendingRequest]] = {}
 
     def register(self, host: HostId, message: Ask | Book | Forward, inbox: Inbox) -> None:
         """Route replies of ``host`` to this message to ``inbox``; call it before sending."""
         with self.lock:
-            self.sent.setdefault(message.query, {})[host] = _Sent(message, inbox)
+            self.pending.setdefault(message.query, {})[host] = _PendingRequest(message, inbox)
 
-    def withdraw(self, host: HostId, query: QueryId) -> None:
+    def unregister(self, host: HostId, query: QueryId) -> None:
         """Forget one message that was not sent."""
         with self.lock:
-            hosts = self.sent.get(query, {})
+            hosts = self.pending.get(query, {})
             hosts.pop(host, None)
             if not hosts:
-                self.sent.pop(query, None)
+                self.pending.pop(query, None)
 
-    def forget(self, query: QueryId) -> None:
+    def unregister_query(self, query: QueryId) -> None:
         """Drop replies to ``query`` from now on."""
         with self.lock:
-            self.sent.pop(query, None)
+            self.pending.pop(query, None)
 
     def deliver(self, host: HostId, reply: Reply | BookReply | ForwardReply) -> None:
         """Put ``reply`` into the inbox that waits for it, if one still does."""
         with self.lock:
-            sent = self.sent.get(reply.query, {}).get(host)
-        if sent is not None:
-            sent.inbox.put(Delivery(host, reply))
+            request = self.pending.get(reply.query, {}).get(host)
+        if request is not None:
+            request.inbox.put(Delivery(host, reply))
         elif isinstance(reply, BookReply):
-            self.learn(reply.query, reply.outcome)
+            self.on_late_outcome(reply.query, reply.outcome)
 
-    def lose(self, host: HostId) -> None:
+    def fail_pending(self, host: HostId) -> None:
         """Tell every inbox that waits for ``host`` that it was lost."""
         with self.lock:
-            lost = [hosts[host] for hosts in self.sent.values() if host in hosts]
+            unanswered = [hosts[host] for hosts in self.pending.values() if host in hosts]
         failure = Unknown(Reason.OWNER_LOST, Step.FORWARD, peer=host)
-        for sent in lost:
-            for reply in _failed_replies(sent.message, failure):
-                sent.inbox.put(Delivery(host, reply))
+        for request in unanswered:
+            for reply in _failed_replies(request.message, failure):
+                request.inbox.put(Delivery(host, reply))
 
 
 def _failed_replies(
--- a/src/masticgate/process/_server.py
+++ b/src/masticgate/process/_server.py
@@ -24,15 +24,15 @@
 from ._host_tier import HostTier
 from ._links import Links
 from ._logs import log_event
-from ._mailboxes import Mailboxes
 from ._members import Members
 from ._messages import Hello, Member, MemberState
 from ._metrics import FLUSH_INTERVAL, Metrics
 from ._owner import Owner
-from ._peer_service import PeerService, member_of
+from ._peer_service import PeerService, member_from_hello
 from ._policy import NAIVE_POLICY, OWNER_POLICY, Policy
 from ._pools import Pools
 from ._pressure import PRESSURE_INTERVAL, PressureReporter
+from ._reply_router import ReplyRouter
 from ._service_pool import ServicePool
 from ._settings import Settings
 from ._tickets import TicketTable
@@ -60,11 +60,13 @@
         self.timeline = TimeLine(self.id, self.clock, log_event)
         self.metrics = Metrics(settings)
         self.tickets = TicketTable(self.id, self.incarnation, self.clock)
-        self.mailboxes = Mailboxes(self.tickets.record_late_outcome)
+        self.reply_router = ReplyRouter(self.tickets.record_late_outcome)
         self.versions = VersionStore(self.timeline, self._configuration_changed, starting=True)
         own = self._hello()
-        self.members = Members(member_of(own), self.clock, self.timeline, self._members_changed)
-        self.peers = PeerService(own, self.members, self.versions, self.timeline, self.mailboxes)
+        self.members = Members(
+            member_from_hello(own), self.clock, self.timeline, self._members_changed
+        )
+        self.peers = PeerService(own, self.members, self.versions, self.timeline, self.reply_router)
         self.links = Links(self.peers, self.clock, self.start_task)
         self.distribution = Distribution(
             settings, self.versions, self.members, self.links, self.timeline, self.clock
@@ -133,7 +135,7 @@
             self.versions,
             self.members,
             self.links,
-            self.mailboxes,
+            self.reply_router,
             self.owner,
             self.admission,
         )
--- a/src/masticgate/process/_timeline.py
+++ b/src/masticgate/process/_timeline.py
@@ -81,7 +81,7 @@
         self.on_event(event)
         return event
 
-    def note_sequence(self, host: HostId, sequence: int) -> None:
+    def record_sequence(self, host: HostId, sequence: int) -> None:
         """Note that ``host`` said it had reached ``sequence``."""
         with self.lock:
             self.seen[host] = max(sequence, self.seen.get(host, 0))
--- a/src/masticgate/process/_timeline_merge.py
+++ b/src/masticgate/process/_timeline_merge.py
@@ -18,7 +18,7 @@
     merged: list[Event] = []
     while lines:
         heads = [line[-1] for line in lines.values()]
-        free = [event for event in heads if not _waits(event, lines)]
+        free = [event for event in heads if not _has_pending_cause(event, lines)]
         event = min(free or heads, key=lambda e: (e.wall, e.host))
         merged.append(event)
         lines[event.host].pop()
@@ -27,7 +27,7 @@
     return merged
 
 
-def _waits(event: Event, lines: dict[HostId, list[Event]]) -> bool:
+def _has_pending_cause(event: Event, lines: dict[HostId, list[Event]]) -> bool:
     """Tell whether an event that ``event`` had heard of is still to come."""
     return any(
         host != event.host and host in lines and lines[host][-1].sequence <= sequence
--- a/tests/process/test_fetches.py
+++ b/tests/process/test_fetches.py
@@ -13,7 +13,7 @@
 from masticgate.process import Hello, Settings
 from masticgate.process._distribution import FETCH_TIMEOUT, Distribution
 from masticgate.process._members import Members
-from masticgate.process._peer_service import member_of
+from masticgate.process._peer_service import member_from_hello
 from masticgate.process._timeline import TimeLine
 from masticgate.process._versions import VersionStore
 from masticgate.version import CataloguePush, FetchVersions, SectionsPush, TextPush, Versions
@@ -54,7 +54,7 @@
         self.hello = Hello(
             HostId(name), Address(NOWHERE), FailureDomainId("north"), Incarnation(1), 1, 1
         )
-        own = member_of(self.hello)
+        own = member_from_hello(self.hello)
         members = Members(own, self.clock, timeline, lambda changed: None)
         self.distribution = Distribution(
             settings, self.versions, members, self.links, timeline, self.clock
--- a/tests/process/test_owner_bookings.py
+++ b/tests/process/test_owner_bookings.py
@@ -12,9 +12,9 @@
     SearcherId,
 )
 from masticgate.process import OWNER_POLICY
-from masticgate.process._mailboxes import Mailboxes
 from masticgate.process._owner import Owner
 from masticgate.process._pools import Pools
+from masticgate.process._reply_router import ReplyRouter
 from masticgate.process._timeline import TimeLine
 from masticgate.process._versions import VersionStore
 from masticgate.request import Book, BookReply, Cancel, Ran
@@ -101,6 +101,6 @@
 class TestMailboxes:
     def test_tells_the_tickets_of_a_booking_nobody_waits_for(self):
         learned = []
-        mailboxes = Mailboxes(lambda query, outcome: learned.append((query, outcome)))
-        mailboxes.deliver(HostId("h2"), BookReply(QueryId("q1"), Ran("1")))
+        reply_router = ReplyRouter(lambda query, outcome: learned.append((query, outcome)))
+        reply_router.deliver(HostId("h2"), BookReply(QueryId("q1"), Ran("1")))
         assert learned == [("q1", Ran("1"))]
--- a/tests/process/test_timeline.py
+++ b/tests/process/test_timeline.py
@@ -25,7 +25,7 @@
     def test_puts_a_cause_before_its_effect_though_its_clock_is_ahead(self):
         fast, slow = line("fast", 1_000_000.0), line("slow")
         cause = fast.add(EventKind.TEXT_ACCEPTED, "revision 2")
-        slow.note_sequence(HostId("fast"), cause.sequence)
+        slow.record_sequence(HostId("fast"), cause.sequence)
         effect = slow.add(EventKind.TEXT_ACCEPTED, "revision 2")
         assert merge_events([effect, cause]) == [cause, effect]
 
@@ -43,7 +43,7 @@
             if add:
                 events.append(lines[source].add(EventKind.STARTED, "x"))
             else:
-                lines[target].note_sequence(HostId(f"h{source}"), lines[source].sequence)
+                lines[target].record_sequence(HostId(f"h{source}"), lines[source].sequence)
         merged = merge_events(reversed(events))
         place = {(e.host, e.sequence): index for index, e in enumerate(merged)}
         assert len(place) == len(events)
