--- a/src/masticgate/process/gateway/_fleet.py
+++ b/src/masticgate/process/gateway/_fleet.py
@@ -27,7 +27,7 @@
 from ._repeat_budgets import RepeatBudgets
 from ._replica import Replica, ReplicaState
 from ._settings import GatewaySettings
-from ._shares import Shares
+from ._shares import GatewayShares
 
 RETRY_RESERVE = 1.0
 DEFAULT_CONNECTIONS = 8
@@ -90,21 +90,21 @@
         self.services: dict[ServiceId, dict[SearcherId, Replica]] = {}
         self.replicas: dict[SearcherId, Replica] = {}
         self.tasks: dict[SearcherTask, Replica] = {}
-        self.numbers = count(1)
+        self.connection_numbers = count(1)
         self.drained: dict[SearcherId, int] = {}
-        self.accepted: dict[ServiceId, int] = {}
-        self.shards: set[ServiceId] = set()
-        self.shares = Shares(1, 1, False)
+        self.accepted_connections: dict[ServiceId, int] = {}
+        self.shard_services: set[ServiceId] = set()
+        self.shares = GatewayShares(1, 1, False)
         self.peer_header_names = peer_header_names(header_names)
         self.budgets = RepeatBudgets(settings.repeats, self.shares, clock.now())
-        self.delays = HedgeDelays()
+        self.hedge_delays = HedgeDelays()
 
-    def reload(self, settings: GatewaySettings) -> None:
+    def apply_settings(self, settings: GatewaySettings) -> None:
         """Take changed settings."""
         with self.lock:
             self.settings = settings
             self.budgets.bounds = settings.repeats
-            self.budgets.share(self.shares)
+            self.budgets.apply_shares(self.shares)
 
     def now(self) -> Millis:
         """Return the gateway's clock."""
@@ -117,15 +117,15 @@
         """
         while True:
             with self.lock:
-                replica = self._choose(call, tried)
+                replica = self._choose_replica(call, tried)
                 if isinstance(replica, NotRun):
                     return replica
                 idle = replica.idle.pop() if replica.idle else None
-                task = idle or self._open(replica, call)
+                task = idle or self._open_connection(replica, call)
                 if task is None:
                     return NotRun(Reason.OVERLOAD, Step.CONNECT, call.service, "no task can start")
                 replica.in_flight += 1
-                replica.used_at = self.clock.now()
+                replica.last_used_at = self.clock.now()
             if idle is None or idle.assign(call):
                 break
             with self.lock:
@@ -134,13 +134,13 @@
             self.metrics.count("repeats")
         else:
             with self.lock:
-                self.budgets.note_request(call.service, self.clock.now())
+                self.budgets.record_request(call.service, self.clock.now())
         return FleetSending(call, replica.entry.id, task)
 
     def hedge_delay(self, route: Route) -> Millis:
         """Return the age at which a send on ``route`` is repeated elsewhere."""
         with self.lock:
-            return self.delays.delay(route)
+            return self.hedge_delays.delay(route)
 
     def allow_hedge(self, service: ServiceId) -> bool:
         """Take one repeat from the budget, leaving the reserve of retries."""
@@ -156,7 +156,7 @@
         """Take a connection that was opened ahead of its first call."""
         self.metrics.count("connections_opened")
         with self.lock:
-            self._keep(self.tasks[task], task)
+            self._keep_idle(self.tasks[task], task)
 
     def handle_outcome(
         self, task: SearcherTask, call: Call, load: Load | None, *, reusable: bool
@@ -166,24 +166,24 @@
         with self.lock:
             replica = self.tasks[task]
             replica.in_flight -= 1
-            self._judge(replica, call, now)
+            self._record_outcome(replica, call, now)
             if load is not None:
-                replica.waiting = max(0, load.running + load.waiting - replica.in_flight - 1)
-                replica.reported_at = now
+                replica.other_requests = max(0, load.running + load.waiting - replica.in_flight - 1)
+                replica.load_reported_at = now
             if reusable:
-                self._keep(replica, task)
+                self._keep_idle(replica, task)
 
     def handle_close(self, task: SearcherTask, *, connected: bool) -> None:
         """Count out a connection."""
         with self.lock:
             replica = self.tasks.pop(task)
-            replica.tasks -= 1
+            replica.connection_count -= 1
             if task in replica.idle:
                 replica.idle.remove(task)
             if connected or task.opened_for_call:
                 return
             self.metrics.count("connections_failed")
-            if replica.fail(self.clock.now()):
+            if replica.record_failure(self.clock.now()):
                 self._log_ejection(replica, "", "connect")
 
     def record_violation(self, task: SearcherTask, violation: ProtocolViolation) -> None:
@@ -207,39 +207,41 @@
     def apply_table(self, table: RouteTable) -> None:
         """Take the services' connections and the services to keep warm from a configuration."""
         with self.lock:
-            self.accepted = {service.id: service.connections for service in table.services.values()}
-            self.shards = table.shard_services()
-            self.budgets.shards = self.shards
+            self.accepted_connections = {
+                service.id: service.connections for service in table.services.values()
+            }
+            self.shard_services = table.shard_services()
+            self.budgets.shard_services = self.shard_services
             for replica in self.replicas.values():
-                replica.connections = self._connections(replica.entry.service)
-            self.delays.keep({route.id for route in table.routes})
+                replica.max_connections = self._max_connections(replica.entry.service)
+            self.hedge_delays.retain_routes({route.id for route in table.routes})
         self.warm_up()
 
-    def share(self, shares: Shares) -> None:
+    def apply_shares(self, shares: GatewayShares) -> None:
         """Share connections and repeats with the gateways that there are now."""
         with self.lock:
             if shares == self.shares:
                 return
             self.shares = shares
             for replica in self.replicas.values():
-                replica.connections = self._connections(replica.entry.service)
-            self.budgets.share(shares)
+                replica.max_connections = self._max_connections(replica.entry.service)
+            self.budgets.apply_shares(shares)
         self.warm_up()
 
     def warm_up(self) -> None:
         """Open a connection to each searcher of a searched shard that has none."""
         with self.lock:
-            for service in self.shards if self.shares.warm else ():
+            for service in self.shard_services if self.shares.keeps_warm else ():
                 for replica in self.services.get(service, {}).values():
-                    if replica.state is ReplicaState.ACTIVE and replica.tasks == 0:
-                        self._open(replica)
+                    if replica.state is ReplicaState.ACTIVE and replica.connection_count == 0:
+                        self._open_connection(replica)
 
-    def list_searcher(self, entry: SearcherEntry) -> None:
+    def apply_listing(self, entry: SearcherEntry) -> None:
         """Take a listing as it is now."""
         now = self.clock.now()
         with self.lock:
             known = self.replicas.get(entry.id)
-            if self._is_past(known, entry):
+            if self._is_outdated(known, entry):
                 self.log.write(
                     LogEvent.SEARCHER_IGNORED,
                     searcher=entry.id,
@@ -247,13 +249,13 @@
                     phase=entry.phase.value,
                 )
                 return
-            if known is None or self._is_other(known.entry, entry):
+            if known is None or self._is_replacement(known.entry, entry):
                 if known is not None:
-                    self._drop(known)
+                    self._remove(known)
                 known = self._add(entry, now)
             self._update(known, entry, now)
 
-    def unlist_searcher(
+    def remove_searcher(
         self, searcher: SearcherId, why: str, last_resort: Millis | None = None
     ) -> None:
         """Stop using a searcher whose listing is gone.
@@ -263,9 +265,9 @@
         with self.lock:
             replica = self.replicas.get(searcher)
             if replica is not None:
-                self._leave(replica, why, last_resort)
+                self._start_leaving(replica, why, last_resort)
 
-    def unlisted(self, listed: set[SearcherId]) -> set[SearcherId]:
+    def find_unlisted(self, listed: set[SearcherId]) -> set[SearcherId]:
         """Return the searchers that are in use but not ``listed``."""
         with self.lock:
             return {
@@ -283,12 +285,12 @@
                 if leaving and now >= replica.usable_until:
                     replica.state = ReplicaState.GONE
                 if replica.state is ReplicaState.GONE and replica.in_flight == 0:
-                    self._drop(replica)
+                    self._remove(replica)
                 self._expire_idle(replica, now)
-            self._cut_stuck(now)
+            self._close_stuck(now)
         self.warm_up()
 
-    def _choose(self, call: Call, tried: set[SearcherId]) -> Replica | NotRun:
+    def _choose_replica(self, call: Call, tried: set[SearcherId]) -> Replica | NotRun:
         now = self.clock.now()
         service = call.service
         known = self.services.get(service, {})
@@ -298,34 +300,34 @@
             usable = [replica for replica in others if replica.state is ReplicaState.EJECTED]
         if not usable:
             return NotRun(Reason.NO_SEARCHER, Step.ROUTE, service, f"{len(known)} known")
-        free = [replica for replica in usable if replica.has_room()]
+        free = [replica for replica in usable if replica.has_capacity()]
         if not free:
             return NotRun(Reason.OVERLOAD, Step.CONNECT, service, "all connections are busy")
-        return min(free, key=lambda replica: self._order(replica, now))
+        return min(free, key=lambda replica: self._sort_key(replica, now))
 
-    def _order(self, replica: Replica, now: Millis) -> tuple[bool, float]:
+    def _sort_key(self, replica: Replica, now: Millis) -> tuple[bool, float]:
         foreign = replica.entry.domain != self.settings.domain
         cost = replica.cost(now) + (CROSS_DOMAIN_COST if foreign else 0.0)
         return replica.state is ReplicaState.LEAVING, cost
 
-    def _open(self, replica: Replica, first: Call | None = None) -> SearcherTask | None:
+    def _open_connection(self, replica: Replica, first: Call | None = None) -> SearcherTask | None:
         """Start the task of a new connection; return ``None`` where the process has no room."""
         entry = replica.entry
         header_names = (
             self.peer_header_names if entry.service == PEER_SERVICE else self.header_names
         )
-        number = ConnectionNumber(next(self.numbers))
+        number = ConnectionNumber(next(self.connection_numbers))
         task = SearcherTask(entry.id, entry.address, self, header_names, self.clock, first, number)
-        replica.tasks += 1
+        replica.connection_count += 1
         self.tasks[task] = replica
         refused = self.starter.start(task.run)
         if refused is None:
             return task
-        self.tasks.pop(task).tasks -= 1
+        self.tasks.pop(task).connection_count -= 1
         self.log.write(LogEvent.TASK_REFUSED, searcher=entry.id, detail=refused.detail)
         return None
 
-    def _keep(self, replica: Replica, task: SearcherTask) -> None:
+    def _keep_idle(self, replica: Replica, task: SearcherTask) -> None:
         """Keep an idle connection, or end it; the lock is held."""
         if replica.state is ReplicaState.GONE:
             task.close()
@@ -343,20 +345,22 @@
             )
             if now - task.idle_since < kept - IDLE_TIMEOUT_MARGIN:
                 continue
-            recent = now - replica.used_at < RENEWAL_WINDOW or self._is_warm(replica.entry.service)
-            if recent and replica.state is ReplicaState.ACTIVE and replica.tasks <= 2:
-                self._open(replica)
+            recent = now - replica.last_used_at < RENEWAL_WINDOW or self._is_warm(
+                replica.entry.service
+            )
+            if recent and replica.state is ReplicaState.ACTIVE and replica.connection_count <= 2:
+                self._open_connection(replica)
             replica.idle.remove(task)
             task.close()
 
-    def _cut_stuck(self, now: Millis) -> None:
+    def _close_stuck(self, now: Millis) -> None:
         """Cut connections whose call should have ended; the lock is held."""
         for task in self.tasks:
             call = task.current_call
             if call is not None and call.started and now > call.deadline + STUCK_CALL_MARGIN:
                 task.close()
 
-    def _judge(self, replica: Replica, call: Call, now: Millis) -> None:
+    def _record_outcome(self, replica: Replica, call: Call, now: Millis) -> None:
         """Learn from one outcome; the lock is held."""
         match call.outcome:
             case Answered(status=status, latency=latency, receive_info=receive_info) if (
@@ -365,22 +369,22 @@
                 if receive_info.framing is BodyFraming.CLOSE:
                     self.metrics.count("answers_ended_by_close")
                 first = not call.repeat
-                ratio = self.delays.note(call.route.id, latency, now, first=first)
-                if replica.succeed(ratio, now):
+                ratio = self.hedge_delays.record(call.route.id, latency, now, first=first)
+                if replica.record_success(ratio, now):
                     self.log.write(LogEvent.SEARCHER_BACK, searcher=replica.entry.id)
             case Declined(reason=Reason.NO_SEARCHER):
-                self._leave(replica, "another searcher has its address", Millis(0.0))
+                self._start_leaving(replica, "another searcher has its address", Millis(0.0))
             case Declined():
-                replica.note_trouble(now)
+                replica.raise_failure_rate(now)
             case Lost() if call.cancelled:
                 return
             case Answered() | Lost():
-                self._count_failure(replica, call, now)
+                self._record_failure(replica, call, now)
 
-    def _count_failure(self, replica: Replica, call: Call, now: Millis) -> None:
+    def _record_failure(self, replica: Replica, call: Call, now: Millis) -> None:
         self.metrics.count("searcher_failures")
         detail = call.outcome.detail if isinstance(call.outcome, Lost) else "error status"
-        if replica.fail(now):
+        if replica.record_failure(now):
             self._log_ejection(replica, call.request.id, detail)
 
     def _log_ejection(self, replica: Replica, request: str, detail: str) -> None:
@@ -389,22 +393,22 @@
             searcher=replica.entry.id,
             service=replica.entry.service,
             request=request,
-            failures=replica.failures,
+            failures=replica.consecutive_failures,
             detail=detail,
-            next_ejection_ms=round(replica.ejection),
+            next_ejection_ms=round(replica.next_ejection_time),
         )
 
-    def _connections(self, service: ServiceId) -> int:
+    def _max_connections(self, service: ServiceId) -> int:
         """Return how many connections to each searcher of a service this gateway may have."""
-        accepted = self.accepted.get(service)
+        accepted = self.accepted_connections.get(service)
         if accepted is None:
             return DEFAULT_CONNECTIONS
-        return self.shares.connections(accepted, shard=service in self.shards)
+        return self.shares.max_connections(accepted, shard=service in self.shard_services)
 
     def _is_warm(self, service: ServiceId) -> bool:
-        return self.shares.warm and service in self.shards
+        return self.shares.keeps_warm and service in self.shard_services
 
-    def _is_past(self, known: Replica | None, entry: SearcherEntry) -> bool:
+    def _is_outdated(self, known: Replica | None, entry: SearcherEntry) -> bool:
         """Tell whether a listing is of an earlier start, or of one that has begun to leave."""
         if known is not None and entry.born < known.entry.born:
             return True
@@ -412,13 +416,13 @@
             return known is None
         return known is None and entry.phase is SearcherPhase.DRAINING
 
-    def _is_other(self, known: SearcherEntry, entry: SearcherEntry) -> bool:
+    def _is_replacement(self, known: SearcherEntry, entry: SearcherEntry) -> bool:
         """Tell whether a listing stands for another start, address or service."""
         same = (known.born, known.address, known.service)
         return same != (entry.born, entry.address, entry.service)
 
     def _add(self, entry: SearcherEntry, now: Millis) -> Replica:
-        replica = Replica(entry, self._connections(entry.service), now)
+        replica = Replica(entry, self._max_connections(entry.service), now)
         self.replicas[entry.id] = replica
         self.services.setdefault(entry.service, {})[entry.id] = replica
         self.log.write(
@@ -434,22 +438,24 @@
         was = replica.entry.phase
         replica.entry = entry
         if entry.phase is SearcherPhase.DRAINING:
-            self._remember_drained(entry)
-            self._leave(replica, "draining")
+            self._record_drained(entry)
+            self._start_leaving(replica, "draining")
         elif was is SearcherPhase.READY:
-            replica.return_to_list()
+            replica.restore()
 
-    def _remember_drained(self, entry: SearcherEntry) -> None:
+    def _record_drained(self, entry: SearcherEntry) -> None:
         self.drained[entry.id] = entry.born
         while len(self.drained) > MAX_DRAINED:
             del self.drained[next(iter(self.drained))]
 
-    def _leave(self, replica: Replica, why: str, usable: Millis | None = None) -> None:
+    def _start_leaving(self, replica: Replica, why: str, usable_time: Millis | None = None) -> None:
         if replica.state in (ReplicaState.LEAVING, ReplicaState.GONE):
             return
         now = self.clock.now()
-        longest = self.settings.drain * LAST_RESORT_SHARE if usable is None else usable
-        replica.leave(Millis(now + longest))
+        fallback_time = (
+            self.settings.drain * LAST_RESORT_SHARE if usable_time is None else usable_time
+        )
+        replica.start_leaving(Millis(now + fallback_time))
         self.log.write(
             LogEvent.SEARCHER_LEAVING,
             searcher=replica.entry.id,
@@ -457,7 +463,7 @@
             why=why,
         )
 
-    def _drop(self, replica: Replica) -> None:
+    def _remove(self, replica: Replica) -> None:
         """Forget a searcher and end its connections; the lock is held."""
         for task in replica.idle:
             task.close()
--- a/src/masticgate/process/gateway/_follower.py
+++ b/src/masticgate/process/gateway/_follower.py
@@ -136,7 +136,7 @@
             self._apply(change)
             if isinstance(change, Listed):
                 listed.add(change.entry.id)
-        for searcher in self.fleet.unlisted(listed):
+        for searcher in self.fleet.find_unlisted(listed):
             self._unlist(searcher, "not in the list")
 
     def _apply(self, change: Change) -> None:
@@ -146,14 +146,14 @@
             case Listed(entry=entry):
                 self.catalogue.add(change)
                 self.held.discard(entry.id)
-                self.fleet.list_searcher(entry)
+                self.fleet.apply_listing(entry)
             case Unlisted(searcher=searcher):
                 self._unlist(searcher, "unlisted")
             case Unreadable(key=key, detail=detail, searcher=searcher):
                 self.catalogue.add(change)
                 self.log.write(LogEvent.UNREADABLE, key=key, detail=detail)
                 if searcher is not None:
-                    self.fleet.unlist_searcher(searcher, "unreadable")
+                    self.fleet.remove_searcher(searcher, "unreadable")
 
     def _publish(self, table: RouteTable) -> None:
         known = self.table
@@ -182,7 +182,7 @@
             self.log.write(LogEvent.SEARCHER_HELD, searcher=searcher, why=why)
         else:
             self.catalogue.add(Unlisted(searcher))
-            self.fleet.unlist_searcher(searcher, why)
+            self.fleet.remove_searcher(searcher, why)
 
     def _just_returned(self) -> bool:
         if self.lost_at is not None:
@@ -197,5 +197,5 @@
         self.returned_at = None
         for searcher in self.held:
             self.catalogue.add(Unlisted(searcher))
-            self.fleet.unlist_searcher(searcher, "not back in the list", Millis(0.0))
+            self.fleet.remove_searcher(searcher, "not back in the list", Millis(0.0))
         self.held.clear()
--- a/src/masticgate/process/gateway/_gateway.py
+++ b/src/masticgate/process/gateway/_gateway.py
@@ -100,7 +100,7 @@
     def reload(self, settings: GatewaySettings) -> None:
         """Take changed settings; addresses stay as they are."""
         self.settings = settings
-        self.fleet.reload(settings)
+        self.fleet.apply_settings(settings)
         self.log.write(LogEvent.RELOADED, grace_ms=settings.grace, drain_ms=settings.drain)
 
     def stop(self) -> None:
--- a/src/masticgate/process/gateway/_hedge_delays.py
+++ b/src/masticgate/process/gateway/_hedge_delays.py
@@ -27,7 +27,7 @@
             return Millis(route.objective * INITIAL_DELAY_SHARE)
         return Millis(min(usual * HEDGE_MARGIN, route.objective * MAX_DELAY_SHARE))
 
-    def note(self, route: RouteId, latency: Millis, now: Millis, *, first: bool) -> float:
+    def record(self, route: RouteId, latency: Millis, now: Millis, *, first: bool) -> float:
         """Record the latency of a first send; return it over the usual one of its route."""
         window = self.windows.setdefault(route, LatencyWindow())
         usual = window.percentile(TYPICAL_PERCENTILE)
@@ -35,6 +35,6 @@
             window.add(now, latency)
         return latency / usual if usual else 1.0
 
-    def keep(self, routes: set[RouteId]) -> None:
+    def retain_routes(self, routes: set[RouteId]) -> None:
         """Forget the routes that are not in ``routes``."""
         self.windows = {key: kept for key, kept in self.windows.items() if key in routes}
--- a/src/masticgate/process/gateway/_peers.py
+++ b/src/masticgate/process/gateway/_peers.py
@@ -21,7 +21,7 @@
 from ._fleet import Fleet
 from ._log import EventLog, LogEvent
 from ._settings import GatewaySettings
-from ._shares import Shares
+from ._shares import GatewayShares
 
 HEARTBEAT_HOST = "heartbeat.gateway"
 HEARTBEAT_INTERVAL = Millis(500.0)
@@ -169,7 +169,7 @@
             )
         gatherers = len(self.settings.seeds) if isinstance(alone, GatherAtPeers) else members
         warm = self._knows_members() and isinstance(chosen, GatherHere)
-        self.fleet.share(Shares(members, max(1, gatherers), warm))
+        self.fleet.apply_shares(GatewayShares(members, max(1, gatherers), warm))
 
     def _knows_members(self) -> bool:
         """Tell whether the number of gateways is known, or no seed is going to tell it."""
@@ -195,7 +195,7 @@
                     self.log.write(LogEvent.GATHERER_FOUND, peer=seed)
                 misses = 0
                 self._note_found(seed, reply)
-                self.fleet.list_searcher(_entry(peer, seed, reply))
+                self.fleet.apply_listing(_entry(peer, seed, reply))
                 continue
             misses += 1
             if misses == MAX_MISSED_HEARTBEATS or (
@@ -205,7 +205,7 @@
                 self.log.write(LogEvent.GATHERER_LOST, peer=seed, answered=reply is not None)
                 with self.lock:
                     self.found.pop(seed, None)
-                self.fleet.unlist_searcher(peer, "no heartbeat")
+                self.fleet.remove_searcher(peer, "no heartbeat")
 
     def _beat(self, client: HttpClient) -> dict[str, object] | None:
         """Exchange one heartbeat; return ``None`` where no answer came."""
--- a/src/masticgate/process/gateway/_repeat_budgets.py
+++ b/src/masticgate/process/gateway/_repeat_budgets.py
@@ -4,44 +4,44 @@
 from ._catalogue import PEER_SERVICE
 from ._repeat_window import RepeatWindow
 from ._settings import RepeatBounds
-from ._shares import Shares
+from ._shares import GatewayShares
 
 
 class RepeatBudgets:
     """One window of repeats for each service; the fleet's lock guards them."""
 
-    def __init__(self, bounds: RepeatBounds, shares: Shares, started: Millis) -> None:
+    def __init__(self, bounds: RepeatBounds, shares: GatewayShares, started_at: Millis) -> None:
         self.bounds = bounds
         self.shares = shares
-        self.started = started
-        self.shards: set[ServiceId] = set()
+        self.started_at = started_at
+        self.shard_services: set[ServiceId] = set()
         self.windows: dict[ServiceId, RepeatWindow] = {}
 
     def window(self, service: ServiceId) -> RepeatWindow:
         """Return the window of one service."""
         window = self.windows.get(service)
         if window is None:
-            ratio, slack = self._share_of(service)
-            window = RepeatWindow(self.bounds, ratio, slack, self.started)
+            ratio, slack = self._limits_of(service)
+            window = RepeatWindow(self.bounds, ratio, slack, self.started_at)
             self.windows[service] = window
         return window
 
-    def note_request(self, service: ServiceId, now: Millis) -> None:
+    def record_request(self, service: ServiceId, now: Millis) -> None:
         """Count the first send of a request."""
-        self.window(service).note_request(now)
+        self.window(service).record_request(now)
 
     def spend(self, service: ServiceId, now: Millis, reserve: float = 0.0) -> bool:
         """Count one repeat; return ``False`` where that would leave less than ``reserve``."""
         return self.window(service).spend(now, reserve)
 
-    def share(self, shares: Shares) -> None:
+    def apply_shares(self, shares: GatewayShares) -> None:
         """Share the repeats with the gateways that there are now."""
         self.shares = shares
         for service, window in self.windows.items():
-            window.ratio, window.slack = self._share_of(service)
+            window.ratio, window.slack = self._limits_of(service)
 
-    def _share_of(self, service: ServiceId) -> tuple[float, float]:
+    def _limits_of(self, service: ServiceId) -> tuple[float, float]:
         """Return this gateway's ratio and slack of what all may repeat of one service."""
         if service == PEER_SERVICE:
-            return self.shares.peer_repeats(self.bounds)
-        return self.shares.repeats(self.bounds, shard=service in self.shards)
+            return self.shares.peer_repeat_limits(self.bounds)
+        return self.shares.repeat_limits(self.bounds, shard=service in self.shard_services)
--- a/src/masticgate/process/gateway/_repeat_window.py
+++ b/src/masticgate/process/gateway/_repeat_window.py
@@ -16,36 +16,38 @@
     repeated before, so its slack grows from nothing over the first window.
     """
 
-    def __init__(self, bounds: RepeatBounds, ratio: float, slack: float, started: Millis) -> None:
+    def __init__(
+        self, bounds: RepeatBounds, ratio: float, slack: float, started_at: Millis
+    ) -> None:
         self.window = bounds.window
         self.ratio = ratio
         self.slack = slack
-        self.started = started
+        self.started_at = started_at
         self.repeats: deque[Millis] = deque()
         self.requests: deque[tuple[int, int]] = deque()
 
-    def note_request(self, now: Millis) -> None:
+    def record_request(self, now: Millis) -> None:
         """Count the first send of a request."""
         bucket = self._bucket(now)
         if self.requests and self.requests[-1][0] == bucket:
             self.requests[-1] = (bucket, self.requests[-1][1] + 1)
         else:
-            self._forget(now)
+            self._expire(now)
             self.requests.append((bucket, 1))
 
     def spend(self, now: Millis, reserve: float) -> bool:
         """Count one repeat; return ``False`` where that would leave less than ``reserve``."""
-        self._forget(now)
-        if len(self.repeats) + 1 + reserve > self._allowed(now):
+        self._expire(now)
+        if len(self.repeats) + 1 + reserve > self._max_repeats(now):
             return False
         self.repeats.append(now)
         return True
 
-    def _allowed(self, now: Millis) -> float:
-        known = min(1.0, (now - self.started) / self.window)
-        return self.ratio * sum(count for _, count in self.requests) + self.slack * known
+    def _max_repeats(self, now: Millis) -> float:
+        active_share = min(1.0, (now - self.started_at) / self.window)
+        return self.ratio * sum(count for _, count in self.requests) + self.slack * active_share
 
-    def _forget(self, now: Millis) -> None:
+    def _expire(self, now: Millis) -> None:
         while self.repeats and now - self.repeats[0] > self.window:
             self.repeats.popleft()
         oldest = self._bucket(now) - BUCKETS_PER_WINDOW
--- a/src/masticgate/process/gateway/_replica.py
+++ b/src/masticgate/process/gateway/_replica.py
@@ -47,24 +47,24 @@
     share of its sends that were refused or failed, both smoothed.
     """
 
-    def __init__(self, entry: SearcherEntry, connections: int, now: Millis) -> None:
+    def __init__(self, entry: SearcherEntry, max_connections: int, now: Millis) -> None:
         self.entry = entry
-        self.connections = connections
+        self.max_connections = max_connections
         self.state = ReplicaState.ACTIVE
         self.idle: list[SearcherTask] = []
-        self.tasks = 0
+        self.connection_count = 0
         self.in_flight = 0
-        self.used_at = now
+        self.last_used_at = now
         self.cold_until = Millis(now + entry.cold)
-        self.slowness = 1.0
-        self.measured_at = Millis(0.0)
-        self.trouble = 0.0
-        self.trouble_at = now
-        self.waiting = 0
-        self.reported_at = Millis(0.0)
-        self.failures = 0
-        self.ejection = INITIAL_EJECTION_TIME
-        self.eligible_at = Millis(0.0)
+        self.latency_ratio = 1.0
+        self.latency_ratio_at = Millis(0.0)
+        self.failure_rate = 0.0
+        self.failure_rate_at = now
+        self.other_requests = 0
+        self.load_reported_at = Millis(0.0)
+        self.consecutive_failures = 0
+        self.next_ejection_time = INITIAL_EJECTION_TIME
+        self.ejected_until = Millis(0.0)
         self.usable_until = Millis(0.0)
 
     def is_usable(self, now: Millis) -> bool:
@@ -73,75 +73,79 @@
             case ReplicaState.ACTIVE:
                 return True
             case ReplicaState.EJECTED:
-                return now >= self.eligible_at and self.in_flight == 0
+                return now >= self.ejected_until and self.in_flight == 0
             case ReplicaState.LEAVING:
                 return now < self.usable_until
             case ReplicaState.GONE:
                 return False
 
-    def has_room(self) -> bool:
+    def has_capacity(self) -> bool:
         """Tell whether a connection is idle or may be opened."""
-        return bool(self.idle) or self.tasks < self.connections
+        return bool(self.idle) or self.connection_count < self.max_connections
 
     def cost(self, now: Millis) -> float:
         """Return what orders the choice among searchers, the lowest first."""
-        slowness = self.slowness
-        if self.in_flight == 0 and now - self.measured_at > LATENCY_RATIO_TTL:
-            slowness = min(slowness, 1.0)
+        latency_ratio = self.latency_ratio
+        if self.in_flight == 0 and now - self.latency_ratio_at > LATENCY_RATIO_TTL:
+            latency_ratio = min(latency_ratio, 1.0)
         if now < self.cold_until:
-            slowness *= COLD_START_FACTOR
-        waiting = self.waiting if now - self.reported_at < LOAD_REPORT_TTL else 0
-        busy = (self.in_flight + waiting) / self.entry.slots
-        return slowness * (1.0 + busy) + FAILURE_COST * self.trouble_now(now)
+            latency_ratio *= COLD_START_FACTOR
+        other_requests = self.other_requests if now - self.load_reported_at < LOAD_REPORT_TTL else 0
+        busy = (self.in_flight + other_requests) / self.entry.slots
+        return latency_ratio * (1.0 + busy) + FAILURE_COST * self.current_failure_rate(now)
 
-    def trouble_now(self, now: Millis) -> float:
+    def current_failure_rate(self, now: Millis) -> float:
         """Return the share of failed sends, less the time since it was last observed."""
-        if self.trouble < MIN_FAILURE_RATE:
+        if self.failure_rate < MIN_FAILURE_RATE:
             return 0.0
-        return float(self.trouble * 0.5 ** ((now - self.trouble_at) / FAILURE_RATE_HALF_LIFE))
+        return float(
+            self.failure_rate * 0.5 ** ((now - self.failure_rate_at) / FAILURE_RATE_HALF_LIFE)
+        )
 
-    def note_trouble(self, now: Millis) -> None:
+    def raise_failure_rate(self, now: Millis) -> None:
         """Count a send that was refused or failed."""
-        self._note_outcome(1.0, now)
+        self._update_failure_rate(1.0, now)
 
-    def _note_outcome(self, failed: float, now: Millis) -> None:
-        trouble = self.trouble_now(now)
-        self.trouble = trouble + FAILURE_RATE_WEIGHT * (failed - trouble)
-        self.trouble_at = now
+    def _update_failure_rate(self, failed: float, now: Millis) -> None:
+        failure_rate = self.current_failure_rate(now)
+        self.failure_rate = failure_rate + FAILURE_RATE_WEIGHT * (failed - failure_rate)
+        self.failure_rate_at = now
 
-    def succeed(self, ratio: float, now: Millis) -> bool:
+    def record_success(self, ratio: float, now: Millis) -> bool:
         """Count an answer; return ``True`` where it ends an ejection."""
-        self.failures = 0
-        self._note_outcome(0.0, now)
-        self.slowness += LATENCY_RATIO_WEIGHT * (min(ratio, MAX_LATENCY_RATIO) - self.slowness)
-        self.measured_at = now
+        self.consecutive_failures = 0
+        self._update_failure_rate(0.0, now)
+        self.latency_ratio += LATENCY_RATIO_WEIGHT * (
+            min(ratio, MAX_LATENCY_RATIO) - self.latency_ratio
+        )
+        self.latency_ratio_at = now
         if self.state is not ReplicaState.EJECTED:
             return False
         self.state = ReplicaState.ACTIVE
-        self.ejection = INITIAL_EJECTION_TIME
+        self.next_ejection_time = INITIAL_EJECTION_TIME
         return True
 
-    def fail(self, now: Millis) -> bool:
+    def record_failure(self, now: Millis) -> bool:
         """Count a failure; return ``True`` where it ejects the searcher."""
-        self.failures += 1
-        self.note_trouble(now)
-        if self.state is ReplicaState.ACTIVE and self.failures < FAILURES_TO_EJECT:
+        self.consecutive_failures += 1
+        self.raise_failure_rate(now)
+        if self.state is ReplicaState.ACTIVE and self.consecutive_failures < FAILURES_TO_EJECT:
             return False
         if self.state not in (ReplicaState.ACTIVE, ReplicaState.EJECTED):
             return False
         self.state = ReplicaState.EJECTED
-        self.eligible_at = Millis(now + self.ejection)
-        self.ejection = min(MAX_EJECTION_TIME, Millis(self.ejection * 2))
+        self.ejected_until = Millis(now + self.next_ejection_time)
+        self.next_ejection_time = min(MAX_EJECTION_TIME, Millis(self.next_ejection_time * 2))
         return True
 
-    def leave(self, usable_until: Millis) -> None:
+    def start_leaving(self, usable_until: Millis) -> None:
         """Prefer any other searcher from now on, and send it nothing after ``usable_until``."""
         if self.state not in (ReplicaState.LEAVING, ReplicaState.GONE):
             self.state = ReplicaState.LEAVING
             self.usable_until = usable_until
 
-    def return_to_list(self) -> None:
+    def restore(self) -> None:
         """Use it again: its listing was missing only for a while."""
         if self.state in (ReplicaState.LEAVING, ReplicaState.GONE):
             self.state = ReplicaState.ACTIVE
-            self.failures = 0
+            self.consecutive_failures = 0
--- a/src/masticgate/process/gateway/_shares.py
+++ b/src/masticgate/process/gateway/_shares.py
@@ -18,23 +18,23 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Shares:
+class GatewayShares:
     """How many gateways there are, how many gather queries, and whether this one does."""
 
     gateways: int
     gatherers: int
-    warm: bool
+    keeps_warm: bool
 
-    def connections(self, accepted: int, *, shard: bool) -> int:
+    def max_connections(self, accepted: int, *, shard: bool) -> int:
         """Return this gateway's part of the connections that one searcher accepts."""
         return max(1, accepted // self._sharers(shard))
 
-    def repeats(self, bounds: RepeatBounds, *, shard: bool) -> tuple[float, float]:
+    def repeat_limits(self, bounds: RepeatBounds, *, shard: bool) -> tuple[float, float]:
         """Return this gateway's ratio and slack of the repeats of one service."""
         slack = bounds.slack * SLACK_MARGIN / self._sharers(shard)
         return bounds.ratio * RATIO_MARGIN, slack
 
-    def peer_repeats(self, bounds: RepeatBounds) -> tuple[float, float]:
+    def peer_repeat_limits(self, bounds: RepeatBounds) -> tuple[float, float]:
         """Return this gateway's ratio and slack of queries that are gathered again."""
         return bounds.ratio * PEER_REPEAT_SHARE, PEER_REPEAT_SLACK
 
--- a/tests/gateway/loopback.py
+++ b/tests/gateway/loopback.py
@@ -182,7 +182,7 @@
     source = FixedSource(make_table(*routes, version=version), entries)
     gateway = Gateway(replace(make_settings(), **settings), HEADER_NAMES, source)
     gateway.log.descriptor = -1
-    gateway.fleet.budgets.started -= 10_000.0  # as if it ran for a window of repeats already
+    gateway.fleet.budgets.started_at -= 10_000.0  # as if it ran for a window of repeats already
     gateway.start()
     deadline = Event()
     while gateway.follower.table is None and not deadline.wait(0.01):
--- a/tests/gateway/test_answers.py
+++ b/tests/gateway/test_answers.py
@@ -741,7 +741,7 @@
         with running_gateway([make_route(SHARDS)], searchers) as entry:
             entry.peers.decide = lambda: None
             entry.peers.gathering = GatherAtPeers()
-            entry.fleet.list_searcher(
+            entry.fleet.apply_listing(
                 replace(make_entry("p", PEER_SERVICE), address=gatherer.address)
             )
             entry.fleet.budgets.window(PEER_SERVICE).slack = 1_000.0
--- a/tests/gateway/test_fleet.py
+++ b/tests/gateway/test_fleet.py
@@ -43,26 +43,26 @@
 
     def test_the_own_domain_is_preferred_while_equal(self):
         fleet = make_fleet()
-        fleet.list_searcher(make_entry("far", domain="z2"))
-        fleet.list_searcher(make_entry("near", domain="z1"))
+        fleet.apply_listing(make_entry("far", domain="z2"))
+        fleet.apply_listing(make_entry("near", domain="z1"))
         assert send(fleet).searcher == "near"
 
     def test_a_busy_searcher_is_left_for_another(self):
         fleet = make_fleet()
-        fleet.list_searcher(make_entry("far", domain="z2"))
-        fleet.list_searcher(make_entry("near", domain="z1"))
+        fleet.apply_listing(make_entry("far", domain="z2"))
+        fleet.apply_listing(make_entry("near", domain="z1"))
         chosen = [send(fleet).searcher for _ in range(4)]
         assert set(chosen) == {"near", "far"}
 
     def test_a_searcher_is_tried_once_a_request(self):
         fleet = make_fleet()
-        fleet.list_searcher(make_entry("a"))
+        fleet.apply_listing(make_entry("a"))
         assert send(fleet, tried={SearcherId("a")}).reason is Reason.NO_SEARCHER
 
     def test_one_late_answer_does_not_move_requests_to_another_domain(self):
         fleet = make_fleet()
-        fleet.list_searcher(make_entry("near", domain="z1"))
-        fleet.list_searcher(make_entry("far", domain="z2"))
+        fleet.apply_listing(make_entry("near", domain="z1"))
+        fleet.apply_listing(make_entry("far", domain="z2"))
         for _ in range(30):
             send_and_finish(fleet, answered)
         send_and_finish(fleet, lambda s: answered(s, latency=130.0))
@@ -70,8 +70,8 @@
 
     def test_late_answers_in_a_row_do(self):
         fleet = make_fleet()
-        fleet.list_searcher(make_entry("near", domain="z1"))
-        fleet.list_searcher(make_entry("far", domain="z2"))
+        fleet.apply_listing(make_entry("near", domain="z1"))
+        fleet.apply_listing(make_entry("far", domain="z2"))
         for _ in range(30):
             send_and_finish(fleet, answered)
         for _ in range(4):
@@ -80,8 +80,8 @@
 
     def test_one_that_refuses_most_requests_is_avoided(self):
         fleet = make_fleet()
-        fleet.list_searcher(make_entry("bad", domain="z1"))
-        fleet.list_searcher(make_entry("good", domain="z2"))
+        fleet.apply_listing(make_entry("bad", domain="z1"))
+        fleet.apply_listing(make_entry("good", domain="z2"))
         chosen = [
             send_and_finish(
                 fleet,
@@ -93,10 +93,10 @@
 
     def test_a_retry_goes_to_an_ejected_searcher_where_there_is_no_other(self):
         fleet = make_fleet()
-        fleet.list_searcher(make_entry("a"))
+        fleet.apply_listing(make_entry("a"))
         for _ in range(2):
             send_and_finish(fleet, lambda s: Lost(s, True, "reset"))
-        fleet.list_searcher(make_entry("b"))
+        fleet.apply_listing(make_entry("b"))
         assert send(fleet).searcher == "b"
         tried = {SearcherId("b")}
         assert send(fleet, tried, Repeat.HEDGE).reason is Reason.NO_SEARCHER
@@ -105,8 +105,8 @@
     def test_one_that_refused_is_tried_again_later(self):
         clock = ManualClock()
         fleet = make_fleet(clock)
-        fleet.list_searcher(make_entry("bad", domain="z1"))
-        fleet.list_searcher(make_entry("good", domain="z2"))
+        fleet.apply_listing(make_entry("bad", domain="z1"))
+        fleet.apply_listing(make_entry("good", domain="z2"))
         for _ in range(3):
             send_and_finish(
                 fleet,
@@ -118,7 +118,7 @@
     def test_failures_in_a_row_eject_until_a_probe_succeeds(self):
         clock = ManualClock()
         fleet = make_fleet(clock)
-        fleet.list_searcher(make_entry("a"))
+        fleet.apply_listing(make_entry("a"))
         for _ in range(2):
             send_and_finish(fleet, lambda s: Lost(s, True, "reset"))
         assert send(fleet).reason is Reason.NO_SEARCHER
@@ -130,7 +130,7 @@
 
     def test_a_cancelled_send_is_no_failure(self):
         fleet = make_fleet()
-        fleet.list_searcher(make_entry("a"))
+        fleet.apply_listing(make_entry("a"))
         for _ in range(5):
             sending = send(fleet)
             sending.call.cancelled = True
@@ -142,9 +142,9 @@
     def test_one_that_drains_is_a_last_resort_for_half_of_the_drain_time(self):
         clock = ManualClock()
         fleet = make_fleet(clock)
-        fleet.list_searcher(make_entry("a"))
-        fleet.list_searcher(make_entry("b", domain="z2"))
-        fleet.list_searcher(make_entry("a", phase=SearcherPhase.DRAINING))
+        fleet.apply_listing(make_entry("a"))
+        fleet.apply_listing(make_entry("b", domain="z2"))
+        fleet.apply_listing(make_entry("a", phase=SearcherPhase.DRAINING))
         assert send(fleet).searcher == "b"
         assert send(fleet, tried={SearcherId("b")}).searcher == "a"
         clock.advance(Millis(1_501.0))
@@ -153,44 +153,44 @@
     def test_a_changed_listing_of_a_forgotten_drained_searcher_does_not_bring_it_back(self):
         clock = ManualClock()
         fleet = make_fleet(clock)
-        fleet.list_searcher(make_entry("a"))
-        fleet.list_searcher(make_entry("a", phase=SearcherPhase.DRAINING))
+        fleet.apply_listing(make_entry("a"))
+        fleet.apply_listing(make_entry("a", phase=SearcherPhase.DRAINING))
         clock.advance(Millis(2_000.0))
         fleet.sweep()
-        fleet.list_searcher(make_entry("a", phase=SearcherPhase.DRAINING))
+        fleet.apply_listing(make_entry("a", phase=SearcherPhase.DRAINING))
         assert send(fleet).reason is Reason.NO_SEARCHER
-        fleet.list_searcher(make_entry("a", phase=SearcherPhase.READY))
+        fleet.apply_listing(make_entry("a", phase=SearcherPhase.READY))
         assert send(fleet).reason is Reason.NO_SEARCHER
 
     def test_the_same_id_started_again_is_another_searcher(self):
         clock = ManualClock()
         fleet = make_fleet(clock)
-        fleet.list_searcher(make_entry("a"))
-        fleet.list_searcher(make_entry("a", phase=SearcherPhase.DRAINING))
+        fleet.apply_listing(make_entry("a"))
+        fleet.apply_listing(make_entry("a", phase=SearcherPhase.DRAINING))
         clock.advance(Millis(2_000.0))
         fleet.sweep()
-        fleet.list_searcher(make_entry("a", born=2))
+        fleet.apply_listing(make_entry("a", born=2))
         assert send(fleet).searcher == "a"
 
     def test_a_listing_of_an_earlier_start_is_ignored(self):
         fleet = make_fleet()
-        fleet.list_searcher(make_entry("a", born=5))
-        fleet.list_searcher(make_entry("a", born=3, phase=SearcherPhase.DRAINING))
+        fleet.apply_listing(make_entry("a", born=5))
+        fleet.apply_listing(make_entry("a", born=3, phase=SearcherPhase.DRAINING))
         assert send(fleet).searcher == "a"
 
     def test_one_that_was_unlisted_comes_back_with_its_listing(self):
         clock = ManualClock()
         fleet = make_fleet(clock)
-        fleet.list_searcher(make_entry("a"))
-        fleet.unlist_searcher(SearcherId("a"), "unlisted")
+        fleet.apply_listing(make_entry("a"))
+        fleet.remove_searcher(SearcherId("a"), "unlisted")
         clock.advance(Millis(2_000.0))
         assert send(fleet).reason is Reason.NO_SEARCHER
-        fleet.list_searcher(make_entry("a"))
+        fleet.apply_listing(make_entry("a"))
         assert send(fleet).searcher == "a"
 
     def test_another_searcher_at_its_address_ends_its_use(self):
         fleet = make_fleet()
-        fleet.list_searcher(make_entry("a"))
+        fleet.apply_listing(make_entry("a"))
         send_and_finish(fleet, lambda s: Declined(s, Reason.NO_SEARCHER))
         assert send(fleet).reason is Reason.NO_SEARCHER
 
@@ -198,7 +198,7 @@
 class TestConnections:
     def test_a_finished_connection_is_used_again(self):
         fleet = make_fleet()
-        fleet.list_searcher(make_entry("a"))
+        fleet.apply_listing(make_entry("a"))
         first = send(fleet)
         finish(fleet, first, answered(first.searcher))
         assert send(fleet).task is first.task
@@ -206,14 +206,14 @@
     def test_no_more_connections_than_the_share_of_this_gateway(self):
         fleet = make_fleet()
         fleet.apply_table(make_table(make_route()))
-        fleet.list_searcher(make_entry("a"))
+        fleet.apply_listing(make_entry("a"))
         sent = [send(fleet) for _ in range(3)]
         assert len({sending.task for sending in sent}) == 3
         assert send(fleet).reason is Reason.OVERLOAD
 
     def test_an_idle_connection_that_was_just_given_work_stays(self):
         fleet = make_fleet()
-        fleet.list_searcher(make_entry("a"))
+        fleet.apply_listing(make_entry("a"))
         first = send(fleet)
         finish(fleet, first, answered(first.searcher))
         again = send(fleet)
@@ -224,7 +224,7 @@
     def test_an_idle_connection_is_renewed_before_the_searcher_closes_it(self):
         clock = ManualClock()
         fleet = make_fleet(clock)
-        fleet.list_searcher(make_entry("a"))
+        fleet.apply_listing(make_entry("a"))
         first = send(fleet)
         finish(fleet, first, answered(first.searcher))
         first.task.keep_alive_timeout = Millis(5_000.0)
@@ -238,7 +238,7 @@
 
     def test_a_connection_that_ends_as_it_is_given_work_is_replaced(self):
         fleet = make_fleet()
-        fleet.list_searcher(make_entry("a"))
+        fleet.apply_listing(make_entry("a"))
         first = send(fleet)
         finish(fleet, first, answered(first.searcher))
         first.task.ended = True
@@ -249,7 +249,7 @@
     def test_a_connection_whose_call_is_long_overdue_is_cut(self):
         clock = ManualClock()
         fleet = make_fleet(clock)
-        fleet.list_searcher(make_entry("a"))
+        fleet.apply_listing(make_entry("a"))
         stuck = send(fleet)
         stuck.call.started = True
         clock.advance(Millis(600.0))
@@ -258,13 +258,13 @@
 
     def test_connections_of_a_forgotten_searcher_are_counted_out(self):
         fleet = make_fleet()
-        fleet.list_searcher(make_entry("a"))
+        fleet.apply_listing(make_entry("a"))
         old = send(fleet)
-        fleet.list_searcher(make_entry("a", born=2))
+        fleet.apply_listing(make_entry("a", born=2))
         finish(fleet, old, answered(old.searcher))
         fleet.handle_close(old.task, connected=True)
         replica = fleet.replicas[SearcherId("a")]
-        assert (replica.tasks, replica.in_flight) == (0, 0)
+        assert (replica.connection_count, replica.in_flight) == (0, 0)
         assert replica.state is ReplicaState.ACTIVE
 
 
@@ -278,7 +278,7 @@
             clock.advance(Millis(5.0))
             if number % 4 == 0:
                 requests.append(clock.now())
-                fleet.budgets.note_request(ORDERS, clock.now())
+                fleet.budgets.record_request(ORDERS, clock.now())
             for spend in (fleet.allow_retry, fleet.allow_hedge):
                 if spend(ORDERS):
                     repeats.append(clock.now())
@@ -306,7 +306,7 @@
         fleet = make_fleet(clock)
         clock.advance(Millis(10_000.0))
         assert fleet.allow_retry(ORDERS)
-        fleet.reload(make_settings(ratio=0.0, slack=0.0))
+        fleet.apply_settings(make_settings(ratio=0.0, slack=0.0))
         assert not fleet.allow_retry(ORDERS)
 
     def test_hedges_leave_a_reserve_for_retries(self):
@@ -319,7 +319,7 @@
 
     def test_the_hedge_delay_follows_the_latencies_of_the_route(self):
         fleet = make_fleet()
-        fleet.list_searcher(make_entry("a"))
+        fleet.apply_listing(make_entry("a"))
         route = make_route()
         assert fleet.hedge_delay(route) == 25.0
         for _ in range(50):
--- a/tests/gateway/test_gathering_at_peers.py
+++ b/tests/gateway/test_gathering_at_peers.py
@@ -105,7 +105,7 @@
             caller = RawCaller(entry).get()
             assert searchers["s1"][0].asked.wait(5)
             for name in ("s1-0", "s2-0"):
-                entry.fleet.unlist_searcher(SearcherId(name), "test", Millis(0.0))
+                entry.fleet.remove_searcher(SearcherId(name), "test", Millis(0.0))
             for task in [t for t in entry.fleet.tasks if t.searcher.startswith(PEER_SERVICE)]:
                 task.close()
             assert caller.read()[0] == 502
--- a/tests/gateway/test_irregular_answers.py
+++ b/tests/gateway/test_irregular_answers.py
@@ -114,10 +114,10 @@
 class TestFleetNotes:
     def test_each_is_logged_with_its_connection_and_counted(self):
         fleet = make_fleet()
-        fleet.list_searcher(make_entry("s1"))
+        fleet.apply_listing(make_entry("s1"))
         fleet.log.queue.clear()
         replica = fleet.replicas[SearcherId("s1")]
-        task = fleet._open(replica)
+        task = fleet._open_connection(replica)
         fleet.record_violation(task, SkippedResponse("q1", "q2"))
         line = json.loads(fleet.log.queue[-1])
         assert line["event"] == "answer_skipped"
--- a/tests/gateway/test_missing_counts.py
+++ b/tests/gateway/test_missing_counts.py
@@ -22,7 +22,7 @@
     with running_gateway([make_route(SHARDS)], {"s1": [StandInSearcher(reply_to)]}) as gateway:
         gateway.peers.decide = lambda: None
         gateway.peers.gathering = GatherAtPeers()
-        gateway.fleet.list_searcher(replace(make_entry("peer", PEER_SERVICE), address=peer.address))
+        gateway.fleet.apply_listing(replace(make_entry("peer", PEER_SERVICE), address=peer.address))
         return RawCaller(gateway).get().read()
 
 
--- a/tests/gateway/test_refused_tasks.py
+++ b/tests/gateway/test_refused_tasks.py
@@ -98,7 +98,7 @@
         clock = SystemClock()
         log = EventLog(HostId("g1"), clock)
         fleet = Fleet(make_settings(), HEADER_NAMES, clock, pool.tasks, log, Metrics())
-        fleet.list_searcher(replace(make_entry("s1"), address=searcher.address))
+        fleet.apply_listing(replace(make_entry("s1"), address=searcher.address))
         deadline = Millis(clock.now() + 5_000.0)
         call = Call(make_request(), make_route(), ServiceId("orders"), deadline, Mailbox())
         pool.refuse_threads()
--- a/tests/gateway/test_scarce_descriptors.py
+++ b/tests/gateway/test_scarce_descriptors.py
@@ -73,7 +73,7 @@
         log = EventLog(HostId("g1"), clock)
         fleet = Fleet(make_settings(), HEADER_NAMES, clock, tasks, log, Metrics())
         searcher = StandInSearcher(reply_to)
-        fleet.list_searcher(replace(make_entry("s1"), address=searcher.address))
+        fleet.apply_listing(replace(make_entry("s1"), address=searcher.address))
         inbox = NotedMailbox()
         deadline = Millis(clock.now() + 2_000.0)
         call = Call(make_request(), make_route(), ServiceId("orders"), deadline, inbox)
@@ -83,7 +83,7 @@
         monkeypatch.undo()
         searcher.listener.close()
         (replica,) = fleet.replicas.values()
-        assert (answered, replica.tasks, replica.in_flight) == (True, 0, 0)
+        assert (answered, replica.connection_count, replica.in_flight) == (True, 0, 0)
 
 
 class TestClient:
