--- a/bench/process/_host_costs.py
+++ b/bench/process/_host_costs.py
@@ -140,7 +140,7 @@
     host = idle_host(scaled_text(1))
     tracemalloc.start()
     host.members.merge(belief(n) for n in range(count))
-    host.tier.table = {}
+    host.runtime.table = {}
     held = tracemalloc.get_traced_memory()[0]
     tracemalloc.stop()
     return float(held)
--- a/bench/version/_version_costs.py
+++ b/bench/version/_version_costs.py
@@ -48,7 +48,7 @@
     after = split_sections(accepted(scaled_text(copies, edited=True)))
     known = before.digests
     after.digests  # noqa: B018  The digests are worked out once a revision.
-    return lambda: after.since(Revision(1), known, Revision(2))
+    return lambda: after.changes_since(Revision(1), known, Revision(2))
 
 
 def adopt_calls() -> list:
--- a/src/masticgate/connection/_request_structs.py
+++ b/src/masticgate/connection/_request_structs.py
@@ -34,7 +34,7 @@
     target.query = ask.query
     target.rank = ask.rank.value
     target.remaining = ask.remaining
-    target.number = ask.number
+    target.number = ask.admission_number
     target.snapshot = ask.snapshot
     target.text = ask.text
     write_list(target.init("parts", len(ask.parts)), ask.parts, _write_part)
--- a/src/masticgate/process/_caller_service.py
+++ b/src/masticgate/process/_caller_service.py
@@ -19,7 +19,7 @@
     run_search,
 )
 from ._concurrency import ConcurrencyLimit
-from ._host_tier import HostTier
+from ._host_runtime import HostRuntime
 from ._metrics import Metrics
 from ._policy import AdmitAll, AdmitByCapacity
 from ._status import status_fields
@@ -35,7 +35,7 @@
     def __init__(
         self,
         host: HostId,
-        tier: HostTier,
+        runtime: HostRuntime,
         tickets: TicketTable,
         timeline: TimeLine,
         clock: Clock,
@@ -43,7 +43,7 @@
         metrics: Metrics,
     ) -> None:
         self.host = host
-        self.tier = tier
+        self.runtime = runtime
         self.tickets = tickets
         self.timeline = timeline
         self.clock = clock
@@ -70,7 +70,7 @@
 
     def mint_ticket(self) -> TicketId | NotRun:
         """Return a ticket for one booking."""
-        if self.tier.owner.stopping:
+        if self.runtime.owner.stopping:
             return NotRun(Reason.SHUTTING_DOWN, Step.TICKET, peer=self.host)
         return self.tickets.mint()
 
@@ -89,13 +89,13 @@
             Millis(self.clock.now() + request.remaining),
             request.payload,
         )
-        outcome = run_booking(booking, self.tickets, self.tier)
+        outcome = run_booking(booking, self.tickets, self.runtime)
         self._count_booking(request.rank, outcome)
         return outcome
 
     def run_forwarded(self, forward: Forward) -> BookingOutcome:
         """Run a booking that another host forwarded here, where its ticket was minted."""
-        if forward.incarnation != self.tier.incarnation:
+        if forward.incarnation != self.runtime.incarnation:
             return Unknown(Reason.MINTER_LOST, Step.TICKET, peer=self.host)
         booking = Booking(
             forward.query,
@@ -107,20 +107,20 @@
             Millis(self.clock.now() + forward.remaining),
             forward.payload,
         )
-        return run_booking(booking, self.tickets, self.tier)
+        return run_booking(booking, self.tickets, self.runtime)
 
     def status(self) -> dict[str, Any]:
         """Return what ``masticgate status`` shows."""
-        return status_fields(self.tier, self.role, self.metrics)
+        return status_fields(self.runtime, self.role, self.metrics)
 
     def events(self) -> list[dict[str, Any]]:
         """Return the time line's events."""
         return [event_fields(event) for event in self.timeline.list_events()]
 
     def _run_search(self, query: Query) -> Answer | NotRun:
-        match self.tier.policy.admission:
+        match self.runtime.policy.admission:
             case AdmitAll():
-                return run_search(query, self.tier)
+                return run_search(query, self.runtime)
             case AdmitByCapacity():
                 return self._run_with_limit(query)
 
@@ -129,7 +129,7 @@
             return NotRun(Reason.OVERLOAD, Step.ADMISSION, peer=self.host)
         result: Answer | NotRun | None = None
         try:
-            result = run_search(query, self.tier)
+            result = run_search(query, self.runtime)
             return result
         finally:
             if result is not None and is_refused(result):
--- a/src/masticgate/process/_host_tier.py
+++ b/src/masticgate/process/_host_runtime.py
@@ -23,7 +23,7 @@
 """Links to the first hosts of a service's ranking are opened when its work comes."""
 
 
-class HostTier:
+class HostRuntime:
     """Routes the messages of requests to owners, this host included."""
 
     def __init__(
@@ -79,11 +79,11 @@
         """Return the snapshot to search, none of ``tried``."""
         return self.versions.pin(services, tried)
 
-    def note_gone(
+    def record_version_gone(
         self, service: ServiceId, snapshot: SnapshotVersion, held: Sequence[SnapshotVersion]
     ) -> None:
         """Remember which snapshots ``service`` holds."""
-        self.versions.note_gone(service, snapshot, held)
+        self.versions.record_version_gone(service, snapshot, held)
 
     def admit(self, rank: Rank, number: float, scope: Scope) -> NotRun | None:
         """Refuse a query whole where its services could not finish it."""
@@ -125,7 +125,7 @@
             self.reply_router.unregister(host, message.query)
         return refusal
 
-    def forget(self, query: QueryId) -> None:
+    def discard_replies(self, query: QueryId) -> None:
         """Drop replies to ``query`` from now on."""
         self.reply_router.unregister_query(query)
 
@@ -133,7 +133,7 @@
         """Tell whether ``host`` has sent nothing for longer than a live host would."""
         return host != self.own and self.links.is_silent(host)
 
-    def may_repeat(self, parts: int) -> bool:
+    def allow_repeats(self, parts: int) -> bool:
         """Take ``parts`` from the budget of work that is asked of a second owner meanwhile."""
         return self.repeats.spend(parts)
 
--- a/src/masticgate/process/_owner.py
+++ b/src/masticgate/process/_owner.py
@@ -82,7 +82,7 @@
             ask.snapshot,
             ask.rank,
             Millis(self.clock.now() + ask.remaining),
-            ask.number,
+            ask.admission_number,
             ask.text,
             deliver,
         )
--- a/src/masticgate/process/_server.py
+++ b/src/masticgate/process/_server.py
@@ -21,7 +21,7 @@
 from ._detector import Detector
 from ._distribution import Distribution
 from ._heartbeats import Heartbeats
-from ._host_tier import HostTier
+from ._host_runtime import HostRuntime
 from ._links import Links
 from ._logs import log_event
 from ._members import Members
@@ -77,7 +77,7 @@
         self.pressure = PressureReporter(
             self.id, self.pools, self.admission, self.timeline, self.clock
         )
-        self.tier = self._build_tier()
+        self.runtime = self._build_runtime()
         self.callers = self._build_callers()
         self._complete_peers()
         listen_address = Address(settings.peer_listen_address or settings.peer_address)
@@ -126,8 +126,8 @@
         """Run ``run`` as a task of its own."""
         self.tasks.submit(run)
 
-    def _build_tier(self) -> HostTier:
-        return HostTier(
+    def _build_runtime(self) -> HostRuntime:
+        return HostRuntime(
             self.id,
             self.incarnation,
             self.policy,
@@ -143,7 +143,7 @@
     def _build_callers(self) -> CallerService:
         return CallerService(
             self.id,
-            self.tier,
+            self.runtime,
             self.tickets,
             self.timeline,
             self.clock,
@@ -195,7 +195,7 @@
         self.distribution.update_role()
         configuration = self.versions.configuration
         if configuration is not None:
-            self.pools.close_unused(configuration, self.tier.owned_services())
+            self.pools.close_unused(configuration, self.runtime.owned_services())
 
     def _run_metrics(self) -> None:
         while not self.stopping.wait(FLUSH_INTERVAL / MILLIS_PER_SECOND):
@@ -213,14 +213,14 @@
             self.pressure.run_once(self.links.send)
 
     def _configuration_changed(self, configuration: Configuration) -> None:
-        self.tier.refresh_table()
+        self.runtime.refresh_table()
         self.pools.close_unused(configuration, set())
 
     def _members_changed(self, members: Sequence[Member]) -> None:
         for member in members:
             if member.state is MemberState.DEAD and not self.links.is_responsive(member.host):
                 self.links.close(member.host)
-        self.tier.refresh_hosts()
+        self.runtime.refresh_hosts()
 
     def _count_hosts(self) -> int:
         return len(self.members.list_members())
--- a/src/masticgate/process/_status.py
+++ b/src/masticgate/process/_status.py
@@ -3,40 +3,40 @@
 from typing import Any
 
 from .._ranks import Rank
-from ._host_tier import HostTier
+from ._host_runtime import HostRuntime
 from ._messages import Member
 from ._metrics import Metrics
 from ._service_pool import ServicePool
 from ._watch_role import WatchRole
 
 
-def status_fields(tier: HostTier, role: WatchRole, metrics: Metrics) -> dict[str, Any]:
+def status_fields(runtime: HostRuntime, role: WatchRole, metrics: Metrics) -> dict[str, Any]:
     """Return what ``masticgate status`` shows, as JSON values."""
-    configuration = tier.versions.configuration
+    configuration = runtime.versions.configuration
     return {
-        "host": tier.own,
-        "incarnation": tier.incarnation,
+        "host": runtime.own,
+        "incarnation": runtime.incarnation,
         "revision": configuration.revision if configuration else 0,
-        "refused_revision": tier.versions.refused,
-        "problems": list(tier.versions.problems),
+        "refused_revision": runtime.versions.refused,
+        "problems": list(runtime.versions.problems),
         "watcher": role.watching,
-        "snapshots": [s.version for s in tier.versions.catalogue.snapshots],
+        "snapshots": [s.version for s in runtime.versions.catalogue.snapshots],
         "leaving": sorted(configuration.leaving) if configuration else [],
-        "peers": [_member_fields(tier, member) for member in tier.members.list_members()],
-        "owned": sorted(tier.owned_services()),
-        "pools": [_pool_fields(pool) for pool in tier.owner.pools.list_pools()],
-        "stopping": tier.owner.stopping,
+        "peers": [_member_fields(runtime, member) for member in runtime.members.list_members()],
+        "owned": sorted(runtime.owned_services()),
+        "pools": [_pool_fields(pool) for pool in runtime.owner.pools.list_pools()],
+        "stopping": runtime.owner.stopping,
         "counters": metrics.read_totals(),
     }
 
 
-def _member_fields(tier: HostTier, member: Member) -> dict[str, Any]:
+def _member_fields(runtime: HostRuntime, member: Member) -> dict[str, Any]:
     return {
         "host": member.host,
         "failure_domain": member.failure_domain,
         "incarnation": member.incarnation,
         "state": member.state.name.lower(),
-        "reachable": member.host == tier.own or tier.links.is_open(member.host),
+        "reachable": member.host == runtime.own or runtime.links.is_open(member.host),
     }
 
 
--- a/src/masticgate/process/_tickets.py
+++ b/src/masticgate/process/_tickets.py
@@ -116,7 +116,7 @@
             self.unresolved[booking.id] = booking.ticket
             return Attempt(booking.ticket, record.attempt)
 
-    def settle(self, attempt: Attempt, outcome: BookingOutcome) -> None:
+    def record_outcome(self, attempt: Attempt, outcome: BookingOutcome) -> None:
         """Record ``outcome``; after "not run" the same ticket may be submitted again."""
         with self.lock:
             record = self.records.get(attempt.ticket)
--- a/src/masticgate/process/_versions.py
+++ b/src/masticgate/process/_versions.py
@@ -114,7 +114,7 @@
                 return None
             known = self.outlines.get(have)
             if known is not None:
-                return self.sections.since(have, known, revision)
+                return self.sections.changes_since(have, known, revision)
             return TextPush(revision, self.sections.join() or "")
 
     def offer_catalogue(self, text: str) -> bool:
@@ -139,7 +139,7 @@
         """Return the snapshot to search, none of ``tried``."""
         return self.catalogue.pin(services, self.gone, tried)
 
-    def note_gone(
+    def record_version_gone(
         self, service: ServiceId, snapshot: SnapshotVersion, held: Sequence[SnapshotVersion]
     ) -> None:
         """Remember which published snapshots ``service`` lacks."""
--- a/src/masticgate/request/_booking.py
+++ b/src/masticgate/request/_booking.py
@@ -12,7 +12,7 @@
 from .._ids import HostId, Incarnation, Millis, QueryId, ServiceId, TicketId
 from .._ranks import Rank
 from ._messages import Book, BookingOutcome, BookReply, Cancel, Forward, ForwardReply
-from ._tier import Inbox, Tier
+from ._runtime import Inbox, Runtime
 
 ANSWER_RESERVE = Millis(5.0)
 """Kept back from the deadline for returning the outcome to the caller."""
@@ -45,7 +45,7 @@
         """Start an attempt, join the one that runs, or say why neither can be."""
         ...
 
-    def settle(self, attempt: "Attempt", outcome: BookingOutcome) -> None:
+    def record_outcome(self, attempt: "Attempt", outcome: BookingOutcome) -> None:
         """Record the outcome of ``attempt`` and tell all that joined it."""
         ...
 
@@ -58,80 +58,80 @@
     number: int
 
 
-def run_booking(booking: Booking, tickets: Tickets, tier: Tier) -> BookingOutcome:
+def run_booking(booking: Booking, tickets: Tickets, runtime: Runtime) -> BookingOutcome:
     """Run ``booking``, at most once for its ticket, and return what became of it.
 
     ``NotRun`` is returned only where the booking did not run and will not under this attempt.
     """
-    if not tier.is_own_ticket(booking.ticket):
-        return _forward(booking, tier)
+    if not runtime.is_own_ticket(booking.ticket):
+        return _forward(booking, runtime)
     begun = tickets.begin(booking)
     match begun:
         case NotRun() | Unknown():
             return begun
         case Future():
-            return _join(booking, begun, tier)
+            return _join(booking, begun, runtime)
         case Attempt():
-            return _run_attempt(booking, begun, tickets, tier)
+            return _run_attempt(booking, begun, tickets, runtime)
 
 
 def _run_attempt(
-    booking: Booking, attempt: Attempt, tickets: Tickets, tier: Tier
+    booking: Booking, attempt: Attempt, tickets: Tickets, runtime: Runtime
 ) -> BookingOutcome:
     """Run ``attempt`` and settle it, also where an exception ends it."""
     outcome: BookingOutcome = Unknown(Reason.INTERNAL, Step.TICKET)
     try:
-        outcome = _send_once(booking, attempt, tier)
+        outcome = _send_once(booking, attempt, runtime)
     finally:
-        tickets.settle(attempt, outcome)
-        tier.forget(booking.id)
+        tickets.record_outcome(attempt, outcome)
+        runtime.discard_replies(booking.id)
     return outcome
 
 
-def _join(booking: Booking, running: "Future[BookingOutcome]", tier: Tier) -> BookingOutcome:
+def _join(booking: Booking, running: "Future[BookingOutcome]", runtime: Runtime) -> BookingOutcome:
     try:
-        return running.result(timeout=seconds_until(booking.deadline, tier.clock))
+        return running.result(timeout=seconds_until(booking.deadline, runtime.clock))
     except FutureTimeout:
         return Unknown(Reason.DEADLINE, Step.TICKET)
 
 
-def _forward(booking: Booking, tier: Tier) -> BookingOutcome:
+def _forward(booking: Booking, runtime: Runtime) -> BookingOutcome:
     """Ask the minter; an earlier try may have run there, so its loss leaves it unknown."""
-    inbox = tier.open_inbox()
+    inbox = runtime.open_inbox()
     message = Forward(
         booking.id,
         booking.incarnation,
         booking.ticket,
         booking.service,
         booking.rank,
-        _remaining(booking, tier),
+        _remaining(booking, runtime),
         booking.payload,
     )
     lost = Unknown(Reason.MINTER_LOST, Step.FORWARD, peer=booking.host)
-    if tier.send(booking.host, message, inbox) is not None:
+    if runtime.send(booking.host, message, inbox) is not None:
         return lost
-    reply = _await_reply(inbox, booking.deadline, tier)
-    tier.forget(booking.id)
+    reply = _await_reply(inbox, booking.deadline, runtime)
+    runtime.discard_replies(booking.id)
     return reply if reply is not None else lost
 
 
-def _send_once(booking: Booking, attempt: Attempt, tier: Tier) -> BookingOutcome:
-    configuration = tier.configuration()
+def _send_once(booking: Booking, attempt: Attempt, runtime: Runtime) -> BookingOutcome:
+    configuration = runtime.configuration()
     service = configuration.services.get(booking.service) if configuration else None
     if configuration is None or service is None or not service.bookings:
         return NotRun(Reason.UNKNOWN_SERVICE, Step.ROUTE, peer=booking.service)
     if configuration.is_leaving(service):
         return NotRun(Reason.DEPARTMENT_LEFT, Step.ROUTE, peer=booking.service)
-    return _send_to_owner(booking, attempt, tier.owners(booking.service), tier)
+    return _send_to_owner(booking, attempt, runtime.owners(booking.service), runtime)
 
 
 def _send_to_owner(
-    booking: Booking, attempt: Attempt, owners: Sequence[HostId], tier: Tier
+    booking: Booking, attempt: Attempt, owners: Sequence[HostId], runtime: Runtime
 ) -> BookingOutcome:
     """Send to the first owner that takes the message; after that nobody else is asked."""
     for owner in owners:
-        inbox = tier.open_inbox()
-        if tier.clock.now() >= booking.deadline - ANSWER_RESERVE:
+        inbox = runtime.open_inbox()
+        if runtime.clock.now() >= booking.deadline - ANSWER_RESERVE:
             return NotRun(Reason.DEADLINE, Step.ROUTE, peer=booking.service)
         message = Book(
             booking.id,
@@ -139,27 +139,27 @@
             attempt.number,
             booking.service,
             booking.rank,
-            _remaining(booking, tier),
+            _remaining(booking, runtime),
             booking.payload,
         )
-        if tier.send(owner, message, inbox) is None:
-            return _await_owner(booking, owner, inbox, tier)
+        if runtime.send(owner, message, inbox) is None:
+            return _await_owner(booking, owner, inbox, runtime)
     return NotRun(Reason.NO_OWNER, Step.ROUTE, peer=booking.service)
 
 
-def _await_owner(booking: Booking, owner: HostId, inbox: Inbox, tier: Tier) -> BookingOutcome:
+def _await_owner(booking: Booking, owner: HostId, inbox: Inbox, runtime: Runtime) -> BookingOutcome:
     end = Millis(booking.deadline - ANSWER_RESERVE)
-    reserve = min(CANCEL_WAIT, (end - tier.clock.now()) / 2)
-    outcome = _await_reply(inbox, Millis(end - reserve), tier)
+    reserve = min(CANCEL_WAIT, (end - runtime.clock.now()) / 2)
+    outcome = _await_reply(inbox, Millis(end - reserve), runtime)
     if outcome is None:
-        tier.send(owner, Cancel(booking.id), None)
-        outcome = _await_reply(inbox, end, tier)
+        runtime.send(owner, Cancel(booking.id), None)
+        outcome = _await_reply(inbox, end, runtime)
     return outcome or Unknown(Reason.DEADLINE, Step.FORWARD, peer=owner)
 
 
-def _await_reply(inbox: Inbox, until: Millis, tier: Tier) -> BookingOutcome | None:
+def _await_reply(inbox: Inbox, until: Millis, runtime: Runtime) -> BookingOutcome | None:
     try:
-        delivery = inbox.get(timeout=seconds_until(until, tier.clock))
+        delivery = inbox.get(timeout=seconds_until(until, runtime.clock))
     except Empty:
         return None
     match delivery.message:
@@ -169,5 +169,5 @@
             return None
 
 
-def _remaining(booking: Booking, tier: Tier) -> Millis:
-    return Millis(booking.deadline - ANSWER_RESERVE - tier.clock.now())
+def _remaining(booking: Booking, runtime: Runtime) -> Millis:
+    return Millis(booking.deadline - ANSWER_RESERVE - runtime.clock.now())
--- a/src/masticgate/request/_merge.py
+++ b/src/masticgate/request/_merge.py
@@ -113,7 +113,7 @@
         ]
 
     def _failure_of(self, service: ServiceId) -> Failure:
-        if service in self.scope.left:
+        if service in self.scope.leaving:
             return NotRun(Reason.DEPARTMENT_LEFT, Step.ROUTE, peer=service)
         default = NotRun(
             Reason.SEARCHER_ERROR, Step.MERGE, peer=service, detail="shard not covered"
--- a/src/masticgate/request/_messages.py
+++ b/src/masticgate/request/_messages.py
@@ -58,13 +58,14 @@
 class Ask:
     """Asks an owner for the parts of one search; ``remaining`` is the time left.
 
-    ``number`` is drawn once a query, evenly from 0 up to 1, and orders overloaded queues alike.
+    ``admission_number`` is drawn once per query, uniformly from [0, 1); it orders the overloaded
+    queues of all owners alike.
     """
 
     query: QueryId
     rank: Rank
     remaining: Millis
-    number: float
+    admission_number: float
     snapshot: SnapshotVersion
     text: str
     parts: tuple[ServicePart, ...]
--- a/src/masticgate/request/_public.py
+++ b/src/masticgate/request/_public.py
@@ -21,7 +21,7 @@
 from ._messages import ServicePart as ServicePart
 from ._messages import SubReply as SubReply
 from ._messages import VersionGone as VersionGone
+from ._runtime import Inbox as Inbox
+from ._runtime import Runtime as Runtime
 from ._search import Query as Query
 from ._search import run_search as run_search
-from ._tier import Inbox as Inbox
-from ._tier import Tier as Tier
--- a/src/masticgate/request/_tier.py
+++ b/src/masticgate/request/_runtime.py
@@ -26,7 +26,7 @@
         ...
 
 
-class Tier(Protocol):
+class Runtime(Protocol):
     """The process around a request; it hides sockets, codecs and threads."""
 
     clock: Clock
@@ -41,13 +41,13 @@
         """Return the snapshot to search, none of ``tried``; ``None`` where there is no other."""
         ...
 
-    def note_gone(
+    def record_version_gone(
         self, service: ServiceId, snapshot: SnapshotVersion, held: Sequence[SnapshotVersion]
     ) -> None:
         """Remember that ``service`` holds ``held`` and not ``snapshot``."""
         ...
 
-    def admit(self, rank: Rank, number: float, scope: Scope) -> NotRun | None:
+    def admit(self, rank: Rank, admission_number: float, scope: Scope) -> NotRun | None:
         """Refuse a query that would not finish, or return ``None``."""
         ...
 
@@ -65,7 +65,7 @@
         """Send to ``host``; replies go to ``inbox``. ``NotRun`` means that nothing was sent."""
         ...
 
-    def forget(self, query: QueryId) -> None:
+    def discard_replies(self, query: QueryId) -> None:
         """Drop replies to ``query`` from now on."""
         ...
 
@@ -73,7 +73,7 @@
         """Tell whether ``host`` has sent nothing for longer than a live host would."""
         ...
 
-    def may_repeat(self, parts: int) -> bool:
+    def allow_repeats(self, parts: int) -> bool:
         """Take ``parts`` from the budget of work that is asked of a second owner meanwhile."""
         ...
 
--- a/src/masticgate/request/_search.py
+++ b/src/masticgate/request/_search.py
@@ -13,7 +13,7 @@
 from ..version import Scope, Snapshot, expand_services
 from ._merge import Answer, Merge
 from ._messages import Ask, Cancel, Delivery, Hits, Reply, ServicePart, VersionGone
-from ._tier import Inbox, Tier
+from ._runtime import Inbox, Runtime
 
 ANSWER_RESERVE = Millis(4.0)
 """Kept back from the deadline for the merge and for returning the answer to the caller."""
@@ -49,42 +49,42 @@
     id: QueryId
     rank: Rank
     deadline: Millis
-    number: float
+    admission_number: float
     services: tuple[ServiceId, ...]
     text: str
     limit: int
 
 
-def run_search(query: Query, tier: Tier) -> Answer | NotRun:
+def run_search(query: Query, runtime: Runtime) -> Answer | NotRun:
     """Run ``query`` and return its answer, or why it did not run.
 
     The answer comes whole from one snapshot. Where the snapshot goes away meanwhile, the search
     starts again whole on another while the deadline allows, else it answers with less coverage.
     """
-    configuration = tier.configuration()
+    configuration = runtime.configuration()
     if configuration is None:
         return NotRun(Reason.NO_CONFIGURATION, Step.PIN)
     scope = expand_services(configuration, query.services)
     if isinstance(scope, NotRun):
         return scope
-    if tier.clock.now() >= query.deadline - ANSWER_RESERVE:
+    if runtime.clock.now() >= query.deadline - ANSWER_RESERVE:
         return NotRun(Reason.DEADLINE, Step.ADMISSION)
-    refusal = tier.admit(query.rank, query.number, scope)
+    refusal = runtime.admit(query.rank, query.admission_number, scope)
     if refusal is not None:
         return refusal
-    return _search_snapshots(query, scope, tier)
+    return _search_snapshots(query, scope, runtime)
 
 
-def _search_snapshots(query: Query, scope: Scope, tier: Tier) -> Answer | NotRun:
+def _search_snapshots(query: Query, scope: Scope, runtime: Runtime) -> Answer | NotRun:
     needed = [service.id for service in scope.remaining]
     tried: frozenset[SnapshotVersion] = frozenset()
     best: Answer | None = None
     while True:
-        snapshot = tier.pin_snapshot(needed, tried)
+        snapshot = runtime.pin_snapshot(needed, tried)
         if snapshot is None:
             return best or NotRun(Reason.NO_SNAPSHOT, Step.PIN)
         tried |= {snapshot.version}
-        attempt = _Attempt(query, scope, snapshot, tried, tier)
+        attempt = _Attempt(query, scope, snapshot, tried, runtime)
         complete = attempt.run()
         answer = attempt.merge.answer(query.id, query.rank, query.limit)
         if best is None or answer.coverage > best.coverage:
@@ -102,35 +102,35 @@
         scope: Scope,
         snapshot: Snapshot,
         pinned: frozenset[SnapshotVersion],
-        tier: Tier,
+        runtime: Runtime,
     ) -> None:
         self.query = query
         self.pinned = pinned
         self.id = QueryId(f"{query.id}.{len(pinned)}")
-        self.tier = tier
+        self.runtime = runtime
         self.snapshot = snapshot
         self.merge = Merge(scope, snapshot)
-        self.inbox: Inbox = tier.open_inbox()
+        self.inbox: Inbox = runtime.open_inbox()
         self.tried: dict[ServiceId, list[HostId]] = defaultdict(list)
         self.unanswered: set[tuple[ServiceId, HostId]] = set()
         self.restart = False
-        self.next_check = Millis(tier.clock.now() + SILENCE_CHECK)
+        self.next_check = Millis(runtime.clock.now() + SILENCE_CHECK)
 
     def run(self) -> bool:
         """Ask, collect until done or late; return ``False`` to restart on another snapshot."""
         stop = Millis(self.query.deadline - ANSWER_RESERVE)
         self._ask(tuple(self.merge.waiting))
         while self.merge.waiting and not self.restart:
-            now = self.tier.clock.now()
+            now = self.runtime.clock.now()
             if now >= stop:
                 break
             if now >= self.next_check:
                 self._leave_silent_owners(now)
             wake = min(stop, self.next_check)
             with suppress(Empty):
-                self._take(self.inbox.get(timeout=seconds_until(wake, self.tier.clock)))
+                self._take(self.inbox.get(timeout=seconds_until(wake, self.runtime.clock)))
         self._cancel_rest()
-        self.tier.forget(self.id)
+        self.runtime.discard_replies(self.id)
         return not self.restart
 
     def _ask(self, services: Iterable[ServiceId]) -> None:
@@ -150,17 +150,17 @@
             self.unanswered.add((service, owner))
         parts = tuple(ServicePart(s, tuple(self.snapshot.shards_of(s))) for s in services)
         query = self.query
-        remaining = Millis(query.deadline - ANSWER_RESERVE - self.tier.clock.now())
+        remaining = Millis(query.deadline - ANSWER_RESERVE - self.runtime.clock.now())
         ask = Ask(
             self.id,
             query.rank,
             remaining,
-            query.number,
+            query.admission_number,
             self.snapshot.version,
             query.text,
             parts,
         )
-        if self.tier.send(owner, ask, self.inbox) is not None:
+        if self.runtime.send(owner, ask, self.inbox) is not None:
             self.unanswered.difference_update((service, owner) for service in services)
             self._ask(services)
 
@@ -168,7 +168,7 @@
         tried = self.tried[service]
         if len(tried) >= MAX_OWNERS_TRIED:
             return None
-        return next((host for host in self.tier.owners(service) if host not in tried), None)
+        return next((host for host in self.runtime.owners(service) if host not in tried), None)
 
     def _out_of_owners(self, service: ServiceId) -> Failure:
         tried = self.tried[service]
@@ -183,7 +183,7 @@
             case Reply(service=service, result=Hits() as hits):
                 self.merge.add_hits(service, hits)
             case Reply(service=service, result=VersionGone() as gone):
-                self.tier.note_gone(service, gone.snapshot, gone.held)
+                self.runtime.record_version_gone(service, gone.snapshot, gone.held)
                 if service in self.merge.waiting and gone.snapshot == self.snapshot.version:
                     failure = NotRun(Reason.VERSION_GONE, Step.UPSTREAM, peer=service)
                     self.merge.add_failure(service, failure)
@@ -193,10 +193,10 @@
 
     def _can_restart(self) -> bool:
         """Tell whether another snapshot and the time for it are left."""
-        if self.tier.clock.now() > self.query.deadline - RESTART_MINIMUM:
+        if self.runtime.clock.now() > self.query.deadline - RESTART_MINIMUM:
             return False
         needed = [service.id for service in self.merge.scope.remaining]
-        return self.tier.pin_snapshot(needed, self.pinned) is not None
+        return self.runtime.pin_snapshot(needed, self.pinned) is not None
 
     def _take_failure(self, service: ServiceId, failure: Failure, source: HostId) -> None:
         if service not in self.merge.waiting or self.tried[service][-1] != source:
@@ -209,21 +209,21 @@
     def _leave_silent_owners(self, now: Millis) -> None:
         self.next_check = Millis(now + SILENCE_CHECK)
         for owner in {self.tried[service][-1] for service in self.merge.waiting}:
-            self.tier.probe(owner)
+            self.runtime.probe(owner)
         silent = [
             service
             for service in self.merge.waiting
-            if self.tier.is_silent(self.tried[service][-1]) and self._next_owner(service)
+            if self.runtime.is_silent(self.tried[service][-1]) and self._next_owner(service)
         ]
-        if silent and self.tier.may_repeat(len(silent)):
+        if silent and self.runtime.allow_repeats(len(silent)):
             self._ask(silent)
 
     def _cancel_rest(self) -> None:
         """Cancel what is still asked for, at silent owners that were left too."""
         for host in {host for _, host in self.unanswered}:
-            self.tier.send(host, Cancel(self.id), None)
+            self.runtime.send(host, Cancel(self.id), None)
         for service in tuple(self.merge.waiting):
             owner = self.tried[service][-1]
-            silent = self.tier.is_silent(owner)
+            silent = self.runtime.is_silent(owner)
             reason = Reason.OWNER_SILENT if silent else Reason.DEADLINE
             self.merge.add_failure(service, Unknown(reason, Step.FORWARD, peer=owner))
--- a/src/masticgate/version/_graph.py
+++ b/src/masticgate/version/_graph.py
@@ -12,16 +12,16 @@
 class Scope:
     """The services of one search, each in its whole closure of dependencies.
 
-    ``needed`` counts in the coverage; ``left`` is the part of it whose department is leaving.
+    ``needed`` counts in the coverage; ``leaving`` is the part of it whose department is leaving.
     """
 
     needed: tuple[Service, ...]
-    left: frozenset[ServiceId]
+    leaving: frozenset[ServiceId]
 
     @property
     def remaining(self) -> tuple[Service, ...]:
         """The services that still receive work."""
-        return tuple(service for service in self.needed if service.id not in self.left)
+        return tuple(service for service in self.needed if service.id not in self.leaving)
 
 
 def expand_services(configuration: Configuration, names: Iterable[ServiceId]) -> Scope | NotRun:
@@ -44,8 +44,8 @@
         seen[name] = configuration.services[name]
         pending.extend(seen[name].depends_on)
     needed = tuple(sorted((s for s in seen.values() if s.searchers), key=lambda s: s.id))
-    left = frozenset(s.id for s in needed if configuration.is_leaving(s))
-    return Scope(needed, left)
+    leaving = frozenset(s.id for s in needed if configuration.is_leaving(s))
+    return Scope(needed, leaving)
 
 
 def find_cycle(dependencies: Mapping[ServiceId, tuple[ServiceId, ...]]) -> list[ServiceId]:
--- a/src/masticgate/version/_sections.py
+++ b/src/masticgate/version/_sections.py
@@ -42,7 +42,7 @@
         """One digest over all sections."""
         return _digest("\n".join(f"{id} {self.digests[id]}" for id in sorted(self.digests)))
 
-    def since(
+    def changes_since(
         self, base: Revision, known: Mapping[SectionId, Digest], revision: Revision
     ) -> SectionsPush:
         """Return what changed since ``base``, whose sections had the digests ``known``."""
--- a/tests/process/test_concurrency.py
+++ b/tests/process/test_concurrency.py
@@ -50,9 +50,9 @@
     def reason(self, policy: Policy) -> Reason:
         """Return why a search does not run on a host that is full and has no configuration."""
         clock = ManualClock()
-        tier = SimpleNamespace(policy=policy, configuration=lambda: None)
+        runtime = SimpleNamespace(policy=policy, configuration=lambda: None)
         metrics = SimpleNamespace(count=lambda name: None)
-        service = CallerService(HostId("h1"), tier, None, None, clock, None, metrics)
+        service = CallerService(HostId("h1"), runtime, None, None, clock, None, metrics)
         fill(service.concurrency, Rank.BULK)
         request = SearchRequest((ServiceId("desk"),), "", Rank.BULK, Millis(100.0), 1)
         return service.search(request).reason
@@ -65,9 +65,9 @@
 
     def test_that_are_refused_before_their_fan_out_do_not_move_the_limit(self):
         clock = ManualClock()
-        tier = SimpleNamespace(policy=OWNER_POLICY, configuration=lambda: None)
+        runtime = SimpleNamespace(policy=OWNER_POLICY, configuration=lambda: None)
         metrics = SimpleNamespace(count=lambda name: None)
-        service = CallerService(HostId("h1"), tier, None, None, clock, None, metrics)
+        service = CallerService(HostId("h1"), runtime, None, None, clock, None, metrics)
         request = SearchRequest((ServiceId("desk"),), "", Rank.BULK, Millis(100.0), 1)
         for _ in range(50):
             assert service.search(request).reason is Reason.NO_CONFIGURATION
--- a/tests/request/script_tier.py
+++ b/tests/request/scripted_runtime.py
@@ -12,25 +12,25 @@
 from masticgate.version import Accepted, SnapshotCatalogue, accept_text
 
 
-class ScriptInbox:
-    def __init__(self, tier: "ScriptTier") -> None:
-        self.tier = tier
+class ScriptedInbox:
+    def __init__(self, runtime: "ScriptedRuntime") -> None:
+        self.runtime = runtime
         self.arrived: deque[Delivery] = deque()
 
     def put(self, item: Delivery) -> None:
         self.arrived.append(item)
 
     def get(self, block: bool = True, timeout: float | None = None) -> Delivery:
-        end = self.tier.clock.now() + (timeout or 0.0) * 1000
-        while not self.arrived and self.tier.run_next(end):
+        end = self.runtime.clock.now() + (timeout or 0.0) * 1000
+        while not self.arrived and self.runtime.run_next(end):
             pass
         if not self.arrived:
-            self.tier.clock.current = Millis(max(end, self.tier.clock.now()))
+            self.runtime.clock.current = Millis(max(end, self.runtime.clock.now()))
             raise Empty
         return self.arrived.popleft()
 
 
-class ScriptTier:
+class ScriptedRuntime:
     """``react(host, message, deliver)`` plays the owners; ``deliver(delay, reply)`` answers."""
 
     def __init__(self, text: str, react: Callable[[HostId, Any, Any], None]) -> None:
@@ -68,7 +68,7 @@
     def pin_snapshot(self, services, tried):
         return self.catalogue.pin(services, self.gone, tried)
 
-    def note_gone(self, service, snapshot, held):
+    def record_version_gone(self, service, snapshot, held):
         published = {s.version for s in self.catalogue.snapshots}
         self.gone[service] = frozenset((published - set(held)) | {snapshot})
 
@@ -79,7 +79,7 @@
         return [host for host in self.hosts if host not in self.closed]
 
     def open_inbox(self):
-        return ScriptInbox(self)
+        return ScriptedInbox(self)
 
     def send(self, host, message, inbox):
         if host in self.closed:
@@ -98,13 +98,13 @@
         self.react(host, message, deliver)
         return None
 
-    def forget(self, query):
+    def discard_replies(self, query):
         self.forgotten.add(query)
 
     def is_silent(self, host):
         return host in self.silent
 
-    def may_repeat(self, parts):
+    def allow_repeats(self, parts):
         return True
 
     def probe(self, host):
--- a/tests/request/test_booking.py
+++ b/tests/request/test_booking.py
@@ -5,7 +5,7 @@
 from masticgate import HostId, Incarnation, Millis, NotRun, QueryId, Rank, Reason, Step, Unknown
 from masticgate.process._tickets import TICKET_LIFETIME, TicketTable
 from masticgate.request import Attempt, Booking, BookReply, Cancel, ForwardReply, Ran, run_booking
-from tests.request.script_tier import ScriptTier
+from tests.request.scripted_runtime import ScriptedRuntime
 from tests.texts import SMALL
 
 CANCELLED = NotRun(Reason.CANCELLED, Step.QUEUE)
@@ -16,13 +16,13 @@
     """A minter's table and a tier whose owners follow a script."""
 
     def __init__(self, react=lambda host, message, deliver: None):
-        self.tier = ScriptTier(SMALL, react)
-        self.table = TicketTable(HostId("h9"), Incarnation(5), self.tier.clock)
+        self.runtime = ScriptedRuntime(SMALL, react)
+        self.table = TicketTable(HostId("h9"), Incarnation(5), self.runtime.clock)
         self.ticket = self.table.mint()
-        self.tier.minted.add(self.ticket)
+        self.runtime.minted.add(self.ticket)
 
     def booking(self, name="q1", ticket=None, payload="{}"):
-        deadline = Millis(self.tier.clock.now() + 200)
+        deadline = Millis(self.runtime.clock.now() + 200)
         ticket = ticket or self.ticket
         minter = HostId("h9")
         return Booking(
@@ -30,10 +30,10 @@
         )
 
     def run(self, name="q1", **fields):
-        return run_booking(self.booking(name, **fields), self.table, self.tier)
+        return run_booking(self.booking(name, **fields), self.table, self.runtime)
 
     def sent(self, kind):
-        return [m for _, m in self.tier.sent if type(m).__name__ == kind]
+        return [m for _, m in self.runtime.sent if type(m).__name__ == kind]
 
 
 def answer(outcome, delay=10.0):
@@ -58,7 +58,7 @@
     def test_may_run_again_after_it_did_not_run(self):
         bench = Bench(answer(CANCELLED))
         assert bench.run("q1") == CANCELLED
-        bench.tier.react = answer(Ran("1"))
+        bench.runtime.react = answer(Ran("1"))
         assert bench.run("q2") == Ran("1")
         assert [m.attempt for m in bench.sent("Book")] == [1, 2]
 
@@ -66,13 +66,13 @@
         bench = Bench()
         outcome = bench.run()
         assert isinstance(outcome, Unknown) and len(bench.sent("Cancel")) == 1
-        assert bench.tier.clock.now() <= 200
+        assert bench.runtime.clock.now() <= 200
 
     def test_asks_the_next_owner_only_where_nothing_was_sent(self):
         bench = Bench(answer(LOST))
-        bench.tier.closed.add(HostId("h0"))
+        bench.runtime.closed.add(HostId("h0"))
         assert bench.run() == LOST
-        assert [host for host, _ in bench.tier.sent] == ["h1"]
+        assert [host for host, _ in bench.runtime.sent] == ["h1"]
 
     def test_an_exception_leaves_no_ticket_running(self):
         def fail(host, message, deliver):
@@ -85,7 +85,7 @@
 
     def test_a_lost_minter_leaves_it_unknown(self):
         bench = Bench()
-        bench.tier.closed.add(HostId("h9"))
+        bench.runtime.closed.add(HostId("h9"))
         outcome = bench.run(ticket="h9~4~1~x")
         assert outcome == Unknown(Reason.MINTER_LOST, Step.FORWARD, peer="h9")
 
@@ -109,20 +109,20 @@
         bench = Bench()
         bench.run("q1")
         bench.table.record_late_outcome(QueryId("q1"), CANCELLED)
-        bench.tier.react = answer(Ran("2"))
+        bench.runtime.react = answer(Ran("2"))
         assert bench.run("q2") == Ran("2")
 
     def test_word_that_comes_before_the_settling_is_kept(self):
         bench = Bench()
         attempt = bench.table.begin(bench.booking("q1"))
         bench.table.record_late_outcome(QueryId("q1"), Ran("1"))
-        bench.table.settle(attempt, LOST)
+        bench.table.record_outcome(attempt, LOST)
         assert bench.run("q2") == Ran("1")
 
     def test_the_word_on_an_old_attempt_changes_nothing(self):
         bench = Bench(answer(CANCELLED))
         bench.run("q1")
-        bench.tier.react = answer(LOST)
+        bench.runtime.react = answer(LOST)
         bench.run("q2")
         bench.table.record_late_outcome(QueryId("q1"), CANCELLED)
         assert bench.run("q3") == LOST
@@ -130,7 +130,7 @@
     def test_duplicate_request_never_runs_after_it_was_told_not_run(self):
         bench = Bench(answer(CANCELLED))
         assert bench.run("q1") == CANCELLED
-        bench.tier.react = answer(Ran("1"))
+        bench.runtime.react = answer(Ran("1"))
         assert bench.run("q1") == CANCELLED
         assert len(bench.sent("Book")) == 1
 
@@ -138,8 +138,8 @@
         bench = Bench()
         attempt = bench.table.begin(bench.booking("q1"))
         joined = bench.table.begin(bench.booking("q2"))
-        bench.table.settle(attempt, CANCELLED)
-        bench.table.settle(attempt, Ran("late"))
+        bench.table.record_outcome(attempt, CANCELLED)
+        bench.table.record_outcome(attempt, Ran("late"))
         assert joined.result(timeout=0) == CANCELLED
         assert bench.table.begin(bench.booking("q2")).result(timeout=0) == CANCELLED
 
@@ -147,26 +147,26 @@
         bench = Bench(answer(CANCELLED))
         bench.run("q1")
         assert bench.run("q2", payload='{"other": 1}').reason is Reason.TICKET_IN_USE
-        bench.tier.clock.advance(TICKET_LIFETIME)
+        bench.runtime.clock.advance(TICKET_LIFETIME)
         assert bench.run("q3").reason is Reason.TICKET_EXPIRED
-        bench.tier.minted.add("strange")
+        bench.runtime.minted.add("strange")
         assert bench.run("q4", ticket="strange").reason is Reason.TICKET_UNKNOWN
 
     def test_forgets_a_ticket_only_long_after_its_expiry(self):
         bench = Bench(answer(Ran("1")))
         bench.run("q1")
-        bench.tier.clock.advance(TICKET_LIFETIME)
+        bench.runtime.clock.advance(TICKET_LIFETIME)
         bench.table.mint()
         assert bench.run("q2") == Ran("1")
-        bench.tier.clock.advance(TICKET_LIFETIME)
+        bench.runtime.clock.advance(TICKET_LIFETIME)
         bench.table.mint()
         assert isinstance(bench.run("q3"), Unknown)
 
     def test_stale_attempt_settles_nothing(self):
         bench = Bench()
         first = bench.table.begin(bench.booking("q1"))
-        bench.table.settle(first, CANCELLED)
+        bench.table.record_outcome(first, CANCELLED)
         second = bench.table.begin(bench.booking("q2"))
-        bench.table.settle(first, Ran("1"))
+        bench.table.record_outcome(first, Ran("1"))
         assert isinstance(second, Attempt) and second.number == 2
         assert not bench.table.records[bench.ticket].outcome.done()
--- a/tests/request/test_booking_faults.py
+++ b/tests/request/test_booking_faults.py
@@ -27,7 +27,7 @@
 from masticgate.process._versions import VersionStore
 from masticgate.request import Book, Booking, Cancel, Ran, run_booking
 from tests.process.fake_connections import add_idle_connection
-from tests.request.script_tier import ScriptTier
+from tests.request.scripted_runtime import ScriptedRuntime
 from tests.texts import SMALL
 
 MINTER = HostId("h9")
@@ -51,15 +51,15 @@
 class OwnerHost:
     """A real owner; its searchers' connections follow the plan."""
 
-    def __init__(self, tier, searched):
-        self.tier = tier
+    def __init__(self, runtime, searched):
+        self.runtime = runtime
         self.searched = searched
         self.alive = True
-        timeline = TimeLine(HostId("owner"), tier.clock)
+        timeline = TimeLine(HostId("owner"), runtime.clock)
         versions = VersionStore(timeline, lambda configuration: None)
         versions.offer_text(SMALL, Revision(1))
-        self.pools = Pools(OWNER_POLICY, tier.clock, timeline, lambda pool, searcher: None)
-        self.owner = Owner(self.pools, versions, tier.clock, lambda: 3)
+        self.pools = Pools(OWNER_POLICY, runtime.clock, timeline, lambda pool, searcher: None)
+        self.owner = Owner(self.pools, versions, runtime.clock, lambda: 3)
         self.idle_connections = []
 
     def receive(self, message, answer, plan):
@@ -70,7 +70,7 @@
                 self.owner.cancel(message)
             case Book():
                 self.owner.submit_booking(message, answer)
-                self.tier.at(plan["idle"], lambda: self.add_idle(plan))
+                self.runtime.at(plan["idle"], lambda: self.add_idle(plan))
 
     def add_idle(self, plan):
         for pool in self.pools.list_pools():
@@ -92,19 +92,19 @@
             if self.alive:
                 pool.finish(send, result)
 
-        self.tier.at(plan["service"], end)
+        self.runtime.at(plan["service"], end)
 
 
 class BookingMachine(RuleBasedStateMachine):
     def __init__(self):
         super().__init__()
-        self.tier = ScriptTier(SMALL, self.react)
+        self.runtime = ScriptedRuntime(SMALL, self.react)
         self.runs = defaultdict(list)
         self.told = []
         self.tickets = []
         self.requests = 0
         self.incarnation = 0
-        self.owners = {host: OwnerHost(self.tier, self.runs) for host in self.tier.hosts}
+        self.owners = {host: OwnerHost(self.runtime, self.runs) for host in self.runtime.hosts}
 
     @initialize()
     def start_minter(self):
@@ -114,27 +114,27 @@
     def restart_minter(self):
         """All tickets of the incarnation before are lost with it."""
         self.incarnation += 1
-        self.tier.minted.clear()
-        self.table = TicketTable(MINTER, Incarnation(self.incarnation), self.tier.clock)
-        self.tier.learn = self.table.record_late_outcome
+        self.runtime.minted.clear()
+        self.table = TicketTable(MINTER, Incarnation(self.incarnation), self.runtime.clock)
+        self.runtime.learn = self.table.record_late_outcome
         self.mint()
 
     @rule()
     def mint(self):
         self.tickets.append(self.table.mint())
-        self.tier.minted.add(self.tickets[-1])
+        self.runtime.minted.add(self.tickets[-1])
 
     @rule(host=st.sampled_from(["h0", "h1", "h2"]))
     def restart_owner(self, host):
         self.owners[host].alive = False
-        self.owners[host] = OwnerHost(self.tier, self.runs)
+        self.owners[host] = OwnerHost(self.runtime, self.runs)
 
     @rule(duration=st.sampled_from([30.0, 1000.0]))
     def let_time_pass(self, duration):
-        end = self.tier.clock.now() + duration
-        while self.tier.run_next(end):
+        end = self.runtime.clock.now() + duration
+        while self.runtime.run_next(end):
             pass
-        self.tier.clock.current = Millis(end)
+        self.runtime.clock.current = Millis(end)
 
     @rule(plan=NETWORK, newest=st.booleans(), duplicate=st.booleans(), data=st.data())
     def book(self, plan, newest, duplicate, data):
@@ -144,11 +144,11 @@
         self.requests += 1
         name = earlier[-1] if duplicate and earlier else QueryId(f"q{self.requests}")
         self.plan = plan
-        outcome = run_booking(self.booking(ticket, name), self.table, self.tier)
+        outcome = run_booking(self.booking(ticket, name), self.table, self.runtime)
         self.told.append((ticket, name, outcome))
 
     def booking(self, ticket, name):
-        end = Millis(self.tier.clock.now() + 200.0)
+        end = Millis(self.runtime.clock.now() + 200.0)
         incarnation = Incarnation(self.incarnation)
         return Booking(name, ticket, MINTER, incarnation, "orders", Rank.URGENT, end, "{}")
 
@@ -164,7 +164,7 @@
 
         copies = plan["book"] if isinstance(message, Book) else plan["cancel"]
         for delay in copies:
-            self.tier.at(delay, lambda: owner.receive(message, answer, plan))
+            self.runtime.at(delay, lambda: owner.receive(message, answer, plan))
 
     @invariant()
     def runs_at_most_once(self):
--- a/tests/request/test_owner_change.py
+++ b/tests/request/test_owner_change.py
@@ -5,7 +5,7 @@
 from masticgate import Millis, NotRun, QueryId, Rank, Reason, ServiceId, Step
 from masticgate.request import Ask, Cancel, Hit, Hits, Query, Reply, run_search
 from masticgate.version import read_catalogue
-from tests.request.script_tier import ScriptTier
+from tests.request.scripted_runtime import ScriptedRuntime
 from tests.texts import SMALL
 
 CATALOGUE = (
@@ -25,12 +25,12 @@
                 result = failure if host == "h0" else hits
                 deliver(1.0, Reply(ask.query, part.service, result))
 
-        tier = ScriptTier(SMALL, react)
-        tier.catalogue = read_catalogue(CATALOGUE)
+        runtime = ScriptedRuntime(SMALL, react)
+        runtime.catalogue = read_catalogue(CATALOGUE)
         services = (ServiceId("ledger/1"),)
         query = Query(QueryId("q"), Rank.URGENT, Millis(200.0), 0.5, services, "lamp", 10)
-        assert run_search(query, tier).whole
-        assert [host for host, _ in tier.sent] == ["h0", "h1"]
+        assert run_search(query, runtime).whole
+        assert [host for host, _ in runtime.sent] == ["h0", "h1"]
 
     def test_a_silent_owner_that_was_left_is_told_to_stop(self):
         def react(host, message, deliver):
@@ -39,10 +39,10 @@
                     hits = Hits(1, part.shards, (Hit("x", 1.0, part.shards[0], "{}"),))
                     deliver(1.0, Reply(message.query, part.service, hits))
 
-        tier = ScriptTier(SMALL, react)
-        tier.silent = {"h0"}
-        tier.catalogue = read_catalogue(CATALOGUE)
+        runtime = ScriptedRuntime(SMALL, react)
+        runtime.silent = {"h0"}
+        runtime.catalogue = read_catalogue(CATALOGUE)
         services = (ServiceId("ledger/1"),)
         query = Query(QueryId("q"), Rank.URGENT, Millis(200.0), 0.5, services, "lamp", 10)
-        assert run_search(query, tier).whole
-        assert [host for host, message in tier.sent if isinstance(message, Cancel)] == ["h0"]
+        assert run_search(query, runtime).whole
+        assert [host for host, message in runtime.sent if isinstance(message, Cancel)] == ["h0"]
--- a/tests/request/test_search_faults.py
+++ b/tests/request/test_search_faults.py
@@ -12,7 +12,7 @@
 from masticgate import Millis, NotRun, QueryId, Rank, Reason, ServiceId, ShardId, Step, Unknown
 from masticgate.request import Answer, Ask, Hit, Hits, Query, Reply, VersionGone, run_search
 from masticgate.version import Snapshot, SnapshotCatalogue
-from tests.request.script_tier import ScriptTier
+from tests.request.scripted_runtime import ScriptedRuntime
 from tests.texts import SMALL
 
 SERVICES = (ServiceId("desk/1"), ServiceId("ledger/1"))
@@ -55,7 +55,7 @@
     def __init__(self):
         super().__init__()
         self.searchers = NaiveSearchers()
-        self.tier = ScriptTier(SMALL, self.react)
+        self.runtime = ScriptedRuntime(SMALL, self.react)
         self.faults = {service: [] for service in SERVICES}
         self.numbers = itertools.count()
 
@@ -65,21 +65,21 @@
 
     @rule(desk=st.integers(1, 3), ledger=st.integers(0, 3))
     def publish_snapshot(self, desk, ledger):
-        version = self.tier.catalogue.newest + 1
+        version = self.runtime.catalogue.newest + 1
         counts = dict(zip(SERVICES, (desk, ledger), strict=True))
         shards = {
             service: {ShardId(f"{service}/v{version}s{n}"): 1.0 + n for n in range(count)}
             for service, count in counts.items()
             if count
         }
-        kept = (Snapshot(version, shards), *self.tier.catalogue.snapshots[:2])
-        self.tier.catalogue = SnapshotCatalogue(kept)
+        kept = (Snapshot(version, shards), *self.runtime.catalogue.snapshots[:2])
+        self.runtime.catalogue = SnapshotCatalogue(kept)
         for held in self.searchers.held.values():
             held.add(version)
 
     @rule(service=st.sampled_from(SERVICES), data=st.data())
     def drop_version(self, service, data):
-        versions = [s.version for s in self.tier.catalogue.snapshots]
+        versions = [s.version for s in self.runtime.catalogue.snapshots]
         self.searchers.held[service].discard(data.draw(st.sampled_from(versions)))
 
     @rule(service=st.sampled_from(SERVICES), fault=st.sampled_from(FAULTS), other=st.booleans())
@@ -89,30 +89,30 @@
 
     @rule(host=st.sampled_from(["h0", "h1", "h2"]), kind=st.sampled_from(["closed", "silent"]))
     def lose_owner(self, host, kind):
-        getattr(self.tier, kind).add(host)
+        getattr(self.runtime, kind).add(host)
 
     @rule()
     def recover(self):
-        self.tier.closed.clear()
-        self.tier.silent.clear()
-        self.tier.gone.clear()
+        self.runtime.closed.clear()
+        self.runtime.silent.clear()
+        self.runtime.gone.clear()
         self.faults = {service: [] for service in SERVICES}
 
     @rule(rank=st.sampled_from(list(Rank)))
     def search(self, rank):
         name = QueryId(f"q{next(self.numbers)}")
-        end = Millis(self.tier.clock.now() + DEADLINE)
+        end = Millis(self.runtime.clock.now() + DEADLINE)
         query = Query(name, rank, end, 0.5, (SERVICES[0],), "lamp", 50)
-        result = run_search(query, self.tier)
-        assert self.tier.clock.now() <= end
-        assert {m.query for _, m in self.tier.sent} <= self.tier.forgotten
+        result = run_search(query, self.runtime)
+        assert self.runtime.clock.now() <= end
+        assert {m.query for _, m in self.runtime.sent} <= self.runtime.forgotten
         if isinstance(result, Answer):
             self.check_answer(result, name)
         else:
             assert isinstance(result, NotRun)
 
     def react(self, host, message, deliver):
-        if isinstance(message, Ask) and host not in self.tier.silent:
+        if isinstance(message, Ask) and host not in self.runtime.silent:
             for part in message.parts:
                 self.answer_part(message, part, deliver)
 
@@ -141,7 +141,7 @@
             deliver(delay + 3 * copy, Reply(ask.query, part.service, result))
 
     def check_answer(self, answer, name):
-        (snapshot,) = (s for s in self.tier.catalogue.snapshots if s.version == answer.snapshot)
+        (snapshot,) = (s for s in self.runtime.catalogue.snapshots if s.version == answer.snapshot)
         weights = {s: w for service in SERVICES for s, w in snapshot.shards_of(service).items()}
         counted = Counter(hit.shard for hit in answer.hits)
         assert set(counted) <= set(weights)
@@ -186,7 +186,7 @@
 class TestSearch:
     def search(self, machine):
         query = Query(QueryId("q"), Rank.URGENT, Millis(230.0), 0.5, SERVICES[:1], "lamp", 50)
-        return run_search(query, machine.tier)
+        return run_search(query, machine.runtime)
 
     def machine(self):
         machine = SearchMachine()
@@ -215,7 +215,7 @@
 
     def test_leaves_a_silent_owner_though_other_replies_keep_coming(self):
         machine = self.machine()
-        silent = machine.tier.hosts[0]
+        silent = machine.runtime.hosts[0]
 
         def react(host, message, deliver):
             if host == silent and isinstance(message, Ask):
@@ -225,8 +225,8 @@
             else:
                 machine.react(host, message, deliver)
 
-        machine.tier.react = react
-        machine.tier.silent.add(silent)
+        machine.runtime.react = react
+        machine.runtime.silent.add(silent)
         assert self.search(machine).whole
 
     def test_a_service_that_the_shard_map_lacks_is_missing(self):
--- a/tests/version/test_sections.py
+++ b/tests/version/test_sections.py
@@ -53,7 +53,7 @@
         text = example("kerala")
         before = split_sections(configuration_of(text))
         after = split_sections(configuration_of(edit_of(text), 2))
-        push = after.since(Revision(1), before.digests, Revision(2))
+        push = after.changes_since(Revision(1), before.digests, Revision(2))
         assert [section.id for section in push.changed] == ["work-orders"]
         assert before.apply(push) == after
         whole = encode_message(TextPush(Revision(2), edit_of(text)))
@@ -63,14 +63,14 @@
     def test_of_a_removed_department_go(self):
         before = split_sections(configuration_of(SMALL))
         after = Sections({id: text for id, text in before.texts.items() if id != "orders"})
-        push = after.since(Revision(1), before.digests, Revision(2))
+        push = after.changes_since(Revision(1), before.digests, Revision(2))
         assert (push.changed, push.removed) == ((), ("orders",))
         assert before.apply(push) == after
 
     def test_of_another_text_are_noticed(self):
         before = split_sections(configuration_of(SMALL))
         after = split_sections(configuration_of(SMALL.replace('"slots": 2', '"slots": 3', 1)))
-        push = after.since(Revision(1), before.digests, Revision(2))
+        push = after.changes_since(Revision(1), before.digests, Revision(2))
         assert NO_SECTIONS.apply(push) is None
         damaged = dataclasses.replace(push, changed=(Section(push.changed[0].id, "{}"),))
         assert before.apply(damaged) is None
