--- a/src/masticgate/connection/gateway/_caller.py
+++ b/src/masticgate/connection/gateway/_caller.py
@@ -12,7 +12,7 @@
 from ...version.gateway import Limits
 from ._encoding import encode_peer_reply, encode_reply
 from ._header_names import CONFIGURATION_VERSION_HEADER, NETWORK_TIME_HEADER, HeaderNames
-from ._inbox import Link, RequestInbox
+from ._inbox import RequestInbox, WakeableSocket
 from ._parser import (
     Malformed,
     ParsedRequest,
@@ -29,7 +29,7 @@
 WRITE_TIMEOUT = Millis(5_000.0)
 """A caller that takes no byte of its answer for so long is cut."""
 
-CONTINUE = b"HTTP/1.1 100 Continue\r\n\r\n"
+CONTINUE_RESPONSE = b"HTTP/1.1 100 Continue\r\n\r\n"
 
 Handler = Callable[[Request, Inbox], Reply]
 
@@ -46,9 +46,9 @@
     header_names: HeaderNames
     clock: Clock
     limits: Callable[[], Limits]
-    closing: Callable[[], bool]
+    is_closing: Callable[[], bool]
     between_gateways: bool = False
-    head_start: Millis = Millis(0.0)
+    transit_time: Millis = Millis(0.0)
 
 
 class CallerState(Enum):
@@ -59,7 +59,7 @@
     SERVING = "serving"
 
 
-class Caller:
+class CallerConnection:
     """One caller's connection."""
 
     def __init__(self, connection: socket.socket, settings: CallerSettings) -> None:
@@ -69,48 +69,48 @@
         self.connection = connection
         self.state = CallerState.IDLE
         self.fresh = True
-        self.since = settings.clock.now()
+        self.state_since = settings.clock.now()
         limits = settings.limits()
         self.parser = RequestParser(limits.header_bytes, limits.body_bytes)
-        self.problem: TooLarge | Malformed | None = None
+        self.parse_error: TooLarge | Malformed | None = None
         self.buffer = memoryview(bytearray(RECEIVE_BYTES))
-        self.link = Link(connection, settings.clock)
+        self.wakeable_socket = WakeableSocket(connection, settings.clock)
 
     def run(self) -> None:
         """Serve requests until either side closes."""
         try:
-            while (parsed := self._read()) is not None:
-                self._enter(CallerState.SERVING)
+            while (parsed := self._read_request()) is not None:
+                self._set_state(CallerState.SERVING)
                 if not self._serve(parsed):
                     break
-                self._enter(CallerState.IDLE)
+                self._set_state(CallerState.IDLE)
         finally:
-            self.link.close()
+            self.wakeable_socket.close()
 
     def stop_reading(self) -> None:
         """Let the task end once it has nothing to serve; any task may call this."""
-        self.link.stop_reading()
+        self.wakeable_socket.stop_reading()
 
-    def _enter(self, state: CallerState) -> None:
+    def _set_state(self, state: CallerState) -> None:
         self.state = state
-        self.since = self.clock.now()
+        self.state_since = self.clock.now()
 
     def _serve(self, parsed: ParsedRequest) -> bool:
         """Answer one request; return ``False`` where the connection has to end."""
-        arrived = Millis(self.clock.now() - self.settings.head_start)
+        arrived = Millis(self.clock.now() - self.settings.transit_time)
         request = decode_request(parsed, self.settings.header_names, arrived)
         if isinstance(request, Refused):
-            self._write(request, close=True)
+            self._send_reply(request, close=True)
             return False
         if not self.settings.between_gateways:
             request = replace(
                 request, is_first_on_connection=self.fresh, network_time=Millis(0.0), version=None
             )
             self.fresh = False
-        reply = self.settings.handler(request, RequestInbox(self.link))
+        reply = self.settings.handler(request, RequestInbox(self.wakeable_socket))
         if isinstance(reply, Abandoned):
             return False
-        close = not parsed.keep_alive or self.settings.closing()
+        close = not parsed.keep_alive or self.settings.is_closing()
         header_names = self.settings.header_names
         if self.settings.between_gateways:
             data = encode_peer_reply(reply, header_names, request, close=close)
@@ -118,7 +118,7 @@
             data = encode_reply(reply, header_names, close=close)
         return self._send(data) and not close
 
-    def _write(self, reply: Reply, *, close: bool) -> bool:
+    def _send_reply(self, reply: Reply, *, close: bool) -> bool:
         return self._send(encode_reply(reply, self.settings.header_names, close=close))
 
     def _send(self, data: bytes) -> bool:
@@ -129,26 +129,26 @@
             return False
         return True
 
-    def _read(self) -> ParsedRequest | None:
+    def _read_request(self) -> ParsedRequest | None:
         """Return the next request, ``None`` where none comes any more."""
         idle_limit = self.settings.limits().idle_timeout
         while not self.parser.ready:
-            if self.problem is not None:
-                self._refuse_bytes(self.problem)
+            if self.parse_error is not None:
+                self._reject_bytes(self.parse_error)
                 return None
             if self.parser.idle:
                 idle_limit = max(idle_limit, self.settings.limits().idle_timeout)
-                deadline = Millis(self.since + idle_limit)
+                deadline = Millis(self.state_since + idle_limit)
             else:
                 if self.state is CallerState.IDLE:
-                    self._enter(CallerState.READING)
-                deadline = Millis(self.since + self.settings.limits().header_timeout)
-            left = deadline - self.clock.now()
-            if left <= 0:
-                self._time_out()
+                    self._set_state(CallerState.READING)
+                deadline = Millis(self.state_since + self.settings.limits().header_timeout)
+            remaining = deadline - self.clock.now()
+            if remaining <= 0:
+                self._handle_timeout()
                 return None
-            data = self._receive(Millis(left))
-            if data is not None and (not data or not self._feed(data)):
+            data = self._receive(Millis(remaining))
+            if data is not None and (not data or not self._parse(data)):
                 return None
         return self.parser.ready.pop(0)
 
@@ -162,34 +162,34 @@
         except OSError:
             return self.buffer[:0]
 
-    def _feed(self, data: memoryview) -> bool:
+    def _parse(self, data: memoryview) -> bool:
         """Take received bytes; return ``False`` where the caller is gone.
 
         Requests that came whole are answered before what is wrong with the bytes behind them.
         """
-        self.problem = self.parser.feed(data)
-        return self.problem is not None or self._continue()
+        self.parse_error = self.parser.feed(data)
+        return self.parse_error is not None or self._send_continue()
 
-    def _refuse_bytes(self, problem: TooLarge | Malformed) -> None:
-        match problem:
+    def _reject_bytes(self, parse_error: TooLarge | Malformed) -> None:
+        match parse_error:
             case TooLarge(status=status):
-                self._write(_refuse(status, Reason.TOO_LARGE, ""), close=True)
+                self._send_reply(_refusal(status, Reason.TOO_LARGE, ""), close=True)
             case Malformed(detail=detail):
-                self._write(_refuse(400, Reason.BAD_REQUEST, detail), close=True)
+                self._send_reply(_refusal(400, Reason.BAD_REQUEST, detail), close=True)
 
-    def _continue(self) -> bool:
+    def _send_continue(self) -> bool:
         if not self.parser.expects_continue or not self.parser.in_body:
             return True
         self.parser.expects_continue = False
         try:
-            self.connection.sendall(CONTINUE)
+            self.connection.sendall(CONTINUE_RESPONSE)
         except OSError:
             return False
         return True
 
-    def _time_out(self) -> None:
+    def _handle_timeout(self) -> None:
         if not self.parser.idle:
-            self._write(_refuse(408, Reason.DEADLINE, "the request did not end"), close=True)
+            self._send_reply(_refusal(408, Reason.DEADLINE, "the request did not end"), close=True)
 
 
 def decode_request(
@@ -198,32 +198,32 @@
     """Return the typed request, or why it cannot be served."""
     hosts = [value for name, value in parsed.headers if name.lower() == b"host"]
     if len(hosts) > 1 or (not hosts and parsed.version != "1.0"):
-        return _refuse(400, Reason.BAD_REQUEST, "one Host header is needed")
+        return _refusal(400, Reason.BAD_REQUEST, "one Host header is needed")
     if not parsed.target.startswith(b"/"):
-        return _refuse(400, Reason.BAD_REQUEST, "a path is needed")
+        return _refusal(400, Reason.BAD_REQUEST, "a path is needed")
     version = parse_number(find_header(parsed.headers, CONFIGURATION_VERSION_HEADER) or b"")
-    network = _read_millis(find_header(parsed.headers, NETWORK_TIME_HEADER))
-    own = (header_names.expected_searcher, CONFIGURATION_VERSION_HEADER, NETWORK_TIME_HEADER)
+    network = _parse_millis(find_header(parsed.headers, NETWORK_TIME_HEADER))
+    internal = (header_names.expected_searcher, CONFIGURATION_VERSION_HEADER, NETWORK_TIME_HEADER)
     host = hosts[0].decode("latin-1").partition(":")[0] if hosts else ""
     return Request(
         RequestId((find_header(parsed.headers, header_names.request_id) or b"").decode("latin-1")),
         parsed.method,
         parsed.target,
         host,
-        tuple(h for h in end_to_end_headers(parsed.headers) if h[0].lower() not in own),
+        tuple(h for h in end_to_end_headers(parsed.headers) if h[0].lower() not in internal),
         parsed.body,
-        _read_millis(find_header(parsed.headers, header_names.caller_timeout)),
+        _parse_millis(find_header(parsed.headers, header_names.caller_timeout)),
         now,
         network_time=network or Millis(0.0),
         version=None if version is None else ConfigurationVersion(version),
     )
 
 
-def _read_millis(value: bytes | None) -> Millis | None:
+def _parse_millis(value: bytes | None) -> Millis | None:
     if value is None or not value.strip().isdigit():
         return None
     return Millis(float(value))
 
 
-def _refuse(status: int, reason: Reason, detail: str) -> Refused:
+def _refusal(status: int, reason: Reason, detail: str) -> Refused:
     return Refused(status, NotRun(reason, Step.READ, detail=detail))
--- a/src/masticgate/connection/gateway/_inbox.py
+++ b/src/masticgate/connection/gateway/_inbox.py
@@ -12,10 +12,10 @@
 from ..._ids import Millis
 from ...request.gateway import Answered, Call, CallerDisconnected
 
-CLOSED = select.POLLRDHUP | select.POLLHUP | select.POLLERR
+CLOSE_EVENTS = select.POLLRDHUP | select.POLLHUP | select.POLLERR
 
 
-class Link:
+class WakeableSocket:
     """One caller's connection and the pipe that wakes its task.
 
     A call may finish after the connection ended, when the numbers of its descriptors are in use
@@ -25,19 +25,19 @@
     def __init__(self, connection: socket.socket, clock: Clock) -> None:
         self.connection = connection
         self.clock = clock
-        self.reader, self.writer = os.pipe()
-        os.set_blocking(self.reader, False)
-        os.set_blocking(self.writer, False)
+        self.wake_reader, self.wake_writer = os.pipe()
+        os.set_blocking(self.wake_reader, False)
+        os.set_blocking(self.wake_writer, False)
         self.lock = Lock()
         self.waiting = False
         self.closed = False
-        self.reads_no_more = False
+        self.reading_stopped = False
         self.poller = select.poll()
-        self.poller.register(self.reader, select.POLLIN)
+        self.poller.register(self.wake_reader, select.POLLIN)
 
-    def watch_caller(self) -> None:
+    def watch_for_close(self) -> None:
         """Begin to watch for the caller's end of the connection."""
-        self.poller.register(self.connection, select.POLLIN | CLOSED)
+        self.poller.register(self.connection, select.POLLIN | CLOSE_EVENTS)
 
     def wake(self) -> None:
         """Wake the task if it waits."""
@@ -46,16 +46,16 @@
                 return
             self.waiting = False
             with suppress(BlockingIOError):
-                os.write(self.writer, b"\0")
+                os.write(self.wake_writer, b"\0")
 
-    def poll(self, until: Millis) -> bool:
+    def poll(self, deadline: Millis) -> bool:
         """Wait until woken or ``until``; return ``True`` where the caller closed."""
-        left = max(0, ceil(until - self.clock.now()))
-        for descriptor, events in self.poller.poll(left):
-            if descriptor == self.reader:
+        remaining = max(0, ceil(deadline - self.clock.now()))
+        for descriptor, events in self.poller.poll(remaining):
+            if descriptor == self.wake_reader:
                 with suppress(OSError):
-                    os.read(self.reader, 64)
-            elif self._has_left(events):
+                    os.read(self.wake_reader, 64)
+            elif self._is_closed_by_caller(events):
                 return True
         return False
 
@@ -63,8 +63,8 @@
         """Release the descriptors."""
         with self.lock:
             self.closed = True
-            os.close(self.reader)
-            os.close(self.writer)
+            os.close(self.wake_reader)
+            os.close(self.wake_writer)
             with suppress(OSError):
                 self.connection.close()
 
@@ -74,16 +74,16 @@
         A request that was read just before is still served: the end is not the caller's then.
         """
         with self.lock:
-            self.reads_no_more = True
+            self.reading_stopped = True
             if not self.closed:
                 with suppress(OSError):
                     self.connection.shutdown(socket.SHUT_RD)
 
-    def _has_left(self, events: int) -> bool:
-        if self.reads_no_more:
+    def _is_closed_by_caller(self, events: int) -> bool:
+        if self.reading_stopped:
             self.poller.unregister(self.connection)
             return False
-        if events & CLOSED:
+        if events & CLOSE_EVENTS:
             return True
         try:
             if self.connection.recv(1, socket.MSG_PEEK | socket.MSG_DONTWAIT) == b"":
@@ -92,24 +92,24 @@
             return False
         except OSError:
             return True
-        self.poller.modify(self.connection, CLOSED)
+        self.poller.modify(self.connection, CLOSE_EVENTS)
         return False
 
 
 class RequestInbox:
     """The finished calls of one request."""
 
-    def __init__(self, link: Link) -> None:
-        self.link = link
+    def __init__(self, wakeable_socket: WakeableSocket) -> None:
+        self.wakeable_socket = wakeable_socket
         self.finished: deque[Call] = deque()
         self.expected = 1
-        link.watch_caller()
+        wakeable_socket.watch_for_close()
 
     def put(self, call: Call) -> None:
         """Hand over a finished call; any task may call this."""
         self.finished.append(call)
         if len(self.finished) >= self.expected or not _is_success(call):
-            self.link.wake()
+            self.wakeable_socket.wake()
 
     def set_batch_size(self, number: int) -> None:
         """Let a wait go on until so many calls finished, or one of them without success."""
@@ -118,14 +118,14 @@
     def wait(self, until: Millis) -> Call | CallerDisconnected | None:
         """Return the next finished call, or ``None`` at ``until``."""
         while True:
-            self.link.waiting = True
+            self.wakeable_socket.waiting = True
             if self.finished:
-                self.link.waiting = False
+                self.wakeable_socket.waiting = False
                 return self.finished.popleft()
-            if self.link.clock.now() >= until:
-                self.link.waiting = False
+            if self.wakeable_socket.clock.now() >= until:
+                self.wakeable_socket.waiting = False
                 return None
-            if self.link.poll(until):
+            if self.wakeable_socket.poll(until):
                 return CallerDisconnected()
 
 
--- a/src/masticgate/connection/gateway/_listener.py
+++ b/src/masticgate/connection/gateway/_listener.py
@@ -6,7 +6,7 @@
 
 from ..._ids import Address, Millis
 from .._address import accept_connections, listen_on
-from ._caller import Caller, CallerSettings, CallerState
+from ._caller import CallerConnection, CallerSettings, CallerState
 from ._task_starter import TaskStarter
 
 
@@ -14,16 +14,16 @@
     """One listening socket and its callers' connections."""
 
     def __init__(
-        self, address: Address, settings: CallerSettings, tasks: TaskStarter, most: int
+        self, address: Address, settings: CallerSettings, tasks: TaskStarter, max_connections: int
     ) -> None:
         self.settings = settings
         self.tasks = tasks
-        self.most = most
+        self.max_connections = max_connections
         self.lock = Lock()
-        self.callers: set[Caller] = set()
+        self.connections: set[CallerConnection] = set()
         self.socket = listen_on(address)
         self.stopped = False
-        self.turned_away = 0
+        self.rejected = 0
 
     def run(self) -> None:
         """Accept connections until :meth:`stop`."""
@@ -41,56 +41,56 @@
     def count(self, *states: CallerState) -> int:
         """Return the number of connections in one of ``states``."""
         with self.lock:
-            return sum(caller.state in states for caller in self.callers)
+            return sum(caller.state in states for caller in self.connections)
 
     def close_idle(self) -> None:
         """Let every connection end that has no request in progress."""
         with self.lock:
-            idle = [caller for caller in self.callers if caller.state is CallerState.IDLE]
+            idle = [caller for caller in self.connections if caller.state is CallerState.IDLE]
         for caller in idle:
             caller.stop_reading()
 
     def _admit(self, connection: socket.socket) -> None:
         try:
-            caller = Caller(connection, self.settings)
+            caller = CallerConnection(connection, self.settings)
         except OSError:
             connection.close()
             with self.lock:
-                self.turned_away += 1
+                self.rejected += 1
             return
         with self.lock:
-            self.callers.add(caller)
-            crowded = len(self.callers) > self.most
-        if crowded:
-            self._close_longest_unserved(caller)
+            self.connections.add(caller)
+            over_limit = len(self.connections) > self.max_connections
+        if over_limit:
+            self._close_longest_waiting(caller)
         if self.tasks.start(self._run, caller) is not None:
-            self._turn_away(caller)
+            self._reject(caller)
 
-    def _run(self, caller: Caller) -> None:
+    def _run(self, caller: CallerConnection) -> None:
         try:
             caller.run()
         finally:
             with self.lock:
-                self.callers.discard(caller)
+                self.connections.discard(caller)
 
-    def _turn_away(self, caller: Caller) -> None:
+    def _reject(self, caller: CallerConnection) -> None:
         """Close a connection for which no task could be started."""
         with self.lock:
-            self.callers.discard(caller)
-            self.turned_away += 1
-        caller.link.close()
+            self.connections.discard(caller)
+            self.rejected += 1
+        caller.wakeable_socket.close()
 
-    def _close_longest_unserved(self, newest: Caller) -> None:
+    def _close_longest_waiting(self, newest: CallerConnection) -> None:
         """Make room: a connection without a whole request gives way, the oldest first."""
         with self.lock:
-            unserved = [
+            waiting = [
                 caller
-                for caller in self.callers
+                for caller in self.connections
                 if caller is not newest and caller.state is not CallerState.SERVING
             ]
-        if unserved:
-            min(unserved, key=_waiting_since).stop_reading()
+        if waiting:
+            min(waiting, key=_state_since).stop_reading()
 
 
-def _waiting_since(caller: Caller) -> Millis:
-    return caller.since
+def _state_since(caller: CallerConnection) -> Millis:
+    return caller.state_since
--- a/src/masticgate/platform/_configuration.py
+++ b/src/masticgate/platform/_configuration.py
@@ -18,7 +18,7 @@
 KINDS = {"idempotent": Idempotency.IDEMPOTENT, "non_idempotent": Idempotency.NON_IDEMPOTENT}
 DEFAULT_TIMEOUT_MS = 30_000.0
 DEFAULT_OBJECTIVE_MS = 1_000.0
-LOWEST_RANK = 9
+DEFAULT_RANK = 9
 
 
 def decode_configuration(value: object) -> RouteTable:
@@ -32,7 +32,7 @@
         for service in fields.tables("services")
     ]
     return RouteTable(
-        ConfigurationVersion(fields.whole("version")),
+        ConfigurationVersion(fields.integer("version")),
         tuple(_decode_route(route) for route in fields.tables("routes")),
         {service.id: service for service in services},
         _decode_limits(fields.table("limits")),
@@ -49,13 +49,13 @@
         attempts=int(fields.number("maxAttempts", 1.0)),
         timeout=Millis(fields.number("timeoutMs", DEFAULT_TIMEOUT_MS)),
         objective=Millis(fields.number("targetLatencyMs", DEFAULT_OBJECTIVE_MS)),
-        rank=int(fields.number("priority", LOWEST_RANK)),
+        rank=int(fields.number("priority", DEFAULT_RANK)),
     )
 
 
 def _decode_target(fields: Fields) -> Target:
     if "fanoutServices" in fields.values:
-        services = tuple(ServiceId(name) for name in fields.texts("fanoutServices"))
+        services = tuple(ServiceId(name) for name in fields.text_list("fanoutServices"))
         top = int(fields.number("topK", 0.0))
         return Shards(services, top, fields.number("minShardRatio", 0.0))
     if "trafficSplit" in fields.values:
@@ -70,10 +70,10 @@
 
 
 def _decode_limits(fields: Fields) -> Limits:
-    usual = Limits()
+    defaults = Limits()
     return Limits(
-        header_bytes=int(fields.number("maxHeaderBytes", usual.header_bytes)),
-        body_bytes=int(fields.number("maxBodyBytes", usual.body_bytes)),
-        header_timeout=Millis(fields.number("headerTimeoutMs", usual.header_timeout)),
-        idle_timeout=Millis(fields.number("idleTimeoutMs", usual.idle_timeout)),
+        header_bytes=int(fields.number("maxHeaderBytes", defaults.header_bytes)),
+        body_bytes=int(fields.number("maxBodyBytes", defaults.body_bytes)),
+        header_timeout=Millis(fields.number("headerTimeoutMs", defaults.header_timeout)),
+        idle_timeout=Millis(fields.number("idleTimeoutMs", defaults.idle_timeout)),
     )
--- a/src/masticgate/platform/_fields.py
+++ b/src/masticgate/platform/_fields.py
@@ -13,18 +13,18 @@
 class Fields:
     """One table of fields; ``where`` names it in errors."""
 
-    where: str
+    path: str
     values: Mapping[str, Any]
 
     @classmethod
-    def of(cls, where: str, value: Any) -> "Fields":
+    def of(cls, path: str, value: Any) -> "Fields":
         """Return ``value`` as a table.
 
         :raises FieldError: it is none.
         """
         if not isinstance(value, dict):
-            raise FieldError(f"{where}: a table is needed")
-        return cls(where, value)
+            raise FieldError(f"{path}: a table is needed")
+        return cls(path, value)
 
     def text(self, name: str) -> str:
         """Return a string that is not empty."""
@@ -33,7 +33,7 @@
             raise self.error(name, "text")
         return value
 
-    def whole(self, name: str) -> int:
+    def integer(self, name: str) -> int:
         """Return a whole number."""
         value = self.values.get(name)
         if not isinstance(value, int) or isinstance(value, bool):
@@ -49,16 +49,16 @@
 
     def table(self, name: str) -> "Fields":
         """Return a table."""
-        return Fields.of(f"{self.where}.{name}", self.values.get(name))
+        return Fields.of(f"{self.path}.{name}", self.values.get(name))
 
     def tables(self, name: str) -> "list[Fields]":
         """Return a list of tables."""
         value = self.values.get(name)
         if not isinstance(value, list):
             raise self.error(name, "a list")
-        return [Fields.of(f"{self.where}.{name}", item) for item in value]
+        return [Fields.of(f"{self.path}.{name}", item) for item in value]
 
-    def texts(self, name: str) -> list[str]:
+    def text_list(self, name: str) -> list[str]:
         """Return a list of strings."""
         value = self.values.get(name)
         if not isinstance(value, list) or not all(isinstance(item, str) for item in value):
@@ -67,4 +67,4 @@
 
     def error(self, name: str, needed: str) -> FieldError:
         """Return the error of one field."""
-        return FieldError(f"{self.where}.{name}: {needed} is needed")
+        return FieldError(f"{self.path}.{name}: {needed} is needed")
--- a/src/masticgate/platform/_items.py
+++ b/src/masticgate/platform/_items.py
@@ -53,11 +53,11 @@
 
 def _decode_entry(searcher: SearcherId, fields: Fields) -> SearcherEntry:
     fields.text("version")
-    fields.whole("sequence")
+    fields.integer("sequence")
     phase = PHASES.get(fields.text("state"))
     if phase is None:
         raise fields.error("state", "a known state")
-    slots = fields.whole("slots")
+    slots = fields.integer("slots")
     if slots < 1:
         raise fields.error("slots", "a positive number")
     return SearcherEntry(
@@ -68,7 +68,7 @@
         slots=slots,
         phase=phase,
         cold=Millis(fields.number("coldRemainingMs")),
-        born=fields.whole("born") if "born" in fields.values else 0,
+        born=fields.integer("born") if "born" in fields.values else 0,
     )
 
 
--- a/src/masticgate/platform/_names.py
+++ b/src/masticgate/platform/_names.py
@@ -18,4 +18,4 @@
 
 CONFIGURATION_KEY = "op/config"
 SEARCHERS_PREFIX = "servers/"
-EVERYTHING = ""
+ALL_KEYS_PREFIX = ""
--- a/src/masticgate/platform/_node_file.py
+++ b/src/masticgate/platform/_node_file.py
@@ -11,19 +11,19 @@
 
 
 @dataclass(frozen=True, slots=True)
-class BadNodeFile:
+class InvalidNodeFile:
     """The settings file cannot be used."""
 
     detail: str
 
 
-def read_node_file(path: Path, metrics_port: int | None) -> GatewaySettings | BadNodeFile:
+def read_node_file(path: Path, metrics_port: int | None) -> GatewaySettings | InvalidNodeFile:
     """Read the settings file at ``path``; unknown fields are ignored."""
     try:
         fields = Fields.of("settings", tomllib.loads(path.read_text(encoding="utf-8")))
         return _decode(fields, metrics_port)
     except (OSError, UnicodeDecodeError, tomllib.TOMLDecodeError, FieldError) as error:
-        return BadNodeFile(f"{path}: {error}")
+        return InvalidNodeFile(f"{path}: {error}")
 
 
 def _decode(fields: Fields, metrics_port: int | None) -> GatewaySettings:
@@ -39,7 +39,7 @@
         readiness=Address(listen.text("ready")),
         metrics=metrics,
         peers=Address(listen.text("control")) if "control" in listen.values else None,
-        seeds=tuple(Address(seed) for seed in fields.texts("seedNodes")),
+        seeds=tuple(Address(seed) for seed in fields.text_list("seedNodes")),
         catalogue=Address(fields.table("platform").text("address")),
         grace=Millis(bounds.number("graceS") * MILLIS_PER_SECOND),
         drain=Millis(bounds.number("drainMs")),
--- a/src/masticgate/platform/_serve.py
+++ b/src/masticgate/platform/_serve.py
@@ -11,15 +11,15 @@
 from ..process.gateway import GatewaySettings
 from ..process.gateway._gateway import Gateway
 from ._names import HEADER_NAMES
-from ._node_file import BadNodeFile, read_node_file
+from ._node_file import InvalidNodeFile, read_node_file
 from ._store import Store
 
 NODE_FILE_VARIABLE = "MASTICGATE_NODE_FILE"
 RELOAD_INTERVAL_S = 5.0
 """The settings file may change without a signal; it is read again so often."""
 
-START_STATUS = 1
-USAGE_STATUS = 2
+EXIT_START_FAILED = 1
+EXIT_USAGE = 2
 
 
 def main() -> None:
@@ -27,21 +27,21 @@
     metrics_port = int(sys.argv[1]) if len(sys.argv) > 1 else None
     path = Path(os.environ.get(NODE_FILE_VARIABLE, "/etc/masticgate/local.toml"))
     settings = read_node_file(path, metrics_port)
-    if isinstance(settings, BadNodeFile):
+    if isinstance(settings, InvalidNodeFile):
         print(f"masticgate: {settings.detail}", file=sys.stderr)
-        raise SystemExit(USAGE_STATUS)
+        raise SystemExit(EXIT_USAGE)
     signals: SimpleQueue[int] = SimpleQueue()
 
-    def note(number: int, *_: Any) -> None:
+    def enqueue_signal(number: int, *_: Any) -> None:
         signals.put(number)
 
     for number in (signal.SIGTERM, signal.SIGINT, signal.SIGHUP):
-        signal.signal(number, note)
+        signal.signal(number, enqueue_signal)
     try:
         gateway = Gateway(settings, HEADER_NAMES, Store(settings.catalogue, SystemClock()))
     except OSError as error:
         print(f"masticgate: cannot listen: {error}", file=sys.stderr)
-        raise SystemExit(START_STATUS) from error
+        raise SystemExit(EXIT_START_FAILED) from error
     gateway.start()
     _run(gateway, settings, path, metrics_port, signals)
     gateway.stop()
@@ -57,10 +57,10 @@
     """Reload changed settings until asked to stop."""
     while True:
         try:
-            asked = signals.get(timeout=RELOAD_INTERVAL_S)
+            received = signals.get(timeout=RELOAD_INTERVAL_S)
         except Empty:
-            asked = signal.SIGHUP
-        if asked != signal.SIGHUP:
+            received = signal.SIGHUP
+        if received != signal.SIGHUP:
             return
         changed = read_node_file(path, metrics_port)
         if isinstance(changed, GatewaySettings) and changed != settings:
--- a/src/masticgate/platform/_store.py
+++ b/src/masticgate/platform/_store.py
@@ -8,7 +8,7 @@
 from ..connection.gateway import GetTimeouts, HttpClient, InvalidResponse, NoResponse
 from ..process.gateway import Change, Changes, Contents, HistoryGone, Published, Unavailable
 from ._items import decode_item
-from ._names import CONFIGURATION_KEY, EVERYTHING
+from ._names import ALL_KEYS_PREFIX, CONFIGURATION_KEY
 
 READ_TIMEOUT = Millis(1_000.0)
 """A read is answered in milliseconds; a slow store takes some hundred."""
@@ -45,7 +45,7 @@
         first: Revision | None = None
         after = ""
         while True:
-            query = {"prefix": EVERYTHING} | ({"after": after} if after else {})
+            query = {"prefix": ALL_KEYS_PREFIX} | ({"after": after} if after else {})
             page = self._get("/v1/kv-range", query, READ_TIMEOUT)
             if isinstance(page, int | Unavailable):
                 return _unavailable(page)
@@ -58,7 +58,7 @@
 
     def watch(self, after: Revision, wait: Millis) -> Changes | HistoryGone | Unavailable:
         """Wait for changes after a revision."""
-        query = {"prefix": EVERYTHING, "after": after, "waitMs": int(wait)}
+        query = {"prefix": ALL_KEYS_PREFIX, "after": after, "waitMs": int(wait)}
         page = self._get("/v1/kv-watch", query, Millis(wait + WATCH_MARGIN))
         if page == HISTORY_GONE:
             return HistoryGone()
--- a/src/masticgate/process/gateway/_gateway.py
+++ b/src/masticgate/process/gateway/_gateway.py
@@ -151,7 +151,7 @@
             Limits,
             self.stopping.is_set,
             between_gateways=True,
-            head_start=PEER_HEAD_START,
+            transit_time=PEER_HEAD_START,
         )
         return Listener(address, settings, self.pool, MAX_CALLERS)
 
@@ -196,6 +196,6 @@
                 self.log.write(LogEvent.READY, ready=self.was_ready)
             self.metrics.set_gauge("beliefs_age_ms", self.follower.age())
             self.metrics.set_gauge("callers", self.callers.count(*CallerState))
-            self.metrics.set_gauge("callers_turned_away", self.callers.turned_away)
+            self.metrics.set_gauge("callers_turned_away", self.callers.rejected)
             self.metrics.set_gauge("tasks", threading.active_count())
             self.log.wake()
--- a/tests/gateway/test_buffers.py
+++ b/tests/gateway/test_buffers.py
@@ -6,7 +6,7 @@
 
 from masticgate import Address, ManualClock, Millis, SearcherId, ServiceId
 from masticgate.connection.gateway import CallerSettings, SearcherTask
-from masticgate.connection.gateway._caller import Caller
+from masticgate.connection.gateway._caller import CallerConnection
 from masticgate.request.gateway import Answered, Call, LocalPage
 from masticgate.version.gateway import Limits
 
@@ -126,7 +126,7 @@
             Limits,
             lambda: False,
         )
-        threading.Thread(target=Caller(recorded, settings).run, daemon=True).start()
+        threading.Thread(target=CallerConnection(recorded, settings).run, daemon=True).start()
         for number in range(ANSWERS):
             body = b"x" * (1 + 700 * number)
             head = b"POST / HTTP/1.1\r\nHost: h\r\nx-id: q\r\nContent-Length: %d\r\n\r\n"
--- a/tests/gateway/test_descriptors.py
+++ b/tests/gateway/test_descriptors.py
@@ -8,8 +8,8 @@
 
 from masticgate import Address, ManualClock, Millis, SearcherId, ServiceId, SystemClock
 from masticgate.connection.gateway import CallerSettings, HttpClient, SearcherTask
-from masticgate.connection.gateway._caller import Caller
-from masticgate.connection.gateway._inbox import Link, RequestInbox
+from masticgate.connection.gateway._caller import CallerConnection
+from masticgate.connection.gateway._inbox import RequestInbox, WakeableSocket
 from masticgate.request.gateway import Call, CallerDisconnected, LocalPage
 from masticgate.version.gateway import Limits
 
@@ -54,12 +54,12 @@
 class TestLateWake:
     def test_a_call_that_ends_after_its_caller_writes_to_no_other_descriptor(self, reused):
         near, far = connect_pair()
-        link = Link(near, CLOCK)
-        inbox = RequestInbox(link)
+        wakeable_socket = WakeableSocket(near, CLOCK)
+        inbox = RequestInbox(wakeable_socket)
         far.close()
         assert inbox.wait(Millis(CLOCK.now() + 1_000.0)) == CallerDisconnected()
-        number = link.writer
-        link.close()
+        number = wakeable_socket.wake_writer
+        wakeable_socket.close()
         descriptors = reused(number)
         inbox.put(make_call())
         assert readable(descriptors) == []
@@ -77,7 +77,7 @@
 
         clock = SystemClock()
         settings = CallerSettings(handle, HEADER_NAMES, clock, Limits, lambda: True)
-        caller = Caller(near, settings)
+        caller = CallerConnection(near, settings)
         threading.Thread(target=caller.run, daemon=True).start()
         far.sendall(b"GET / HTTP/1.1\r\nHost: h\r\nx-id: q\r\n\r\n")
         far.settimeout(5)
--- a/tests/gateway/test_pipelined_leavers.py
+++ b/tests/gateway/test_pipelined_leavers.py
@@ -6,7 +6,7 @@
 import pytest
 
 from masticgate import Millis, SystemClock
-from masticgate.connection.gateway._inbox import Link, RequestInbox
+from masticgate.connection.gateway._inbox import RequestInbox, WakeableSocket
 
 from .test_buffers import connect_pair
 
@@ -19,8 +19,8 @@
     def test_its_task_does_not_spin(self, half):
         near, far = connect_pair()
         clock = SystemClock()
-        link = Link(near, clock)
-        inbox = RequestInbox(link)
+        wakeable_socket = WakeableSocket(near, clock)
+        inbox = RequestInbox(wakeable_socket)
         far.sendall(b"GET /next")
         if half:
             far.shutdown(socket.SHUT_WR)
@@ -29,6 +29,6 @@
         began = time.thread_time()
         inbox.wait(Millis(clock.now() + WAIT))
         spent = (time.thread_time() - began) * 1_000.0
-        link.close()
+        wakeable_socket.close()
         far.close()
         assert spent < WAIT / 8
--- a/tests/gateway/test_pipelined_refusals.py
+++ b/tests/gateway/test_pipelined_refusals.py
@@ -6,7 +6,7 @@
 
 from masticgate import SystemClock
 from masticgate.connection.gateway import CallerSettings
-from masticgate.connection.gateway._caller import Caller
+from masticgate.connection.gateway._caller import CallerConnection
 from masticgate.request.gateway import LocalPage
 from masticgate.version.gateway import Limits
 
@@ -32,7 +32,7 @@
         )
         far.settimeout(5)
         far.sendall(REQUEST + behind)
-        serving = threading.Thread(target=Caller(near, settings).run, daemon=True)
+        serving = threading.Thread(target=CallerConnection(near, settings).run, daemon=True)
         serving.start()
         first = far.recv(65_536)
         far.close()
@@ -67,7 +67,7 @@
         )
         far.settimeout(5)
         far.sendall(request_bytes)
-        serving = threading.Thread(target=Caller(near, settings).run, daemon=True)
+        serving = threading.Thread(target=CallerConnection(near, settings).run, daemon=True)
         serving.start()
         first = far.recv(65_536)
         far.close()
--- a/tests/gateway/test_whole_gateway.py
+++ b/tests/gateway/test_whole_gateway.py
@@ -240,7 +240,7 @@
     def test_half_requests_do_not_keep_out_a_caller_and_their_tasks_end(self):
         _, running = gateway_over(reply_to)
         with running as gateway:
-            gateway.callers.most = 50
+            gateway.callers.max_connections = 50
             strangers = [RawCaller(gateway) for _ in range(80)]
             for stranger in strangers:
                 stranger.send(b"GET /a/ HTTP/1.1\r\nHost: h")
@@ -250,6 +250,6 @@
             for stranger in strangers:
                 stranger.close()
             deadline = time.monotonic() + 5
-            while len(gateway.callers.callers) > 2 and time.monotonic() < deadline:
+            while len(gateway.callers.connections) > 2 and time.monotonic() < deadline:
                 time.sleep(0.02)
-            assert len(gateway.callers.callers) <= 2
+            assert len(gateway.callers.connections) <= 2
--- a/tests/platform/test_node_file.py
+++ b/tests/platform/test_node_file.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from masticgate.platform._node_file import BadNodeFile, read_node_file
+from masticgate.platform._node_file import InvalidNodeFile, read_node_file
 
 TEXT = """
 nodeName = "front-tvm-1"
@@ -44,9 +44,9 @@
         lines = [line for line in TEXT.splitlines() if not line.startswith(missing)]
         path.write_text("\n".join(lines))
         bad = read_node_file(path, None)
-        assert isinstance(bad, BadNodeFile) and missing in bad.detail
+        assert isinstance(bad, InvalidNodeFile) and missing in bad.detail
 
     def test_a_file_that_is_missing_or_no_toml_is_refused(self, tmp_path):
-        assert isinstance(read_node_file(tmp_path / "none", None), BadNodeFile)
+        assert isinstance(read_node_file(tmp_path / "none", None), InvalidNodeFile)
         (tmp_path / "bad").write_text("= [")
-        assert isinstance(read_node_file(tmp_path / "bad", None), BadNodeFile)
+        assert isinstance(read_node_file(tmp_path / "bad", None), InvalidNodeFile)
