--- a/src/masticgate/connection/gateway/_catalogue_codec.py
+++ b/src/masticgate/connection/gateway/_catalogue_codec.py
@@ -24,7 +24,7 @@
     Unreadable,
 )
 from ...version.gateway import (
-    Kind,
+    Idempotency,
     Limits,
     OneService,
     Route,
@@ -37,7 +37,7 @@
 )
 
 
-class BadCatalogueError(Exception):
+class InvalidCatalogueError(Exception):
     """The bytes are no catalogue of this release."""
 
 
@@ -55,7 +55,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class CatalogueNews:
+class CatalogueUpdate:
     """What a relay tells: the changes up to ``number``, counted since its start ``epoch``."""
 
     epoch: str
@@ -63,7 +63,7 @@
     changes: tuple[Change, ...]
 
 
-def decode_changes(body: bytes) -> CatalogueNews:
+def decode_changes(body: bytes) -> CatalogueUpdate:
     """Return what a relay tells.
 
     :raises BadCatalogueError: the bytes are no catalogue of this release.
@@ -71,9 +71,9 @@
     try:
         value = json.loads(body)
         changes = tuple(_decode_change(item) for item in value["changes"])
-        return CatalogueNews(str(value["epoch"]), Revision(int(value["number"])), changes)
+        return CatalogueUpdate(str(value["epoch"]), Revision(int(value["number"])), changes)
     except (KeyError, TypeError, ValueError, AttributeError) as error:
-        raise BadCatalogueError(str(error)) from error
+        raise InvalidCatalogueError(str(error)) from error
 
 
 def _encode_table(table: RouteTable) -> Any:
@@ -97,7 +97,7 @@
             return {"service": service}
         case Split(parts=parts):
             return {"split": [[part.service, part.weight] for part in parts]}
-        case Shards(services=services, top=top, least_share=least):
+        case Shards(services=services, top=top, min_shard_ratio=least):
             return {"shards": list(services), "top": top, "least": least}
 
 
@@ -152,7 +152,7 @@
         id=RouteId(route["id"]),
         host=route["host"],
         prefix=route["prefix"],
-        kind=Kind(route["kind"]),
+        kind=Idempotency(route["kind"]),
         target=_decode_target(route["target"]),
         attempts=int(route["attempts"]),
         timeout=Millis(route["timeout"]),
--- a/src/masticgate/connection/gateway/_encoding.py
+++ b/src/masticgate/connection/gateway/_encoding.py
@@ -8,16 +8,21 @@
 from ...request.gateway import (
     Answered,
     Failed,
+    LocalPage,
     Merged,
-    Plain,
     Refused,
     Relayed,
     Reply,
     Request,
 )
 from ...request.gateway._exchange import Header
-from ._dialect import MISSING_SHARDS, NETWORK_TIME, TABLE_VERSION, Dialect
-from ._parser import end_to_end, find_header, read_number
+from ._header_names import (
+    CONFIGURATION_VERSION_HEADER,
+    MISSING_SHARDS_HEADER,
+    NETWORK_TIME_HEADER,
+    HeaderNames,
+)
+from ._parser import end_to_end_headers, find_header, parse_number
 
 STATUS_LINES = {
     status.value: b"HTTP/1.1 %d %s\r\n" % (status.value, status.phrase.encode())
@@ -25,57 +30,63 @@
 }
 
 
-def encode_peer_reply(reply: Reply, dialect: Dialect, request: Request, *, close: bool) -> bytes:
+def encode_peer_reply(
+    reply: Reply, header_names: HeaderNames, request: Request, *, close: bool
+) -> bytes:
     """Return the bytes of ``reply`` to another gateway, which needs the request's id in it."""
-    head, _, rest = encode_reply(reply, dialect, close=close).partition(b"\r\n")
-    added = b"%s: %s\r\n" % (dialect.request_id, request.id.encode("latin-1"))
+    head, _, rest = encode_reply(reply, header_names, close=close).partition(b"\r\n")
+    added = b"%s: %s\r\n" % (header_names.request_id, request.id.encode("latin-1"))
     if isinstance(reply, Refused):
-        added += b"%s: 1\r\n" % dialect.not_run
+        added += b"%s: 1\r\n" % header_names.not_run
     return b"%s\r\n%s%s" % (head, added, rest)
 
 
-def encode_reply(reply: Reply, dialect: Dialect, *, close: bool) -> bytes:
+def encode_reply(reply: Reply, header_names: HeaderNames, *, close: bool) -> bytes:
     """Return the bytes of ``reply``; ``close`` announces the end of the connection."""
     match reply:
         case Relayed(answer=answer):
-            return _message(answer.status, end_to_end(answer.headers), answer.body, close)
+            return _encode_message(
+                answer.status, end_to_end_headers(answer.headers), answer.body, close
+            )
         case Merged(stamps=stamps, missing=missing, records=records):
             headers = (
-                (dialect.included_stamps, ", ".join(stamps).encode("latin-1")),
-                (dialect.missing_shards, b"%d" % missing),
+                (header_names.included_stamps, ", ".join(stamps).encode("latin-1")),
+                (header_names.missing_shards, b"%d" % missing),
             )
-            return _message(200, headers, records, close)
+            return _encode_message(200, headers, records, close)
         case Refused(status=status, failure=failure, retry_after=retry_after):
             body = describe(failure).encode()
             if retry_after is None:
-                return _message(status, (), body, close)
+                return _encode_message(status, (), body, close)
             seconds = b"%.3f" % (retry_after / MILLIS_PER_SECOND)
-            return _message(status, ((b"Retry-After", seconds),), body, close)
+            return _encode_message(status, ((b"Retry-After", seconds),), body, close)
         case Failed(status=status, failure=failure):
-            return _message(status, (), describe(failure).encode(), close)
-        case Plain(status=status, body=body):
-            return _message(status, (), body, close)
+            return _encode_message(status, (), describe(failure).encode(), close)
+        case LocalPage(status=status, body=body):
+            return _encode_message(status, (), body, close)
         case _:
             return b""
 
 
-def read_missing(answer: Answered) -> int | None:
+def parse_missing_shards(answer: Answered) -> int | None:
     """Return how many shards a gatherer's answer leaves out, ``None`` where it does not say."""
-    return read_number(find_header(answer.headers, MISSING_SHARDS) or b"")
+    return parse_number(find_header(answer.headers, MISSING_SHARDS_HEADER) or b"")
 
 
-def encode_request(request: Request, dialect: Dialect, searcher: SearcherId, left: Millis) -> bytes:
+def encode_request(
+    request: Request, header_names: HeaderNames, searcher: SearcherId, remaining: Millis
+) -> bytes:
     """Return the bytes of ``request`` for one searcher, which may take ``left`` milliseconds."""
-    replaced = (dialect.patience, dialect.expected_searcher)
+    replaced = (header_names.caller_timeout, header_names.expected_searcher)
     lines = [b"%s %s HTTP/1.1\r\n" % (request.method, request.target)]
     for name, value in request.headers:
         if name.lower() not in replaced:
             lines.append(b"%s: %s\r\n" % (name, value))
-    lines.append(b"%s: %d\r\n" % (dialect.patience, max(1, int(left))))
-    lines.append(b"%s: %s\r\n" % (dialect.expected_searcher, searcher.encode("latin-1")))
+    lines.append(b"%s: %d\r\n" % (header_names.caller_timeout, max(1, int(remaining))))
+    lines.append(b"%s: %s\r\n" % (header_names.expected_searcher, searcher.encode("latin-1")))
     if request.version is not None:
-        lines.append(b"%s: %d\r\n" % (TABLE_VERSION, request.version))
-        lines.append(b"%s: %d\r\n" % (NETWORK_TIME, request.network))
+        lines.append(b"%s: %d\r\n" % (CONFIGURATION_VERSION_HEADER, request.version))
+        lines.append(b"%s: %d\r\n" % (NETWORK_TIME_HEADER, request.network_time))
     if request.body or request.method not in (b"GET", b"HEAD"):
         lines.append(b"Content-Length: %d\r\n" % len(request.body))
     lines.append(b"\r\n")
@@ -83,7 +94,7 @@
     return b"".join(lines)
 
 
-def _message(status: int, headers: tuple[Header, ...], body: bytes, close: bool) -> bytes:
+def _encode_message(status: int, headers: tuple[Header, ...], body: bytes, close: bool) -> bytes:
     lines = [STATUS_LINES.get(status) or b"HTTP/1.1 %d Unknown\r\n" % status]
     for name, value in headers:
         lines.append(b"%s: %s\r\n" % (name, value))
--- a/src/masticgate/platform/_store.py
+++ b/src/masticgate/platform/_store.py
@@ -5,10 +5,10 @@
 
 from .._clock import Clock
 from .._ids import Address, Millis, Revision
-from ..connection.gateway import BadReply, GetTimeouts, HttpClient, NoReply
+from ..connection.gateway import GetTimeouts, HttpClient, InvalidResponse, NoResponse
 from ..process.gateway import Change, Changes, Contents, HistoryGone, Published, Unavailable
 from ._items import decode_item
-from ._names import CONFIGURATION_KEY, EVERYTHING
+from ._names import ALL_KEYS_PREFIX, CONFIGURATION_KEY
 
 READ_TIMEOUT = Millis(1_000.0)
 """A read is answered in milliseconds; a slow store takes some hundred."""
@@ -45,7 +45,7 @@
         first: Revision | None = None
         after = ""
         while True:
-            query = {"prefix": EVERYTHING} | ({"after": after} if after else {})
+            query = {"prefix": ALL_KEYS_PREFIX} | ({"after": after} if after else {})
             page = self._get("/v1/kv-range", query, READ_TIMEOUT)
             if isinstance(page, int | Unavailable):
                 return _unavailable(page)
@@ -58,7 +58,7 @@
 
     def watch(self, after: Revision, wait: Millis) -> Changes | HistoryGone | Unavailable:
         """Wait for changes after a revision."""
-        query = {"prefix": EVERYTHING, "after": after, "waitMs": int(wait)}
+        query = {"prefix": ALL_KEYS_PREFIX, "after": after, "waitMs": int(wait)}
         page = self._get("/v1/kv-watch", query, Millis(wait + WATCH_MARGIN))
         if page == HISTORY_GONE:
             return HistoryGone()
@@ -73,7 +73,7 @@
         """Return the decoded body, the status of a failure, or why there is no answer."""
         timeouts = GetTimeouts(CONNECT_TIMEOUT, timeout)
         response = self.client.get(self.address, path, query, timeouts)
-        if isinstance(response, NoReply | BadReply):
+        if isinstance(response, NoResponse | InvalidResponse):
             self.client.close()
             return Unavailable(response.detail)
         if response.status != 200:
--- a/src/masticgate/process/_searcher_group.py
+++ b/src/masticgate/process/_searcher_group.py
@@ -31,7 +31,7 @@
 
     # Connections.
 
-    def set_shares(self, shares: Iterable[tuple[Searcher, int]]) -> list[Searcher]:
+    def apply_shares(self, shares: Iterable[tuple[Searcher, int]]) -> list[Searcher]:
         """Put other searchers or shares in force; return one searcher a connection to open."""
         known = [*self.health.values(), *self.retired]
         self.health = {}
@@ -54,7 +54,7 @@
         known = (*self.health.values(), *self.retired)
         return next(h for h in known if h.searcher.address == searcher.address)
 
-    def forget_closed(self) -> None:
+    def remove_closed(self) -> None:
         """Forget retired searchers without connections."""
         self.retired = [health for health in self.retired if health.open]
 
@@ -70,19 +70,21 @@
 
     def usable_slots(self, now: Millis) -> int:
         """Return the slots that may be filled now; one that warms up counts in part."""
-        return sum(min(h.searcher.slots, h.allowed(now)) for h in self.health.values())
+        return sum(min(h.searcher.slots, h.max_in_flight(now)) for h in self.health.values())
 
-    def best(
+    def choose(
         self,
         candidates: Iterable[SearcherHealth],
         now: Millis,
         excluded: Collection[SearcherHealth] = (),
     ) -> SearcherHealth | None:
         """Return the searcher to give work to, ``None`` where none may have more."""
-        allowed = [h for h in candidates if h not in excluded and h.in_flight < h.allowed(now)]
-        return min(allowed, key=lambda health: health.cost(now), default=None)
+        eligible = [
+            h for h in candidates if h not in excluded and h.in_flight < h.max_in_flight(now)
+        ]
+        return min(eligible, key=lambda health: health.cost(now), default=None)
 
-    def ejected(self) -> list[SearcherHealth]:
+    def list_ejected(self) -> list[SearcherHealth]:
         """Return the searchers that only get a probe."""
         return [h for h in self.health.values() if h.state is SearcherState.EJECTED]
 
@@ -92,7 +94,7 @@
 
     # Observation.
 
-    def observe(self, send: Send, result: Result, now: Millis) -> None:
+    def record_result(self, send: Send, result: Result, now: Millis) -> None:
         """Learn from the end of ``send``."""
         health = send.health
         health.in_flight -= 1
@@ -101,25 +103,25 @@
             health.incarnation = send.incarnation
         match result:
             case Hits() | Ran() | VersionGone():
-                health.succeed(Millis(now - send.sent_at), now)
+                health.record_success(Millis(now - send.sent_at), now)
                 self._eject_slow(now)
             case NotRun(reason=Reason.SEARCHER_DRAINING):
                 health.drain()
             case NotRun(reason=Reason.SEARCHER_SHED):
-                health.refuse(now)
+                health.record_refusal(now)
             case NotRun(reason=reason) | Unknown(reason=reason):
-                if _is_failure(send, reason) and health.fail():
+                if _is_failure(send, reason) and health.record_failure():
                     self._eject(health, now)
         self._notify(before)
 
-    def note_load(self, searcher: Searcher, report: LoadReport | None) -> None:
+    def record_load(self, searcher: Searcher, report: LoadReport | None) -> None:
         """Take what a searcher says of itself, ``None`` where it could not be asked."""
         health = self.find(searcher)
         before = self._states()
         if report is not None:
-            health.note_report(report)
+            health.record_report(report)
         elif health.state is SearcherState.DRAINING:
-            health.fail()
+            health.record_failure()
         self._notify(before)
 
     def _usable(self) -> Iterator[SearcherHealth]:
@@ -134,8 +136,8 @@
 
     def _eject(self, health: SearcherHealth, now: Millis) -> None:
         """Eject, but never so that more than half of the service is out."""
-        barred = (SearcherState.EJECTED, SearcherState.DRAINING)
-        out = sum(h.state in barred for h in self.health.values() if h is not health)
+        unavailable = (SearcherState.EJECTED, SearcherState.DRAINING)
+        out = sum(h.state in unavailable for h in self.health.values() if h is not health)
         if (out + 1) * 2 <= len(self.health):
             health.eject(now)
 
@@ -153,7 +155,7 @@
 
     One that has answered other work since then is alive, so that one lost send does not count.
     """
-    answered_since = send.health.measured_at >= send.sent_at
+    answered_since = send.health.last_success_at >= send.sent_at
     match send.state:
         case SendState.WANTED if reason is Reason.SEARCHER_LOST:
             return not answered_since
--- a/src/masticgate/process/_server.py
+++ b/src/masticgate/process/_server.py
@@ -21,18 +21,18 @@
 from ._detector import Detector
 from ._distribution import Distribution
 from ._heartbeats import Heartbeats
-from ._host_tier import HostTier
+from ._host_runtime import HostRuntime
 from ._links import Links
 from ._logs import log_event
-from ._mailboxes import Mailboxes
 from ._members import Members
 from ._messages import Hello, Member, MemberState
 from ._metrics import FLUSH_INTERVAL, Metrics
 from ._owner import Owner
-from ._peer_service import PeerService, member_of
+from ._peer_service import PeerService, member_from_hello
 from ._policy import NAIVE_POLICY, OWNER_POLICY, Policy
 from ._pools import Pools
-from ._pressure import PRESSURE_INTERVAL, PressureExchange
+from ._pressure import PRESSURE_INTERVAL, PressureReporter
+from ._reply_router import ReplyRouter
 from ._service_pool import ServicePool
 from ._settings import Settings
 from ._tickets import TicketTable
@@ -60,11 +60,13 @@
         self.timeline = TimeLine(self.id, self.clock, log_event)
         self.metrics = Metrics(settings)
         self.tickets = TicketTable(self.id, self.incarnation, self.clock)
-        self.mailboxes = Mailboxes(self.tickets.learn)
+        self.reply_router = ReplyRouter(self.tickets.record_late_outcome)
         self.versions = VersionStore(self.timeline, self._configuration_changed, starting=True)
         own = self._hello()
-        self.members = Members(member_of(own), self.clock, self.timeline, self._members_changed)
-        self.peers = PeerService(own, self.members, self.versions, self.timeline, self.mailboxes)
+        self.members = Members(
+            member_from_hello(own), self.clock, self.timeline, self._members_changed
+        )
+        self.peers = PeerService(own, self.members, self.versions, self.timeline, self.reply_router)
         self.links = Links(self.peers, self.clock, self.start_task)
         self.distribution = Distribution(
             settings, self.versions, self.members, self.links, self.timeline, self.clock
@@ -72,10 +74,10 @@
         self.pools = Pools(self.policy, self.clock, self.timeline, self._start_connection)
         self.owner = Owner(self.pools, self.versions, self.clock, self._count_hosts)
         self.admission = AdmissionControl(self.clock)
-        self.pressure = PressureExchange(
+        self.pressure = PressureReporter(
             self.id, self.pools, self.admission, self.timeline, self.clock
         )
-        self.tier = self._build_tier()
+        self.runtime = self._build_runtime()
         self.callers = self._build_callers()
         self._complete_peers()
         listen_address = Address(settings.peer_listen_address or settings.peer_address)
@@ -124,8 +126,8 @@
         """Run ``run`` as a task of its own."""
         self.tasks.submit(run)
 
-    def _build_tier(self) -> HostTier:
-        return HostTier(
+    def _build_runtime(self) -> HostRuntime:
+        return HostRuntime(
             self.id,
             self.incarnation,
             self.policy,
@@ -133,7 +135,7 @@
             self.versions,
             self.members,
             self.links,
-            self.mailboxes,
+            self.reply_router,
             self.owner,
             self.admission,
         )
@@ -141,7 +143,7 @@
     def _build_callers(self) -> CallerService:
         return CallerService(
             self.id,
-            self.tier,
+            self.runtime,
             self.tickets,
             self.timeline,
             self.clock,
@@ -171,7 +173,7 @@
             self.members,
             self.links,
             self.versions,
-            Detector(self.members, self.links.heard_at, self.clock, self.timeline),
+            Detector(self.members, self.links.last_received, self.clock, self.timeline),
             seeds_of(self.settings),
             self.timeline,
             self.after_heartbeat,
@@ -193,7 +195,7 @@
         self.distribution.update_role()
         configuration = self.versions.configuration
         if configuration is not None:
-            self.pools.close_unused(configuration, self.tier.owned_services())
+            self.pools.close_unused(configuration, self.runtime.owned_services())
 
     def _run_metrics(self) -> None:
         while not self.stopping.wait(FLUSH_INTERVAL / MILLIS_PER_SECOND):
@@ -211,14 +213,14 @@
             self.pressure.run_once(self.links.send)
 
     def _configuration_changed(self, configuration: Configuration) -> None:
-        self.tier.refresh_table()
+        self.runtime.refresh_table()
         self.pools.close_unused(configuration, set())
 
     def _members_changed(self, members: Sequence[Member]) -> None:
         for member in members:
             if member.state is MemberState.DEAD and not self.links.is_responsive(member.host):
-                self.links.drop(member.host)
-        self.tier.refresh_hosts()
+                self.links.close(member.host)
+        self.runtime.refresh_hosts()
 
     def _count_hosts(self) -> int:
         return len(self.members.list_members())
--- a/src/masticgate/process/gateway/_gateway.py
+++ b/src/masticgate/process/gateway/_gateway.py
@@ -6,9 +6,9 @@
 
 from ..._clock import MILLIS_PER_SECOND, SystemClock
 from ..._ids import Address, Millis
-from ...connection.gateway import CallerSettings, Dialect, Handler, Listener, peer_dialect
+from ...connection.gateway import CallerSettings, Handler, HeaderNames, Listener, peer_header_names
 from ...connection.gateway._caller import CallerState
-from ...request.gateway import Inbox, Plain, Reply, Request
+from ...request.gateway import Inbox, LocalPage, Reply, Request
 from ...version.gateway import Limits, RouteTable
 from ._catalogue import PlatformSource, Source
 from ._fleet import Fleet
@@ -16,44 +16,46 @@
 from ._log import EventLog, LogEvent
 from ._metrics import Metrics
 from ._peers import Peers
-from ._relay import RELAY_AGE, RelayedSource
+from ._relay import MAX_PLATFORM_AGE, RelayedSource
 from ._service import Beliefs, GatewayService
 from ._settings import GatewaySettings
 from ._task_pool import TaskPool
 
-MOST_CALLERS = 1_500
+MAX_CALLERS = 1_500
 """Connections of callers at one time; each is a task and three descriptors."""
 
-MOST_PAGE_CALLERS = 32
+MAX_PAGE_CALLERS = 32
 PEER_HEAD_START = Millis(6.0)
 """What a query handed to this gateway takes on its way here and back beside the gathering."""
 
-MOST_TASKS = 4_000
+MAX_TASKS = 4_000
 STACK_BYTES = 256 * 1024
-TICK = Millis(500.0)
-PAUSE = Millis(1_500.0)
+TICK_INTERVAL = Millis(500.0)
+PAUSE_THRESHOLD = Millis(1_500.0)
 """A tick that comes so late means that the process stood still."""
 
-ACCEPT_SHARE = 0.45
+ACCEPT_GRACE_SHARE = 0.45
 """The part of the grace for which connections are still accepted: two missed readiness checks."""
 
-FINISH_SHARE = 0.8
+FINISH_GRACE_SHARE = 0.8
 """The part of the grace after which requests in progress are no longer waited for."""
 
-STOP_POLL_S = 0.05
+STOP_POLL_INTERVAL_S = 0.05
 
 
 class Gateway:
     """One gateway process."""
 
-    def __init__(self, settings: GatewaySettings, dialect: Dialect, source: PlatformSource) -> None:
+    def __init__(
+        self, settings: GatewaySettings, header_names: HeaderNames, source: PlatformSource
+    ) -> None:
         threading.stack_size(STACK_BYTES)
         self.settings = settings
         self.clock = SystemClock()
         self.log = EventLog(settings.host, self.clock)
         self.metrics = Metrics()
-        self.pool = TaskPool(MOST_TASKS, self.log, self.metrics)
-        self.fleet = Fleet(settings, dialect, self.clock, self.pool, self.log, self.metrics)
+        self.pool = TaskPool(MAX_TASKS, self.log, self.metrics)
+        self.fleet = Fleet(settings, header_names, self.clock, self.pool, self.log, self.metrics)
         followed = self._follow_relays(source) if not settings.is_seed else source
         self.follower = Follower(followed, self.fleet, self.clock, self.log, self.metrics)
         self.stopping = Event()
@@ -77,15 +79,15 @@
         )
         self.ended = Event()
         self.was_ready = False
-        self.readiness = self._listen(settings.readiness, dialect, self._ready_page)
+        self.readiness = self._listen(settings.readiness, header_names, self._ready_page)
         self.callers = self._listen(
-            settings.callers, dialect, self.service.handle, most=MOST_CALLERS
+            settings.callers, header_names, self.service.handle, most=MAX_CALLERS
         )
         self.listeners = [self.readiness, self.callers]
         if settings.peers is not None:
-            self.listeners.append(self._listen_to_peers(settings.peers, dialect))
+            self.listeners.append(self._listen_to_peers(settings.peers, header_names))
         if settings.metrics is not None:
-            self.listeners.append(self._listen(settings.metrics, dialect, self._metrics_page))
+            self.listeners.append(self._listen(settings.metrics, header_names, self._metrics_page))
 
     def start(self) -> None:
         """Start the tasks of the process."""
@@ -98,7 +100,7 @@
     def reload(self, settings: GatewaySettings) -> None:
         """Take changed settings; addresses stay as they are."""
         self.settings = settings
-        self.fleet.reload(settings)
+        self.fleet.apply_settings(settings)
         self.log.write(LogEvent.RELOADED, grace_ms=settings.grace, drain_ms=settings.drain)
 
     def stop(self) -> None:
@@ -108,10 +110,10 @@
         grace = self.settings.grace
         self.log.write(LogEvent.STOPPING, serving=self.callers.count(CallerState.SERVING))
         self.log.wake()
-        self._wait_until(Millis(began + grace * ACCEPT_SHARE))
+        self._wait_until(Millis(began + grace * ACCEPT_GRACE_SHARE))
         self.callers.stop()
         self.callers.close_idle()
-        self._finish(Millis(began + grace * FINISH_SHARE))
+        self._finish(Millis(began + grace * FINISH_GRACE_SHARE))
         cut = self.callers.count(CallerState.SERVING)
         self.log.write(LogEvent.STOPPED, cut=cut, took_ms=round(self.clock.now() - began))
         self.log.stop()
@@ -123,29 +125,35 @@
         while self.clock.now() < deadline:
             if not self.callers.count(CallerState.READING, CallerState.SERVING):
                 return
-            self._wait_until(Millis(self.clock.now() + STOP_POLL_S * MILLIS_PER_SECOND))
+            self._wait_until(Millis(self.clock.now() + STOP_POLL_INTERVAL_S * MILLIS_PER_SECOND))
             self.callers.close_idle()
 
     def _wait_until(self, deadline: Millis) -> None:
         Event().wait(max(0.0, deadline - self.clock.now()) / MILLIS_PER_SECOND)
 
     def _listen(
-        self, address: Address, dialect: Dialect, handler: Handler, most: int = MOST_PAGE_CALLERS
+        self,
+        address: Address,
+        header_names: HeaderNames,
+        handler: Handler,
+        most: int = MAX_PAGE_CALLERS,
     ) -> Listener:
-        settings = CallerSettings(handler, dialect, self.clock, self._limits, self.stopping.is_set)
+        settings = CallerSettings(
+            handler, header_names, self.clock, self._limits, self.stopping.is_set
+        )
         return Listener(address, settings, self.pool, most)
 
-    def _listen_to_peers(self, address: Address, dialect: Dialect) -> Listener:
+    def _listen_to_peers(self, address: Address, header_names: HeaderNames) -> Listener:
         settings = CallerSettings(
             self.service.handle_peer,
-            peer_dialect(dialect),
+            peer_header_names(header_names),
             self.clock,
             Limits,
             self.stopping.is_set,
             between_gateways=True,
-            head_start=PEER_HEAD_START,
+            transit_time=PEER_HEAD_START,
         )
-        return Listener(address, settings, self.pool, MOST_CALLERS)
+        return Listener(address, settings, self.pool, MAX_CALLERS)
 
     def _follow_relays(self, platform: PlatformSource) -> Source:
         wait = Event().wait
@@ -155,7 +163,7 @@
         return self.follower.table
 
     def _hears_platform(self) -> bool:
-        return self.follower.age() <= RELAY_AGE
+        return self.follower.age() <= MAX_PLATFORM_AGE
 
     def _limits(self) -> Limits:
         table = self.follower.table
@@ -168,17 +176,17 @@
         return self.follower.table is not None and not self.stopping.is_set()
 
     def _ready_page(self, request: Request, inbox: Inbox) -> Reply:
-        return Plain(200, b"ready\n") if self._is_ready() else Plain(503, b"not ready\n")
+        return LocalPage(200, b"ready\n") if self._is_ready() else LocalPage(503, b"not ready\n")
 
     def _metrics_page(self, request: Request, inbox: Inbox) -> Reply:
-        return Plain(200, self.metrics.render())
+        return LocalPage(200, self.metrics.render())
 
     def _tick(self) -> None:
         """Do what is due regularly, until the process ends."""
         last = self.clock.now()
-        while not self.ended.wait(TICK / MILLIS_PER_SECOND):
+        while not self.ended.wait(TICK_INTERVAL / MILLIS_PER_SECOND):
             now = self.clock.now()
-            if now - last > PAUSE:
+            if now - last > PAUSE_THRESHOLD:
                 self.log.write(LogEvent.PAUSED, for_ms=round(now - last))
             last = now
             self.peers.decide()
@@ -188,6 +196,6 @@
                 self.log.write(LogEvent.READY, ready=self.was_ready)
             self.metrics.set_gauge("beliefs_age_ms", self.follower.age())
             self.metrics.set_gauge("callers", self.callers.count(*CallerState))
-            self.metrics.set_gauge("callers_turned_away", self.callers.turned_away)
+            self.metrics.set_gauge("callers_turned_away", self.callers.rejected)
             self.metrics.set_gauge("tasks", threading.active_count())
             self.log.wake()
--- a/src/masticgate/process/gateway/_network_times.py
+++ b/src/masticgate/process/gateway/_network_times.py
@@ -12,7 +12,7 @@
 from ...request.gateway import Request
 from ...version.gateway import RouteTable
 
-FIRST_TRIP = Millis(6.0)
+INITIAL_ROUND_TRIP = Millis(6.0)
 """The round trip while none is known: between neighbouring sites, rather long than short."""
 
 
@@ -39,18 +39,18 @@
 
     def __init__(self) -> None:
         self.lock = Lock()
-        self.trip = FIRST_TRIP
+        self.trip = INITIAL_ROUND_TRIP
         self.version = ConfigurationVersion(0)
         self.routes: dict[RouteId, LongestPatience] = {}
 
     def estimate(self, route: RouteId, request: Request) -> Millis:
         """Return what opening the connection took, if it did, and the way there and back."""
         with self.lock:
-            if request.patience is not None:
+            if request.caller_timeout is not None:
                 longest = self.routes.setdefault(route, LongestPatience())
-                longest.note(request.patience, fresh=request.fresh)
+                longest.note(request.caller_timeout, fresh=request.is_first_on_connection)
                 self.trip = longest.round_trip() or self.trip
-            return Millis(self.trip * (2.0 if request.fresh else 1.0))
+            return Millis(self.trip * (2.0 if request.is_first_on_connection else 1.0))
 
     def follow(self, table: RouteTable) -> None:
         """Forget the routes that a newer configuration dropped."""
--- a/src/masticgate/request/gateway/_gather.py
+++ b/src/masticgate/request/gateway/_gather.py
@@ -9,7 +9,7 @@
 from ..._ids import Millis
 from ...version.gateway import Route, Shards
 from ._attempts import Attempts
-from ._exchange import Call, CallerLeft, Inbox, Request, Senders
+from ._exchange import Call, CallerDisconnected, Inbox, Request, UpstreamClient
 from ._reply import Abandoned, Failed, Merged, Refused, Reply
 
 RECORD_BYTES = 16
@@ -28,29 +28,29 @@
 
 
 def run_gather(
-    request: Request, route: Route, shards: Shards, senders: Senders, inbox: Inbox
+    request: Request, route: Route, shards: Shards, upstream: UpstreamClient, inbox: Inbox
 ) -> Reply:
     """Ask one searcher of each shard and merge what answers in time."""
-    return _Gather(request, route, shards, senders, inbox).run()
+    return _Gather(request, route, shards, upstream, inbox).run()
 
 
 class _Gather:
     """The state of one query, used by the task of its caller's connection only."""
 
     def __init__(
-        self, request: Request, route: Route, shards: Shards, senders: Senders, inbox: Inbox
+        self, request: Request, route: Route, shards: Shards, upstream: UpstreamClient, inbox: Inbox
     ) -> None:
-        self.senders = senders
+        self.upstream = upstream
         self.inbox = inbox
         self.top = shards.top
         self.deadline = request.deadline(route)
-        left = route.objective - request.network - ANSWER_MARGIN
+        left = route.objective - request.network_time - ANSWER_MARGIN
         soon = Millis(max(SHORTEST_ANSWER_TIME, left))
-        self.answer_at = min(self.deadline, Millis(request.arrived + soon))
-        self.least = max(1, ceil(shards.least_share * len(shards.services) - 1e-9))
-        self.hedge_at: Millis | None = Millis(request.arrived + senders.hedge_delay(route))
+        self.answer_at = min(self.deadline, Millis(request.arrived_at + soon))
+        self.least = max(1, ceil(shards.min_shard_ratio * len(shards.services) - 1e-9))
+        self.hedge_at: Millis | None = Millis(request.arrived_at + upstream.hedge_delay(route))
         self.waiting = [
-            Attempts(request, route, service, senders, inbox, self.deadline)
+            Attempts(request, route, service, upstream, inbox, self.deadline)
             for service in shards.services
         ]
         self.total = len(self.waiting)
@@ -61,9 +61,9 @@
         for attempts in self.waiting:
             attempts.send_first()
         while not self._is_over():
-            self.inbox.expect(len(self.waiting))
+            self.inbox.set_batch_size(len(self.waiting))
             match self.inbox.wait(self._next_time()):
-                case CallerLeft():
+                case CallerDisconnected():
                     self._cancel()
                     return Abandoned()
                 case Call() as call:
@@ -73,14 +73,14 @@
         return self._reply()
 
     def _is_over(self) -> bool:
-        now = self.senders.now()
+        now = self.upstream.now()
         if now >= self.deadline or not any(attempts.pending for attempts in self.waiting):
             return True
         return now >= self.answer_at and len(self.done) >= self.least
 
     def _next_time(self) -> Millis:
         times = [self.deadline]
-        if self.senders.now() < self.answer_at:
+        if self.upstream.now() < self.answer_at:
             times.append(self.answer_at)
         if self.hedge_at is not None:
             times.append(self.hedge_at)
@@ -90,7 +90,7 @@
         for attempts in self.waiting:
             if not attempts.take(call):
                 continue
-            if attempts.answer is not None and attempts.answer.success:
+            if attempts.answer is not None and attempts.answer.is_success:
                 self.waiting.remove(attempts)
                 self.done.append(attempts)
             elif not attempts.pending:
@@ -98,7 +98,7 @@
             return
 
     def _hedge(self) -> None:
-        if self.hedge_at is None or self.senders.now() < self.hedge_at:
+        if self.hedge_at is None or self.upstream.now() < self.hedge_at:
             return
         self.hedge_at = None
         for attempts in self.waiting:
@@ -116,10 +116,12 @@
             return self._failure()
         stamps = tuple(answer.stamp for answer in answers)
         records = merge_records((answer.body for answer in answers), self.top)
-        causes = tuple(attempts.describe() for attempts in self.waiting[:MOST_CAUSES])
-        unusual = (answer for answer in answers if not answer.receipt.is_ordinary)
-        received = tuple(f"{a.searcher}: {a.receipt}" for a in islice(unusual, MOST_CAUSES))
-        return Merged(stamps, self.total - len(answers), records, causes, received)
+        missing_causes = tuple(attempts.describe() for attempts in self.waiting[:MOST_CAUSES])
+        irregular_parts = (answer for answer in answers if not answer.receive_info.is_regular)
+        received = tuple(
+            f"{a.searcher}: {a.receive_info}" for a in islice(irregular_parts, MOST_CAUSES)
+        )
+        return Merged(stamps, self.total - len(answers), records, missing_causes, received)
 
     def _failure(self) -> Reply:
         detail = f"{len(self.done)} of {self.total} shards"
@@ -127,7 +129,7 @@
             first = self.waiting[0].failure
             refused = NotRun(first.reason, first.step, first.peer, detail)
             return Refused(503, refused, RETRY_AFTER)
-        if self.senders.now() >= self.deadline:
+        if self.upstream.now() >= self.deadline:
             return Failed(504, Unknown(Reason.DEADLINE, Step.MERGE, detail=detail))
         return Failed(502, Unknown(Reason.COVERAGE, Step.MERGE, detail=detail))
 
--- a/tests/gateway/fakes.py
+++ b/tests/gateway/fakes.py
@@ -8,7 +8,7 @@
     RequestId,
     RouteId,
 )
-from masticgate.connection.gateway import Dialect
+from masticgate.connection.gateway import HeaderNames
 from masticgate.process.gateway import (
     GatewaySettings,
     RepeatBounds,
@@ -19,9 +19,9 @@
 from masticgate.process.gateway._log import EventLog
 from masticgate.process.gateway._metrics import Metrics
 from masticgate.process.gateway._task_pool import TaskPool
-from masticgate.request.gateway import Answered, Call, CallerLeft, Declined, Lost, Request
+from masticgate.request.gateway import Answered, Call, CallerDisconnected, Declined, Lost, Request
 from masticgate.version.gateway import (
-    Kind,
+    Idempotency,
     Limits,
     OneService,
     Route,
@@ -31,9 +31,9 @@
     Target,
 )
 
-DIALECT = Dialect(
+HEADER_NAMES = HeaderNames(
     request_id=b"x-id",
-    patience=b"x-patience",
+    caller_timeout=b"x-patience",
     stamp=b"x-stamp",
     expected_searcher=b"x-expected",
     load=b"x-load",
@@ -48,7 +48,7 @@
 
 def make_route(
     target: Target = ORDERS,
-    kind: Kind = Kind.IDEMPOTENT,
+    kind: Idempotency = Idempotency.IDEMPOTENT,
     attempts: int = 2,
     prefix: str = "/a/",
 ) -> Route:
@@ -77,8 +77,8 @@
     return RouteTable(ConfigurationVersion(version), routes, entries, Limits())
 
 
-def make_request(identity: str = "q1", patience: float | None = 400.0) -> Request:
-    wait = None if patience is None else Millis(patience)
+def make_request(identity: str = "q1", caller_timeout: float | None = 400.0) -> Request:
+    wait = None if caller_timeout is None else Millis(caller_timeout)
     return Request(RequestId(identity), b"GET", b"/a/x", "host.example", (), b"", wait, Millis(0.0))
 
 
@@ -136,14 +136,14 @@
 def make_fleet(clock: ManualClock | None = None, **settings: float) -> Fleet:
     clock = clock or ManualClock()
     log = EventLog(HostId("g1"), clock)
-    return Fleet(make_settings(**settings), DIALECT, clock, HeldTasks(), log, Metrics())
+    return Fleet(make_settings(**settings), HEADER_NAMES, clock, HeldTasks(), log, Metrics())
 
 
 def answered(searcher: SearcherId, body: bytes = b"", status: int = 200, latency: float = 10.0):
     return Answered(searcher, status, (), body, f"s-{searcher}", Millis(latency))
 
 
-class ScriptedSending:
+class ScriptedCall:
     """A call on its way whose outcome the script knows."""
 
     def __init__(self, call: Call, searcher: SearcherId) -> None:
@@ -168,7 +168,7 @@
         self.repeats = repeats
         self.hedge = Millis(20.0)
         self.events: list[tuple[float, int, Call]] = []
-        self.sendings: list[ScriptedSending] = []
+        self.sent_calls: list[ScriptedCall] = []
         self.leaves_at: float | None = None
 
     def now(self):
@@ -181,11 +181,11 @@
         delay, outcome = plan.pop(0)
         searcher = SearcherId(f"{call.service}-{len(tried)}")
         call.started = outcome != "unsent"
-        sending = ScriptedSending(call, searcher)
-        self.sendings.append(sending)
+        sending = ScriptedCall(call, searcher)
+        self.sent_calls.append(sending)
         call.outcome = self._outcome(searcher, outcome)
         if outcome != "silent":
-            self.events.append((self.now() + delay, len(self.sendings), call))
+            self.events.append((self.now() + delay, len(self.sent_calls), call))
         return sending
 
     def hedge_delay(self, route):
@@ -197,7 +197,7 @@
     def allow_retry(self, service):
         return self._spend()
 
-    def expect(self, number):
+    def set_batch_size(self, number):
         pass
 
     def put(self, call):
@@ -208,7 +208,7 @@
         next_at = self.events[0][0] if self.events else float("inf")
         if self.leaves_at is not None and self.leaves_at <= min(next_at, until):
             self.clock.current = Millis(self.leaves_at)
-            return CallerLeft()
+            return CallerDisconnected()
         if next_at > until:
             self.clock.current = Millis(max(self.now(), until))
             return None
--- a/tests/gateway/test_answers.py
+++ b/tests/gateway/test_answers.py
@@ -27,7 +27,7 @@
 )
 from masticgate.connection.gateway import SearcherTask
 from masticgate.connection.gateway._response_parser import ResponseParser
-from masticgate.process.gateway._catalogue import PEERS
+from masticgate.process.gateway._catalogue import PEER_SERVICE
 from masticgate.process.gateway._peers import GatherAtPeers
 from masticgate.request.gateway import (
     Answered,
@@ -41,7 +41,7 @@
 )
 from masticgate.version.gateway import Shards
 
-from .fakes import DIALECT, ScriptedSending, make_entry, make_request, make_route
+from .fakes import HEADER_NAMES, ScriptedCall, make_entry, make_request, make_route
 from .loopback import (
     RESET_AT_CLOSE,
     BreakingSearcher,
@@ -174,7 +174,7 @@
         self.given_in_receive = False
         self.script = self._play()
         self.task = SearcherTask(
-            SearcherId("s1"), Address("127.0.0.1:9"), self, DIALECT, ManualClock()
+            SearcherId("s1"), Address("127.0.0.1:9"), self, HEADER_NAMES, ManualClock()
         )
         self.task.client.socket = self.near = StagedSocket(near, self)
 
@@ -183,17 +183,17 @@
         self.far.close()
         return self.calls
 
-    def opened(self, task):
+    def handle_open(self, task):
         pass
 
-    def finish(self, task, call, load, *, reusable):
+    def handle_outcome(self, task, call, load, *, reusable):
         if reusable and self.calls[-1][0].moment is Moment.AT_FINISH:
             self._give()
 
-    def ended(self, task, *, connected):
+    def handle_close(self, task, *, connected):
         pass
 
-    def note(self, task, irregularity):
+    def record_violation(self, task, violation):
         pass
 
     def received(self) -> None:
@@ -209,7 +209,7 @@
         call = self.last if self.last and not self.waiting else None
         call = call or make_call(exchange.message.identity)
         self.calls.append((exchange, call))
-        assert self.task.give(call)
+        assert self.task.assign(call)
 
     def _play(self) -> Iterator[None]:
         """Do what the searcher does, until the connection ends; each step is one to receive."""
@@ -271,8 +271,8 @@
             assert not message.refusal
             assert (answer.status, answer.stamp) == (message.status, message.stamp)
             assert answer.body == message.body
-            assert field_values(answer, DIALECT.request_id) == [message.identity.encode()]
-            assert field_values(answer, DIALECT.stamp) == [message.stamp.encode()]
+            assert field_values(answer, HEADER_NAMES.request_id) == [message.identity.encode()]
+            assert field_values(answer, HEADER_NAMES.stamp) == [message.stamp.encode()]
         case Declined():
             assert message.refusal
         case Lost():
@@ -439,7 +439,7 @@
         if not call.started:
             Conversation(planned[-1:], call).run()
         self.finished.append(call)
-        return ScriptedSending(call, SearcherId(f"{call.service}-{len(tried)}"))
+        return ScriptedCall(call, SearcherId(f"{call.service}-{len(tried)}"))
 
     def hedge_delay(self, route):
         return Millis(1_000.0)
@@ -450,7 +450,7 @@
     def allow_retry(self, service):
         return True
 
-    def expect(self, number):
+    def set_batch_size(self, number):
         pass
 
     def put(self, call):
@@ -586,13 +586,13 @@
     def __init__(self, finished: Event) -> None:
         self.finished = finished
 
-    def opened(self, task):
+    def handle_open(self, task):
         pass
 
-    def finish(self, task, call, load, *, reusable):
+    def handle_outcome(self, task, call, load, *, reusable):
         self.finished.set()
 
-    def ended(self, task, *, connected):
+    def handle_close(self, task, *, connected):
         pass
 
 
@@ -607,11 +607,14 @@
         call = make_call("q0")
         call.request = replace(call.request, method=b"POST", body=bytes(4_000_000))
         owner = EndNoted(held.read_end)
-        task = SearcherTask(SearcherId("s1"), Address("127.0.0.1:9"), owner, DIALECT, SystemClock(),
-                            call)  # fmt: skip
+        task = SearcherTask(
+            SearcherId("s1"), Address("127.0.0.1:9"), owner, HEADER_NAMES, SystemClock(), call
+        )
         call.deadline = Millis(task.clock.now() + 10_000.0)
         task.client.socket = held
-        reader = threading.Thread(target=lambda: task._end(task._read_all(), connected=True))
+        reader = threading.Thread(
+            target=lambda: task._finish(task._receive_responses(), connected=True)
+        )
         sender = threading.Thread(target=task._send, args=(call,))
         reader.start()
         sender.start()
@@ -738,8 +741,10 @@
         with running_gateway([make_route(SHARDS)], searchers) as entry:
             entry.peers.decide = lambda: None
             entry.peers.gathering = GatherAtPeers()
-            entry.fleet.list_searcher(replace(make_entry("p", PEERS), address=gatherer.address))
-            entry.fleet.budgets.window(PEERS).slack = 1_000.0
+            entry.fleet.apply_listing(
+                replace(make_entry("p", PEER_SERVICE), address=gatherer.address)
+            )
+            entry.fleet.budgets.window(PEER_SERVICE).slack = 1_000.0
             for number in range(PEER_QUERIES):
                 identity = f"q{number}"
                 told.append((identity, *RawCaller(entry).get(identity=identity).read()))
--- a/tests/gateway/test_answers_without_end.py
+++ b/tests/gateway/test_answers_without_end.py
@@ -11,19 +11,19 @@
 
 from masticgate import Address, ManualClock, Millis, SearcherId, ServiceId, SystemClock
 from masticgate.connection.gateway import (
-    BadReply,
     GetTimeouts,
     HttpClient,
     HttpResponse,
-    NoReply,
+    InvalidResponse,
+    NoResponse,
     SearcherTask,
-    peer_dialect,
+    peer_header_names,
 )
 from masticgate.connection.gateway._parser import Malformed
 from masticgate.connection.gateway._response_parser import ResponseParser
 from masticgate.request.gateway import Call, Lost
 
-from .fakes import DIALECT, make_request, make_route
+from .fakes import HEADER_NAMES, make_request, make_route
 from .loopback import RawCaller, StandInSearcher, reply_to, running_gateway
 from .pouring import (
     CHUNKED,
@@ -115,7 +115,7 @@
         for _ in range(20):
             assert take(parser, answer) is None
             assert len(parser.ready.pop().body) == 1_000_000
-            parser.accept()
+            parser.reset_byte_counts()
 
 
 class Owner:
@@ -126,17 +126,17 @@
         self.finished = threading.Event()
         self.over = threading.Event()
 
-    def opened(self, task):
+    def handle_open(self, task):
         pass
 
-    def finish(self, task, call, load, *, reusable):
+    def handle_outcome(self, task, call, load, *, reusable):
         self.reusable = reusable
         self.finished.set()
 
-    def ended(self, task, *, connected):
+    def handle_close(self, task, *, connected):
         self.over.set()
 
-    def note(self, task, irregularity):
+    def record_violation(self, task, violation):
         pass
 
 
@@ -147,13 +147,13 @@
         pass
 
 
-def ask(address: Address, dialect=DIALECT) -> tuple[Call, Owner]:
+def ask(address: Address, header_names=HEADER_NAMES) -> tuple[Call, Owner]:
     """Run one call at ``address`` that may last long, until it ends."""
     clock, owner = SystemClock(), Owner()
     request = replace(make_request(), headers=((b"x-id", b"q1"),))
     deadline = Millis(clock.now() + LONG)
     call = Call(request, make_route(), ServiceId("orders"), deadline, Mailbox())
-    task = SearcherTask(SearcherId("s1"), address, owner, dialect, clock, call)
+    task = SearcherTask(SearcherId("s1"), address, owner, header_names, clock, call)
     threading.Thread(target=task.run, daemon=True).start()
     assert owner.finished.wait(2 * SOON_S)
     return call, owner
@@ -207,7 +207,7 @@
     @pytest.mark.parametrize("name", ENDLESS)
     def test_an_endless_answer_ends_a_query_that_was_handed_on(self, name):
         with pouring(ENDLESS[name]) as server:
-            call, owner = ask(server.address, peer_dialect(DIALECT))
+            call, owner = ask(server.address, peer_header_names(HEADER_NAMES))
             assert isinstance(call.outcome, Lost)
             assert call.outcome.detail.startswith("bad reply")
             assert not owner.reusable
@@ -236,7 +236,7 @@
         with pouring(ENDLESS[name]) as server:
             client = HttpClient(server.address, SystemClock())
             response = client.get("platform", "/", {}, GetTimeouts(LONG, LONG))
-            assert isinstance(response, BadReply)
+            assert isinstance(response, InvalidResponse)
             assert client.socket is None
             assert server.closed.wait(SOON_S)
             assert server.written < POURED_BYTES
@@ -246,7 +246,7 @@
         with pouring(ENDLESS_BODIES["body_with_length"]) as server:
             client = HttpClient(server.address, clock := HurriedClock())
             response = client.get("platform", "/", {}, GetTimeouts(LONG, SHORT))
-            assert response == NoReply(True, "receive: no whole response in time")
+            assert response == NoResponse(True, "receive: no whole response in time")
             assert clock.current < 2 * SHORT
             assert server.closed.wait(SOON_S)
 
--- a/tests/gateway/test_buffers.py
+++ b/tests/gateway/test_buffers.py
@@ -6,11 +6,11 @@
 
 from masticgate import Address, ManualClock, Millis, SearcherId, ServiceId
 from masticgate.connection.gateway import CallerSettings, SearcherTask
-from masticgate.connection.gateway._caller import Caller
-from masticgate.request.gateway import Answered, Call, Plain
+from masticgate.connection.gateway._caller import CallerConnection
+from masticgate.request.gateway import Answered, Call, LocalPage
 from masticgate.version.gateway import Limits
 
-from .fakes import DIALECT, make_request, make_route
+from .fakes import HEADER_NAMES, make_request, make_route
 from .loopback import reply_to
 
 ANSWERS = 12
@@ -49,16 +49,16 @@
     def __init__(self) -> None:
         self.finished = threading.Semaphore(0)
 
-    def opened(self, task):
+    def handle_open(self, task):
         pass
 
-    def finish(self, task, call, load, *, reusable):
+    def handle_outcome(self, task, call, load, *, reusable):
         self.finished.release()
 
-    def ended(self, task, *, connected):
+    def handle_close(self, task, *, connected):
         pass
 
-    def note(self, task, irregularity):
+    def record_violation(self, task, violation):
         pass
 
 
@@ -68,7 +68,7 @@
     def put(self, call):
         pass
 
-    def expect(self, number):
+    def set_batch_size(self, number):
         pass
 
     def wait(self, until):
@@ -79,13 +79,14 @@
     def test_keeps_one_buffer_for_answers_of_all_sizes(self):
         near, far = connect_pair()
         recorded = RecordingSocket(near)
-        task = SearcherTask(SearcherId("s1"), Address("127.0.0.1:9"), owner := Owner(), DIALECT,
-                            ManualClock())  # fmt: skip
+        task = SearcherTask(
+            SearcherId("s1"), Address("127.0.0.1:9"), owner := Owner(), HEADER_NAMES, ManualClock()
+        )
         task.client.socket = recorded
-        threading.Thread(target=task._read_all, daemon=True).start()
+        threading.Thread(target=task._receive_responses, daemon=True).start()
         for number in range(ANSWERS):
             call = self.make_call(f"q{number}")
-            assert task.give(call)
+            assert task.assign(call)
             far.sendall(reply_to(far.recv(65_536), bytes(37 * number)))
             assert owner.finished.acquire(timeout=5)
             assert isinstance(call.outcome, Answered)
@@ -95,12 +96,13 @@
 
     def test_puts_an_answer_together_that_is_larger_than_the_buffer(self):
         near, far = connect_pair()
-        task = SearcherTask(SearcherId("s1"), Address("127.0.0.1:9"), owner := Owner(), DIALECT,
-                            ManualClock())  # fmt: skip
+        task = SearcherTask(
+            SearcherId("s1"), Address("127.0.0.1:9"), owner := Owner(), HEADER_NAMES, ManualClock()
+        )
         task.client.socket = near
-        threading.Thread(target=task._read_all, daemon=True).start()
+        threading.Thread(target=task._receive_responses, daemon=True).start()
         call = self.make_call("q1")
-        assert task.give(call)
+        assert task.assign(call)
         body = bytes(range(256)) * 100
         far.sendall(reply_to(far.recv(65_536), body))
         assert owner.finished.acquire(timeout=5)
@@ -118,10 +120,13 @@
         near, far = connect_pair()
         recorded = RecordingSocket(near)
         settings = CallerSettings(
-            lambda request, inbox: Plain(200, request.body), DIALECT, ManualClock(), Limits,
+            lambda request, inbox: LocalPage(200, request.body),
+            HEADER_NAMES,
+            ManualClock(),
+            Limits,
             lambda: False,
-        )  # fmt: skip
-        threading.Thread(target=Caller(recorded, settings).run, daemon=True).start()
+        )
+        threading.Thread(target=CallerConnection(recorded, settings).run, daemon=True).start()
         for number in range(ANSWERS):
             body = b"x" * (1 + 700 * number)
             head = b"POST / HTTP/1.1\r\nHost: h\r\nx-id: q\r\nContent-Length: %d\r\n\r\n"
--- a/tests/gateway/test_descriptors.py
+++ b/tests/gateway/test_descriptors.py
@@ -8,12 +8,12 @@
 
 from masticgate import Address, ManualClock, Millis, SearcherId, ServiceId, SystemClock
 from masticgate.connection.gateway import CallerSettings, HttpClient, SearcherTask
-from masticgate.connection.gateway._caller import Caller
-from masticgate.connection.gateway._inbox import Link, RequestInbox
-from masticgate.request.gateway import Call, CallerLeft, Plain
+from masticgate.connection.gateway._caller import CallerConnection
+from masticgate.connection.gateway._inbox import RequestInbox, WakeableSocket
+from masticgate.request.gateway import Call, CallerDisconnected, LocalPage
 from masticgate.version.gateway import Limits
 
-from .fakes import DIALECT, make_request, make_route
+from .fakes import HEADER_NAMES, make_request, make_route
 from .test_buffers import Mailbox, Owner, connect_pair
 
 ORDERS = ServiceId("orders")
@@ -54,12 +54,12 @@
 class TestLateWake:
     def test_a_call_that_ends_after_its_caller_writes_to_no_other_descriptor(self, reused):
         near, far = connect_pair()
-        link = Link(near, CLOCK)
-        inbox = RequestInbox(link)
+        wakeable_socket = WakeableSocket(near, CLOCK)
+        inbox = RequestInbox(wakeable_socket)
         far.close()
-        assert inbox.wait(Millis(CLOCK.now() + 1_000.0)) == CallerLeft()
-        number = link.writer
-        link.close()
+        assert inbox.wait(Millis(CLOCK.now() + 1_000.0)) == CallerDisconnected()
+        number = wakeable_socket.wake_writer
+        wakeable_socket.close()
         descriptors = reused(number)
         inbox.put(make_call())
         assert readable(descriptors) == []
@@ -73,11 +73,11 @@
         def handle(request, inbox):
             caller.stop_reading()
             outcomes.append(inbox.wait(Millis(clock.now() + 100.0)))
-            return Plain(200, b"served")
+            return LocalPage(200, b"served")
 
         clock = SystemClock()
-        settings = CallerSettings(handle, DIALECT, clock, Limits, lambda: True)
-        caller = Caller(near, settings)
+        settings = CallerSettings(handle, HEADER_NAMES, clock, Limits, lambda: True)
+        caller = CallerConnection(near, settings)
         threading.Thread(target=caller.run, daemon=True).start()
         far.sendall(b"GET / HTTP/1.1\r\nHost: h\r\nx-id: q\r\n\r\n")
         far.settimeout(5)
@@ -95,12 +95,12 @@
         client.socket = near
         client.close()
         with pytest.raises(OSError):
-            client.send_now(memoryview(b"GET"))
+            client.send_nowait(memoryview(b"GET"))
         assert far.recv(1) == b""
 
     def test_a_connection_that_closed_meanwhile_is_not_waited_for(self):
         near, far = connect_pair()
-        task = SearcherTask(SearcherId("s1"), Address("127.0.0.1:9"), Owner(), DIALECT, CLOCK)
+        task = SearcherTask(SearcherId("s1"), Address("127.0.0.1:9"), Owner(), HEADER_NAMES, CLOCK)
         task.client.socket = near
         near.close()
         assert not task._wait_writable(Millis(CLOCK.now() + 1_000.0))
@@ -109,17 +109,17 @@
     def test_a_request_waits_for_the_rest_of_the_one_before(self):
         near, far = connect_pair()
         near.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4_096)
-        task = SearcherTask(SearcherId("s1"), Address("127.0.0.1:9"), Owner(), DIALECT, CLOCK)
+        task = SearcherTask(SearcherId("s1"), Address("127.0.0.1:9"), Owner(), HEADER_NAMES, CLOCK)
         task.client.socket = near
         large = make_request()
         large = type(large)(
             large.id, b"POST", large.target, large.host, (), b"x" * 4_000_000, None, Millis(0.0)
         )
-        first = threading.Thread(target=task.give, args=(make_call(large),), daemon=True)
+        first = threading.Thread(target=task.assign, args=(make_call(large),), daemon=True)
         first.start()
         received = far.recv(65_536)
-        task.current = None
-        second = threading.Thread(target=task.give, args=(make_call(),), daemon=True)
+        task.current_call = None
+        second = threading.Thread(target=task.assign, args=(make_call(),), daemon=True)
         second.start()
         while not received.endswith(b"\r\n\r\n") or received.count(b"HTTP/1.1") < 2:
             received += far.recv(65_536)
@@ -152,7 +152,9 @@
         call = CancelledAsItStarts(
             make_request(), make_route(), ORDERS, Millis(400.0), Mailbox(), None
         )
-        task = SearcherTask(SearcherId("s1"), Address("127.0.0.1:9"), Owner(), DIALECT, CLOCK, call)
+        task = SearcherTask(
+            SearcherId("s1"), Address("127.0.0.1:9"), Owner(), HEADER_NAMES, CLOCK, call
+        )
         task.client.socket = near
         seen = []
 
@@ -161,7 +163,7 @@
             seen.append(call.started)
 
         call.other = other = threading.Thread(target=cancel)
-        task._begin()
+        task._send_initial_call()
         other.join(5)
         near.close()
         assert seen == [True] or far.recv(65_536) == b""
--- a/tests/gateway/test_irregular_answers.py
+++ b/tests/gateway/test_irregular_answers.py
@@ -9,14 +9,14 @@
 from masticgate._ids import ConnectionNumber
 from masticgate.connection.gateway import (
     SearcherTask,
-    SkippedAnswer,
+    SkippedResponse,
     TrailingBytes,
     UnrequestedBytes,
 )
 from masticgate.process.gateway._service import _describe_reply
-from masticgate.request.gateway import Answered, Call, Ending, Lost, Merged, Receipt
+from masticgate.request.gateway import Answered, BodyFraming, Call, Lost, Merged, ReceiveInfo
 
-from .fakes import DIALECT, make_entry, make_fleet, make_request, make_route
+from .fakes import HEADER_NAMES, make_entry, make_fleet, make_request, make_route
 from .test_buffers import Mailbox, Owner, connect_pair
 
 ANSWER = b"HTTP/1.1 200 OK\r\nx-id: %s\r\nx-stamp: s\r\nContent-Length: 2\r\n\r\nok"
@@ -31,12 +31,12 @@
         self.noted = []
         self.outcomes = []
 
-    def finish(self, task, call, load, *, reusable):
+    def handle_outcome(self, task, call, load, *, reusable):
         self.outcomes.append(call.outcome)
-        super().finish(task, call, load, reusable=reusable)
+        super().handle_outcome(task, call, load, reusable=reusable)
 
-    def note(self, task, irregularity):
-        self.noted.append(irregularity)
+    def record_violation(self, task, violation):
+        self.noted.append(violation)
 
 
 class Connection:
@@ -49,7 +49,7 @@
             SearcherId("s1"),
             Address("127.0.0.1:9"),
             self.owner,
-            DIALECT,
+            HEADER_NAMES,
             ManualClock(),
             number=ConnectionNumber(7),
         )
@@ -58,7 +58,7 @@
         self.reader.start()
 
     def _read(self) -> None:
-        self.task._end(self.task._read_all(), connected=True)
+        self.task._finish(self.task._receive_responses(), connected=True)
 
     def ask(self, identity: str, answer: bytes) -> None:
         call = Call(
@@ -68,7 +68,7 @@
             Millis(400.0),
             Mailbox(),
         )
-        assert self.task.give(call)
+        assert self.task.assign(call)
         assert self.far.recv(65_536).endswith(b"\r\n\r\n")
         self.far.sendall(answer)
 
@@ -86,11 +86,11 @@
         connection.ask("q3", ANSWER % b"q3")
         assert connection.owner.finished.acquire(timeout=5)
         connection.close()
-        assert connection.owner.outcomes[1].receipt.is_ordinary
-        assert connection.owner.noted == [SkippedAnswer("q1", "q2")]
-        receipt = connection.owner.outcomes[0].receipt
-        assert receipt == Receipt(ConnectionNumber(7), Ending.LENGTH, 1)
-        assert not receipt.is_ordinary
+        assert connection.owner.outcomes[1].receive_info.is_regular
+        assert connection.owner.noted == [SkippedResponse("q1", "q2")]
+        receive_info = connection.owner.outcomes[0].receive_info
+        assert receive_info == ReceiveInfo(ConnectionNumber(7), BodyFraming.LENGTH, 1)
+        assert not receive_info.is_regular
 
     def test_bytes_behind_an_answer_are_noted(self):
         connection = Connection()
@@ -108,33 +108,33 @@
         connection = Connection()
         connection.ask("q1", UNFRAMED % b"q1")
         connection.close()
-        assert connection.owner.outcomes[0].receipt.ending is Ending.CLOSE
+        assert connection.owner.outcomes[0].receive_info.framing is BodyFraming.CLOSE
 
 
 class TestFleetNotes:
     def test_each_is_logged_with_its_connection_and_counted(self):
         fleet = make_fleet()
-        fleet.list_searcher(make_entry("s1"))
+        fleet.apply_listing(make_entry("s1"))
         fleet.log.queue.clear()
         replica = fleet.replicas[SearcherId("s1")]
-        task = fleet._open(replica)
-        fleet.note(task, SkippedAnswer("q1", "q2"))
+        task = fleet._open_connection(replica)
+        fleet.record_violation(task, SkippedResponse("q1", "q2"))
         line = json.loads(fleet.log.queue[-1])
         assert line["event"] == "answer_skipped"
         assert (line["searcher"], line["connection"]) == ("s1", 1)
         assert (line["answered"], line["request"]) == ("q1", "q2")
-        fleet.note(task, UnrequestedBytes(5))
+        fleet.record_violation(task, UnrequestedBytes(5))
         assert json.loads(fleet.log.queue[-1])["bytes"] == 5
-        fleet.note(task, TrailingBytes("q2"))
+        fleet.record_violation(task, TrailingBytes("q2"))
         assert json.loads(fleet.log.queue[-1])["request"] == "q2"
         assert b"masticgate_answer_skipped_total 1" in fleet.metrics.render()
 
 
 class TestRequestLine:
     def test_names_what_a_query_took_unusually(self):
-        unusual = Receipt(ConnectionNumber(3), Ending.CLOSE, 0)
+        unusual = ReceiveInfo(ConnectionNumber(3), BodyFraming.CLOSE, 0)
         answer = Answered(SearcherId("s1"), 200, (), b"", "s", Millis(1.0), unusual)
-        merged = Merged(("s",), 0, b"", (), (f"{answer.searcher}: {answer.receipt}",))
+        merged = Merged(("s",), 0, b"", (), (f"{answer.searcher}: {answer.receive_info}",))
         assert _describe_reply(merged) == (
             "whole",
             "s1: connection 3, ended by close, 0 skipped",
@@ -148,7 +148,7 @@
         owner = NotingOwner()
         call = Call(make_request("q"), make_route(), ServiceId("orders"), Millis(400.0), Mailbox())
         task = SearcherTask(
-            SearcherId("s1"), Address("127.0.0.1:9"), owner, DIALECT, ManualClock(), call
+            SearcherId("s1"), Address("127.0.0.1:9"), owner, HEADER_NAMES, ManualClock(), call
         )
         task.client.socket = near
         task.parser = None
--- a/tests/gateway/test_pipelined_refusals.py
+++ b/tests/gateway/test_pipelined_refusals.py
@@ -6,11 +6,11 @@
 
 from masticgate import SystemClock
 from masticgate.connection.gateway import CallerSettings
-from masticgate.connection.gateway._caller import Caller
-from masticgate.request.gateway import Plain
+from masticgate.connection.gateway._caller import CallerConnection
+from masticgate.request.gateway import LocalPage
 from masticgate.version.gateway import Limits
 
-from .fakes import DIALECT
+from .fakes import HEADER_NAMES
 from .test_buffers import connect_pair
 
 REQUEST = b"GET /a HTTP/1.1\r\nHost: h\r\nx-id: q1\r\n\r\n"
@@ -24,15 +24,15 @@
     def test_gets_its_own_answer(self, behind):
         near, far = connect_pair()
         settings = CallerSettings(
-            lambda request, inbox: Plain(200, b"served"),
-            DIALECT,
+            lambda request, inbox: LocalPage(200, b"served"),
+            HEADER_NAMES,
             SystemClock(),
             Limits,
             lambda: False,
         )
         far.settimeout(5)
         far.sendall(REQUEST + behind)
-        serving = threading.Thread(target=Caller(near, settings).run, daemon=True)
+        serving = threading.Thread(target=CallerConnection(near, settings).run, daemon=True)
         serving.start()
         first = far.recv(65_536)
         far.close()
@@ -59,13 +59,15 @@
 
         def handle(request, inbox):
             served.append(request)
-            return Plain(200, b"served")
+            return LocalPage(200, b"served")
 
         limits = Limits(body_bytes=8)
-        settings = CallerSettings(handle, DIALECT, SystemClock(), lambda: limits, lambda: False)
+        settings = CallerSettings(
+            handle, HEADER_NAMES, SystemClock(), lambda: limits, lambda: False
+        )
         far.settimeout(5)
         far.sendall(request_bytes)
-        serving = threading.Thread(target=Caller(near, settings).run, daemon=True)
+        serving = threading.Thread(target=CallerConnection(near, settings).run, daemon=True)
         serving.start()
         first = far.recv(65_536)
         far.close()
--- a/tests/gateway/test_refused_tasks.py
+++ b/tests/gateway/test_refused_tasks.py
@@ -13,10 +13,10 @@
 from masticgate.process.gateway._log import EventLog
 from masticgate.process.gateway._metrics import Metrics
 from masticgate.process.gateway._task_pool import Task
-from masticgate.request.gateway import Call, Plain
+from masticgate.request.gateway import Call, LocalPage
 from masticgate.version.gateway import Limits
 
-from .fakes import DIALECT, make_entry, make_pool, make_request, make_route, make_settings
+from .fakes import HEADER_NAMES, make_entry, make_pool, make_request, make_route, make_settings
 from .loopback import StandInSearcher, reply_to
 from .test_buffers import Mailbox, connect_pair
 
@@ -55,14 +55,14 @@
 
 
 def serve_page(request, inbox):
-    return Plain(200, b"served")
+    return LocalPage(200, b"served")
 
 
 class TestRefusedCaller:
     # Guards against a caller's connection whose descriptors are closed twice, by number.
     def test_its_descriptors_are_not_closed_again_when_others_have_their_numbers(self, pool):
         clock = SystemClock()
-        settings = CallerSettings(serve_page, DIALECT, clock, Limits, lambda: False)
+        settings = CallerSettings(serve_page, HEADER_NAMES, clock, Limits, lambda: False)
         listener = Listener(Address("127.0.0.1:0"), settings, pool.tasks, 4)
         near, far = connect_pair()
         highest = near.fileno() + 16
@@ -97,8 +97,8 @@
         searcher.hangs_up = True
         clock = SystemClock()
         log = EventLog(HostId("g1"), clock)
-        fleet = Fleet(make_settings(), DIALECT, clock, pool.tasks, log, Metrics())
-        fleet.list_searcher(replace(make_entry("s1"), address=searcher.address))
+        fleet = Fleet(make_settings(), HEADER_NAMES, clock, pool.tasks, log, Metrics())
+        fleet.apply_listing(replace(make_entry("s1"), address=searcher.address))
         deadline = Millis(clock.now() + 5_000.0)
         call = Call(make_request(), make_route(), ServiceId("orders"), deadline, Mailbox())
         pool.refuse_threads()
@@ -112,7 +112,7 @@
     # Guards against a connection that is accepted and never read, after others were refused.
     def test_each_starts_at_once_though_others_wait_and_were_refused(self, pool):
         clock = SystemClock()
-        settings = CallerSettings(serve_page, DIALECT, clock, Limits, lambda: False)
+        settings = CallerSettings(serve_page, HEADER_NAMES, clock, Limits, lambda: False)
         listener = Listener(Address("127.0.0.1:0"), settings, pool.tasks, 16)
         refused = [connect_pair() for _ in range(2)]
         pool.refuse_threads()
--- a/tests/gateway/test_scarce_descriptors.py
+++ b/tests/gateway/test_scarce_descriptors.py
@@ -10,14 +10,20 @@
 import pytest
 
 from masticgate import Address, HostId, Millis, ServiceId, SystemClock
-from masticgate.connection.gateway import CallerSettings, GetTimeouts, HttpClient, Listener, NoReply
+from masticgate.connection.gateway import (
+    CallerSettings,
+    GetTimeouts,
+    HttpClient,
+    Listener,
+    NoResponse,
+)
 from masticgate.process.gateway._fleet import Fleet
 from masticgate.process.gateway._log import EventLog
 from masticgate.process.gateway._metrics import Metrics
-from masticgate.request.gateway import Call, Plain
+from masticgate.request.gateway import Call, LocalPage
 from masticgate.version.gateway import Limits
 
-from .fakes import DIALECT, make_entry, make_pool, make_request, make_route, make_settings
+from .fakes import HEADER_NAMES, make_entry, make_pool, make_request, make_route, make_settings
 from .loopback import StandInSearcher, reply_to
 from .test_buffers import Mailbox
 
@@ -46,7 +52,11 @@
 @pytest.fixture
 def listener():
     settings = CallerSettings(
-        lambda request, inbox: Plain(200, b"served"), DIALECT, SystemClock(), Limits, lambda: False
+        lambda request, inbox: LocalPage(200, b"served"),
+        HEADER_NAMES,
+        SystemClock(),
+        Limits,
+        lambda: False,
     )
     tasks = make_pool(8)
     listener = Listener(Address("127.0.0.1:0"), settings, tasks, 16)
@@ -61,9 +71,9 @@
         clock = SystemClock()
         tasks = make_pool(8)
         log = EventLog(HostId("g1"), clock)
-        fleet = Fleet(make_settings(), DIALECT, clock, tasks, log, Metrics())
+        fleet = Fleet(make_settings(), HEADER_NAMES, clock, tasks, log, Metrics())
         searcher = StandInSearcher(reply_to)
-        fleet.list_searcher(replace(make_entry("s1"), address=searcher.address))
+        fleet.apply_listing(replace(make_entry("s1"), address=searcher.address))
         inbox = NotedMailbox()
         deadline = Millis(clock.now() + 2_000.0)
         call = Call(make_request(), make_route(), ServiceId("orders"), deadline, inbox)
@@ -73,7 +83,7 @@
         monkeypatch.undo()
         searcher.listener.close()
         (replica,) = fleet.replicas.values()
-        assert (answered, replica.tasks, replica.in_flight) == (True, 0, 0)
+        assert (answered, replica.connection_count, replica.in_flight) == (True, 0, 0)
 
 
 class TestClient:
@@ -82,7 +92,7 @@
         client = HttpClient(Address("127.0.0.1:9"), SystemClock())
         monkeypatch.setattr(socket, "socket", fail_with_no_descriptor)
         timeouts = GetTimeouts(Millis(100.0), Millis(100.0))
-        assert isinstance(client.get("h", "/", {}, timeouts), NoReply)
+        assert isinstance(client.get("h", "/", {}, timeouts), NoResponse)
 
 
 class TestListener:
--- a/tests/process/test_searcher_choice.py
+++ b/tests/process/test_searcher_choice.py
@@ -21,7 +21,7 @@
         for lie in (0, 1000):
             fleet = FakeConnections()
             fleet.add_all_idle()
-            fleet.pool.note_load(SEARCHERS["a"], LoadReport(lie, False))
+            fleet.pool.record_load(SEARCHERS["a"], LoadReport(lie, False))
             given = Counter()
             for _ in range(60):
                 fleet.search()
@@ -47,7 +47,7 @@
         (probe,) = [send for send in fleet.collect() if send.searcher == "a"]
         fleet.finish(probe, HITS)
         assert health.state is SearcherState.WARMING
-        assert health.allowed(fleet.clock.now()) == 1
+        assert health.max_in_flight(fleet.clock.now()) == 1
 
     def test_never_ejects_more_than_half_of_a_service(self):
         fleet = FakeConnections()
@@ -61,22 +61,22 @@
         fleet = FakeConnections()
         fleet.add_all_idle()
         health = fleet.pool.health["a"]
-        fleet.pool.note_load(SEARCHERS["a"], LoadReport(0, False, "1"))
+        fleet.pool.record_load(SEARCHERS["a"], LoadReport(0, False, "1"))
         while health.state is not SearcherState.DRAINING:
             self.run(fleet, {"a": DRAINING, "b": HITS})
-        fleet.pool.note_load(SEARCHERS["a"], LoadReport(0, False, "1"))
+        fleet.pool.record_load(SEARCHERS["a"], LoadReport(0, False, "1"))
         assert health.state is SearcherState.DRAINING
-        fleet.pool.note_load(SEARCHERS["a"], LoadReport(0, False, "2"))
+        fleet.pool.record_load(SEARCHERS["a"], LoadReport(0, False, "2"))
         assert health.state is SearcherState.WARMING
 
     def test_takes_back_a_restarted_searcher_that_states_no_incarnation(self):
         fleet = FakeConnections()
         health = fleet.pool.health["a"]
         health.drain()
-        fleet.pool.note_load(SEARCHERS["a"], LoadReport(0, False))
+        fleet.pool.record_load(SEARCHERS["a"], LoadReport(0, False))
         assert health.state is SearcherState.DRAINING
-        fleet.pool.note_load(SEARCHERS["a"], None)
-        fleet.pool.note_load(SEARCHERS["a"], LoadReport(0, False))
+        fleet.pool.record_load(SEARCHERS["a"], None)
+        fleet.pool.record_load(SEARCHERS["a"], LoadReport(0, False))
         assert health.state is SearcherState.WARMING
 
     def test_gives_less_to_a_searcher_that_sheds_but_does_not_eject_it(self):
@@ -87,9 +87,9 @@
             self.run(fleet, {"a": HITS, "b": HITS})
         while health.eligible_at <= fleet.clock.now():
             self.run(fleet, {"a": SHED, "b": HITS})
-        assert health.allowed(fleet.clock.now()) == 0
+        assert health.max_in_flight(fleet.clock.now()) == 0
         fleet.clock.advance(Millis(600.0))
-        assert health.allowed(fleet.clock.now()) == 1
+        assert health.max_in_flight(fleet.clock.now()) == 1
         assert health.state is not SearcherState.EJECTED
 
     @staticmethod
