--- a/src/masticgate/connection/gateway/_inbox.py
+++ b/src/masticgate/connection/gateway/_inbox.py
@@ -115,17 +115,17 @@
         """Let a wait go on until so many calls finished, or one of them without success."""
         self.expected = number
 
-    def wait(self, until: Millis) -> Call | CallerDisconnected | None:
+    def wait(self, deadline: Millis) -> Call | CallerDisconnected | None:
         """Return the next finished call, or ``None`` at ``until``."""
         while True:
             self.wakeable_socket.waiting = True
             if self.finished:
                 self.wakeable_socket.waiting = False
                 return self.finished.popleft()
-            if self.wakeable_socket.clock.now() >= until:
+            if self.wakeable_socket.clock.now() >= deadline:
                 self.wakeable_socket.waiting = False
                 return None
-            if self.wakeable_socket.poll(until):
+            if self.wakeable_socket.poll(deadline):
                 return CallerDisconnected()
 
 
--- a/src/masticgate/process/gateway/_service.py
+++ b/src/masticgate/process/gateway/_service.py
@@ -248,16 +248,16 @@
         ):
             counts = f"{missing} of {missing + len(stamps)} shards missing"
             return "partial", "; ".join((counts, *missing_causes, *irregular_parts))
-        case Relayed(answer=answer, send_summary=send_summary) if answer.is_success:
+        case Relayed(answer=answer, attempts_summary=attempts_summary) if answer.is_success:
             detail = (
                 f"answer of {answer.searcher}, {answer.receive_info}, stamp {answer.stamp}, "
-                f"{send_summary}"
+                f"{attempts_summary}"
             )
             return "whole", detail
-        case Relayed(answer=answer, send_summary=send_summary):
+        case Relayed(answer=answer, attempts_summary=attempts_summary):
             return (
                 "searcher_failure",
-                f"status {answer.status} of {answer.searcher}, {send_summary}",
+                f"status {answer.status} of {answer.searcher}, {attempts_summary}",
             )
         case Refused(status=status, failure=failure):
             return f"refused_{status}", describe(failure)
--- a/src/masticgate/request/gateway/_attempts.py
+++ b/src/masticgate/request/gateway/_attempts.py
@@ -38,14 +38,14 @@
         self.deadline = deadline
         self.in_flight_calls: dict[int, InFlightCall] = {}
         self.tried: set[SearcherId] = set()
-        self.arrived = False
-        self.ran = False
-        self.sends = 0
+        self.reached_searcher = False
+        self.possibly_ran = False
+        self.attempt_count = 0
         self.failure = NotRun(Reason.NO_SEARCHER, Step.ROUTE, service)
         self.answer: Answered | None = None
         self.repeat_failure: NotRun | None = None
         self.hedged = False
-        self.cut_started = False
+        self.cancelled_after_start = False
 
     @property
     def pending(self) -> bool:
@@ -53,19 +53,19 @@
         return bool(self.in_flight_calls)
 
     @property
-    def sending_started(self) -> bool:
+    def pending_started(self) -> bool:
         """Tell whether a byte of a send on its way may have left."""
         return any(in_flight_call.call.started for in_flight_call in self.in_flight_calls.values())
 
     @property
     def started(self) -> bool:
         """Tell whether a searcher may have received the request."""
-        return self.arrived or self.cut_started or self.sending_started
+        return self.reached_searcher or self.cancelled_after_start or self.pending_started
 
     @property
     def may_have_run(self) -> bool:
         """Tell whether a searcher may have run the request; final after :meth:`cancel`."""
-        return self.ran or self.cut_started
+        return self.possibly_ran or self.cancelled_after_start
 
     def send_first(self) -> bool:
         """Send for the first time; return ``False`` where no searcher can take it."""
@@ -78,21 +78,21 @@
         self.hedged = True
         return self._repeat(Repeat.HEDGE)
 
-    def take(self, call: Call) -> bool:
+    def handle_outcome(self, call: Call) -> bool:
         """Take the outcome of one of the sends; return ``False`` if it is not one of these."""
         in_flight_call = self.in_flight_calls.pop(id(call), None)
         if in_flight_call is None:
             return False
         match call.outcome:
             case Answered() as answer:
-                self.arrived = self.ran = True
-                self._take_answer(answer)
+                self.reached_searcher = self.possibly_ran = True
+                self._record_answer(answer)
             case Declined(searcher=searcher, reason=reason):
-                self.arrived = True
+                self.reached_searcher = True
                 self.failure = NotRun(reason, Step.UPSTREAM, searcher)
             case Lost(searcher=searcher, sent=sent, detail=detail):
-                self.arrived = self.arrived or sent
-                self.ran = self.ran or sent
+                self.reached_searcher = self.reached_searcher or sent
+                self.possibly_ran = self.possibly_ran or sent
                 self.failure = NotRun(Reason.SEARCHER_LOST, Step.UPSTREAM, searcher, detail)
             case None:
                 self.failure = NotRun(Reason.INTERNAL, Step.UPSTREAM, in_flight_call.searcher)
@@ -102,48 +102,48 @@
         """Send again after a failure, where the bound and the budget allow it."""
         return self._repeat(Repeat.RETRY)
 
-    def explain(self) -> NotRun:
+    def build_failure(self) -> NotRun:
         """Return why there is no answer, and how many searchers were asked."""
-        detail = "; ".join(filter(None, (self.failure.detail, self.describe_sends())))
+        detail = "; ".join(filter(None, (self.failure.detail, self.describe_attempts())))
         return replace(self.failure, detail=detail)
 
-    def describe_sends(self) -> str:
+    def describe_attempts(self) -> str:
         """Return how often the request was sent, and why not once more."""
         if self.repeat_failure is None:
-            return f"sent {self.sends}"
-        return f"sent {self.sends}, repeat {describe(self.repeat_failure)}"
+            return f"sent {self.attempt_count}"
+        return f"sent {self.attempt_count}, repeat {describe(self.repeat_failure)}"
 
-    def describe(self) -> str:
+    def describe_missing_answer(self) -> str:
         """Return in a few words why there is no answer."""
         if not self.in_flight_calls:
-            return f"{self.service}: {describe(self.failure)}, sent {self.sends}"
+            return f"{self.service}: {describe(self.failure)}, sent {self.attempt_count}"
         asked = ", ".join(
             f"{s.searcher}{'' if s.call.started else ' (connecting)'}"
             for s in self.in_flight_calls.values()
         )
-        return f"{self.service}: no answer yet of {asked}, {self.describe_sends()}"
+        return f"{self.service}: no answer yet of {asked}, {self.describe_attempts()}"
 
     def cancel(self) -> None:
         """Cut every send on its way; one that has not started never will."""
         for in_flight_call in self.in_flight_calls.values():
             in_flight_call.cancel()
-        self.cut_started = self.cut_started or self.sending_started
+        self.cancelled_after_start = self.cancelled_after_start or self.pending_started
         self.in_flight_calls.clear()
 
-    def _take_answer(self, answer: Answered) -> None:
+    def _record_answer(self, answer: Answered) -> None:
         if answer.is_success or self.answer is None:
             self.answer = answer
         if not answer.is_success:
             reason, detail = Reason.SEARCHER_ERROR, f"status {answer.status}"
             self.failure = NotRun(reason, Step.UPSTREAM, answer.searcher, detail)
 
-    def _repeat(self, why: Repeat) -> bool:
-        if self.upstream.now() >= self.deadline or self.sends >= self.route.attempts:
+    def _repeat(self, kind: Repeat) -> bool:
+        if self.upstream.now() >= self.deadline or self.attempt_count >= self.route.attempts:
             return False
         if not self.started:
             self.cancel()
             return self._send(None)
-        match why:
+        match kind:
             case Repeat.HEDGE:
                 allowed = self.upstream.allow_hedge(self.service)
             case Repeat.RETRY:
@@ -151,7 +151,7 @@
         if not allowed:
             self.repeat_failure = NotRun(Reason.BUDGET, Step.ROUTE, self.service)
             return False
-        return self._send(why)
+        return self._send(kind)
 
     def _send(self, repeat: Repeat | None) -> bool:
         call = Call(self.request, self.route, self.service, self.deadline, self.inbox, repeat)
@@ -162,7 +162,7 @@
             else:
                 self.failure = in_flight_call
             return False
-        self.sends += 1
+        self.attempt_count += 1
         self.tried.add(in_flight_call.searcher)
         self.in_flight_calls[id(call)] = in_flight_call
         return True
--- a/src/masticgate/request/gateway/_exchange.py
+++ b/src/masticgate/request/gateway/_exchange.py
@@ -169,7 +169,7 @@
         """Let a wait go on until so many calls finished, or one of them without success."""
         ...
 
-    def wait(self, until: Millis) -> Call | CallerDisconnected | None:
+    def wait(self, deadline: Millis) -> Call | CallerDisconnected | None:
         """Return the next finished call, or ``None`` at ``until``."""
         ...
 
--- a/src/masticgate/request/gateway/_forward.py
+++ b/src/masticgate/request/gateway/_forward.py
@@ -49,39 +49,39 @@
         """Wait for the answer, until the deadline at most."""
         self.attempts.send_first()
         while self.attempts.pending and self.upstream.now() < self.deadline:
-            until = self.deadline if self.hedge_at is None else min(self.deadline, self.hedge_at)
-            match self.inbox.wait(until):
+            wake_at = self.deadline if self.hedge_at is None else min(self.deadline, self.hedge_at)
+            match self.inbox.wait(wake_at):
                 case CallerDisconnected():
                     self.attempts.cancel()
                     return Abandoned()
                 case Call() as call:
-                    self._take(call)
+                    self._handle_call(call)
                 case None:
-                    self._hedge()
+                    self._send_hedge_if_due()
             if self._is_answered():
                 break
-        return self._reply()
+        return self._build_reply()
 
     def _is_answered(self) -> bool:
         return self.attempts.answer is not None and self.attempts.answer.is_success
 
-    def _take(self, call: Call) -> None:
-        if not self.attempts.take(call) or self._is_answered() or self.attempts.pending:
+    def _handle_call(self, call: Call) -> None:
+        if not self.attempts.handle_outcome(call) or self._is_answered() or self.attempts.pending:
             return
-        if self.repeatable or not self.attempts.ran:
+        if self.repeatable or not self.attempts.possibly_ran:
             self.attempts.retry()
 
-    def _hedge(self) -> None:
+    def _send_hedge_if_due(self) -> None:
         if self.hedge_at is not None and self.upstream.now() >= self.hedge_at:
             self.hedge_at = None
             self.attempts.send_hedge()
 
-    def _reply(self) -> Reply:
+    def _build_reply(self) -> Reply:
         attempts = self.attempts
         answer = attempts.answer
         if answer is not None and (answer.is_success or answer.status in RELAYED_FAILURES):
-            return Relayed(answer, attempts.describe_sends())
-        failure = attempts.explain()
+            return Relayed(answer, attempts.describe_attempts())
+        failure = attempts.build_failure()
         attempts.cancel()
         if not attempts.may_have_run:
             if self.upstream.now() >= self.deadline:
--- a/src/masticgate/request/gateway/_gather.py
+++ b/src/masticgate/request/gateway/_gather.py
@@ -18,9 +18,9 @@
 ANSWER_MARGIN = Millis(5.0)
 """Left of the objective for merging and writing, beside the ways to and from the caller."""
 
-SHORTEST_ANSWER_TIME = Millis(5.0)
+MIN_ANSWER_TIME = Millis(5.0)
 
-MOST_CAUSES = 4
+MAX_LOGGED_SHARDS = 4
 """Missing shards whose cause, and unusual parts whose receipt, is kept for the log."""
 
 RETRY_AFTER = Millis(30.0)
@@ -44,41 +44,41 @@
         self.inbox = inbox
         self.top = shards.top
         self.deadline = request.deadline(route)
-        left = route.objective - request.network_time - ANSWER_MARGIN
-        soon = Millis(max(SHORTEST_ANSWER_TIME, left))
-        self.answer_at = min(self.deadline, Millis(request.arrived_at + soon))
-        self.least = max(1, ceil(shards.min_shard_ratio * len(shards.services) - 1e-9))
+        remaining = route.objective - request.network_time - ANSWER_MARGIN
+        answer_time = Millis(max(MIN_ANSWER_TIME, remaining))
+        self.answer_at = min(self.deadline, Millis(request.arrived_at + answer_time))
+        self.min_answers = max(1, ceil(shards.min_shard_ratio * len(shards.services) - 1e-9))
         self.hedge_at: Millis | None = Millis(request.arrived_at + upstream.hedge_delay(route))
-        self.waiting = [
+        self.unanswered = [
             Attempts(request, route, service, upstream, inbox, self.deadline)
             for service in shards.services
         ]
-        self.total = len(self.waiting)
-        self.done: list[Attempts] = []
+        self.shard_count = len(self.unanswered)
+        self.answered: list[Attempts] = []
 
     def run(self) -> Reply:
         """Wait until every shard answered or the time is up."""
-        for attempts in self.waiting:
+        for attempts in self.unanswered:
             attempts.send_first()
-        while not self._is_over():
-            self.inbox.set_batch_size(len(self.waiting))
-            match self.inbox.wait(self._next_time()):
+        while not self._is_finished():
+            self.inbox.set_batch_size(len(self.unanswered))
+            match self.inbox.wait(self._next_wakeup()):
                 case CallerDisconnected():
                     self._cancel()
                     return Abandoned()
                 case Call() as call:
-                    self._take(call)
+                    self._handle_call(call)
                 case None:
-                    self._hedge()
-        return self._reply()
+                    self._send_hedges_if_due()
+        return self._build_reply()
 
-    def _is_over(self) -> bool:
+    def _is_finished(self) -> bool:
         now = self.upstream.now()
-        if now >= self.deadline or not any(attempts.pending for attempts in self.waiting):
+        if now >= self.deadline or not any(attempts.pending for attempts in self.unanswered):
             return True
-        return now >= self.answer_at and len(self.done) >= self.least
+        return now >= self.answer_at and len(self.answered) >= self.min_answers
 
-    def _next_time(self) -> Millis:
+    def _next_wakeup(self) -> Millis:
         times = [self.deadline]
         if self.upstream.now() < self.answer_at:
             times.append(self.answer_at)
@@ -86,47 +86,49 @@
             times.append(self.hedge_at)
         return min(times)
 
-    def _take(self, call: Call) -> None:
-        for attempts in self.waiting:
-            if not attempts.take(call):
+    def _handle_call(self, call: Call) -> None:
+        for attempts in self.unanswered:
+            if not attempts.handle_outcome(call):
                 continue
             if attempts.answer is not None and attempts.answer.is_success:
-                self.waiting.remove(attempts)
-                self.done.append(attempts)
+                self.unanswered.remove(attempts)
+                self.answered.append(attempts)
             elif not attempts.pending:
                 attempts.retry()
             return
 
-    def _hedge(self) -> None:
+    def _send_hedges_if_due(self) -> None:
         if self.hedge_at is None or self.upstream.now() < self.hedge_at:
             return
         self.hedge_at = None
-        for attempts in self.waiting:
+        for attempts in self.unanswered:
             if attempts.pending:
                 attempts.send_hedge()
 
     def _cancel(self) -> None:
-        for attempts in (*self.waiting, *self.done):
+        for attempts in (*self.unanswered, *self.answered):
             attempts.cancel()
 
-    def _reply(self) -> Reply:
-        answers = [attempts.answer for attempts in self.done if attempts.answer is not None]
-        if len(answers) < self.least:
+    def _build_reply(self) -> Reply:
+        answers = [attempts.answer for attempts in self.answered if attempts.answer is not None]
+        if len(answers) < self.min_answers:
             self._cancel()
-            return self._failure()
+            return self._build_failure()
         stamps = tuple(answer.stamp for answer in answers)
         records = merge_records((answer.body for answer in answers), self.top)
-        missing_causes = tuple(attempts.describe() for attempts in self.waiting[:MOST_CAUSES])
+        missing_causes = tuple(
+            attempts.describe_missing_answer() for attempts in self.unanswered[:MAX_LOGGED_SHARDS]
+        )
         irregular_parts = (answer for answer in answers if not answer.receive_info.is_regular)
         received = tuple(
-            f"{a.searcher}: {a.receive_info}" for a in islice(irregular_parts, MOST_CAUSES)
+            f"{a.searcher}: {a.receive_info}" for a in islice(irregular_parts, MAX_LOGGED_SHARDS)
         )
-        return Merged(stamps, self.total - len(answers), records, missing_causes, received)
+        return Merged(stamps, self.shard_count - len(answers), records, missing_causes, received)
 
-    def _failure(self) -> Reply:
-        detail = f"{len(self.done)} of {self.total} shards"
-        if not any(attempts.started for attempts in (*self.waiting, *self.done)):
-            first = self.waiting[0].failure
+    def _build_failure(self) -> Reply:
+        detail = f"{len(self.answered)} of {self.shard_count} shards"
+        if not any(attempts.started for attempts in (*self.unanswered, *self.answered)):
+            first = self.unanswered[0].failure
             refused = NotRun(first.reason, first.step, first.peer, detail)
             return Refused(503, refused, RETRY_AFTER)
         if self.upstream.now() >= self.deadline:
--- a/src/masticgate/request/gateway/_reply.py
+++ b/src/masticgate/request/gateway/_reply.py
@@ -12,7 +12,7 @@
     """A searcher's answer, passed on unchanged; ``send_summary`` describes the sends behind it."""
 
     answer: Answered
-    send_summary: str = field(default="", compare=False)
+    attempts_summary: str = field(default="", compare=False)
 
 
 @dataclass(frozen=True, slots=True)
--- a/tests/gateway/fakes.py
+++ b/tests/gateway/fakes.py
@@ -203,14 +203,14 @@
     def put(self, call):
         raise AssertionError("the script hands over the outcomes itself")
 
-    def wait(self, until):
+    def wait(self, deadline):
         self.events.sort(key=lambda event: event[:2])
         next_at = self.events[0][0] if self.events else float("inf")
-        if self.leaves_at is not None and self.leaves_at <= min(next_at, until):
+        if self.leaves_at is not None and self.leaves_at <= min(next_at, deadline):
             self.clock.current = Millis(self.leaves_at)
             return CallerDisconnected()
-        if next_at > until:
-            self.clock.current = Millis(max(self.now(), until))
+        if next_at > deadline:
+            self.clock.current = Millis(max(self.now(), deadline))
             return None
         self.clock.current = Millis(max(self.now(), next_at))
         return self.events.pop(0)[2]
--- a/tests/gateway/test_answers.py
+++ b/tests/gateway/test_answers.py
@@ -456,7 +456,7 @@
     def put(self, call):
         pass
 
-    def wait(self, until):
+    def wait(self, deadline):
         return self.finished.pop(0)
 
 
--- a/tests/gateway/test_buffers.py
+++ b/tests/gateway/test_buffers.py
@@ -71,7 +71,7 @@
     def set_batch_size(self, number):
         pass
 
-    def wait(self, until):
+    def wait(self, deadline):
         return None
 
 
