--- a/src/masticgate/connection/_searcher.py
+++ b/src/masticgate/connection/_searcher.py
@@ -14,8 +14,8 @@
     CloseConnection,
     LoadReport,
     NoWork,
+    SearcherAttempt,
     SearchWork,
-    Send,
     ServicePool,
 )
 from ..request import BookingOutcome, Hit, Hits, Ran, SubReply, VersionGone
@@ -89,8 +89,8 @@
             case CheckLoad():
                 call.allow()
                 pool.record_load(searcher, _read_load(call.get("/load", LOAD_TIMEOUT)))
-            case Send() as send:
-                _run_send(pool, send, call, clock)
+            case SearcherAttempt() as attempt:
+                _run_attempt(pool, attempt, call, clock)
 
 
 def _read_load(reply: HttpReply | HttpLost) -> LoadReport | None:
@@ -105,19 +105,19 @@
             return None
 
 
-def _run_send(pool: ServicePool, send: Send, call: HttpCall, clock: Clock) -> None:
+def _run_attempt(pool: ServicePool, attempt: SearcherAttempt, call: HttpCall, clock: Clock) -> None:
     call.allow()
-    if not pool.may_send(send, call.abort):
-        pool.abandon(send)
+    if not pool.may_send(attempt, call.abort):
+        pool.abandon(attempt)
         return
-    match send.entry.work:
+    match attempt.entry.work:
         case SearchWork() as work:
-            pool.finish(send, _search(call, work, send, clock))
+            pool.finish(attempt, _search(call, work, attempt, clock))
         case BookingWork() as work:
-            pool.finish(send, _book(call, work, send, clock))
+            pool.finish(attempt, _book(call, work, attempt, clock))
 
 
-def _search(call: HttpCall, work: SearchWork, send: Send, clock: Clock) -> SubReply:
+def _search(call: HttpCall, work: SearchWork, attempt: SearcherAttempt, clock: Clock) -> SubReply:
     remaining = Millis(work.deadline - clock.now())
     body = {
         "query": work.query,
@@ -130,11 +130,11 @@
     reply = call.post("/search", to_json(body), Millis(remaining + GRACE))
     match reply:
         case HttpReply(status=200, body=answer):
-            return _read_hits(answer, work, send.searcher)
+            return _read_hits(answer, work, attempt.searcher)
         case HttpReply(status=410, body=answer):
-            return _read_gone(answer, work, send.searcher)
+            return _read_gone(answer, work, attempt.searcher)
         case _:
-            return _read_failure(reply, send)
+            return _read_failure(reply, attempt)
 
 
 def _read_hits(body: bytes, work: SearchWork, searcher: SearcherId) -> SubReply:
@@ -160,7 +160,9 @@
     return VersionGone(work.snapshot, tuple(map(SnapshotVersion, held)))
 
 
-def _book(call: HttpCall, work: BookingWork, send: Send, clock: Clock) -> BookingOutcome:
+def _book(
+    call: HttpCall, work: BookingWork, attempt: SearcherAttempt, clock: Clock
+) -> BookingOutcome:
     remaining = Millis(work.deadline - clock.now())
     body = {
         "ticket": work.ticket,
@@ -174,31 +176,31 @@
         case HttpReply(status=200, body=result):
             return Ran(result.decode("utf-8", errors="replace"))
         case _:
-            return _read_failure(reply, send)
+            return _read_failure(reply, attempt)
 
 
-def _read_failure(reply: HttpReply | HttpLost, send: Send) -> NotRun | Unknown:
+def _read_failure(reply: HttpReply | HttpLost, attempt: SearcherAttempt) -> NotRun | Unknown:
     """Return ``NotRun`` only where the searcher states it, or where no byte left."""
-    searcher = send.searcher
+    searcher = attempt.searcher
     match reply:
         case HttpLost(sent=False, message=message):
             return NotRun(Reason.SEARCHER_REFUSED, Step.CONNECT, searcher, message)
         case HttpLost(message=message):
             return Unknown(Reason.SEARCHER_LOST, Step.UPSTREAM, searcher, message)
         case HttpReply(status=503 | 409 | 429, body=body):
-            return _read_refusal(body, send)
+            return _read_refusal(body, attempt)
         case HttpReply(status=status):
             return Unknown(Reason.SEARCHER_ERROR, Step.UPSTREAM, searcher, f"status {status}")
 
 
-def _read_refusal(body: bytes, send: Send) -> NotRun | Unknown:
+def _read_refusal(body: bytes, attempt: SearcherAttempt) -> NotRun | Unknown:
     """Read a refusal; a searcher that gives no known reason may have run the work."""
     try:
         text = _RefusalText.model_validate_json(body)
     except ValidationError:
-        return Unknown(Reason.SEARCHER_ERROR, Step.UPSTREAM, send.searcher, "unreadable refusal")
-    send.incarnation = text.incarnation
+        return Unknown(Reason.SEARCHER_ERROR, Step.UPSTREAM, attempt.searcher, "unreadable refusal")
+    attempt.incarnation = text.incarnation
     reason = NOT_RUN_REASONS.get(text.reason)
     if reason is None:
-        return Unknown(Reason.SEARCHER_ERROR, Step.UPSTREAM, send.searcher, text.reason)
-    return NotRun(reason, Step.UPSTREAM, send.searcher, text.reason)
+        return Unknown(Reason.SEARCHER_ERROR, Step.UPSTREAM, attempt.searcher, text.reason)
+    return NotRun(reason, Step.UPSTREAM, attempt.searcher, text.reason)
--- a/src/masticgate/process/_admission.py
+++ b/src/masticgate/process/_admission.py
@@ -42,7 +42,9 @@
             for item in services:
                 self.limits[item.service] = _Limit(owner, item.admitted, now)
 
-    def admit(self, rank: Rank, number: float, services: Iterable[Service]) -> NotRun | None:
+    def admit(
+        self, rank: Rank, admission_number: float, services: Iterable[Service]
+    ) -> NotRun | None:
         """Refuse a query, or return ``None``."""
         limits = self.limits
         if not limits:
@@ -51,9 +53,13 @@
         oldest = self.clock.now() - PRESSURE_TTL
         for service in needed:
             limit = limits.get(service)
-            if limit is None or limit.reported_at < oldest or number < limit.admitted[rank]:
+            if (
+                limit is None
+                or limit.reported_at < oldest
+                or admission_number < limit.admitted[rank]
+            ):
                 continue
-            self._count(needed, rank)
+            self._count_refused(needed, rank)
             return NotRun(Reason.OVERLOAD, Step.ADMISSION, peer=service)
         return None
 
@@ -71,7 +77,7 @@
                     counts.append(RefusedCount(service, rank, count))
             return by_owner
 
-    def _count(self, services: Iterable[ServiceId], rank: Rank) -> None:
+    def _count_refused(self, services: Iterable[ServiceId], rank: Rank) -> None:
         with self.lock:
             for service in services:
                 key = (service, rank)
--- a/src/masticgate/process/_booking_log.py
+++ b/src/masticgate/process/_booking_log.py
@@ -10,7 +10,7 @@
 """How long an attempt is remembered, longer than the outcome of a ticket is kept."""
 
 MAX_ATTEMPTS = 100_000
-MAX_DROPPED_AT_ONCE = 2
+MAX_REMOVED_AT_ONCE = 2
 
 
 class BookingLog:
@@ -29,13 +29,13 @@
         """Remember the attempt; return ``False`` where it has come before."""
         now = self.clock.now()
         with self.lock:
-            self._drop_old(now)
+            self._remove_old(now)
             if (ticket, attempt) in self.received:
                 return False
             self.received[ticket, attempt] = now
             return True
 
-    def _drop_old(self, now: Millis) -> None:
-        for attempt, received in list(islice(self.received.items(), MAX_DROPPED_AT_ONCE)):
+    def _remove_old(self, now: Millis) -> None:
+        for attempt, received in list(islice(self.received.items(), MAX_REMOVED_AT_ONCE)):
             if now - received > ATTEMPT_TTL or len(self.received) >= MAX_ATTEMPTS:
                 del self.received[attempt]
--- a/src/masticgate/process/_command_book.py
+++ b/src/masticgate/process/_command_book.py
@@ -45,7 +45,7 @@
         content = json.loads(payload)
     except ValueError as error:
         raise click.BadParameter(f"not JSON: {error}", param_hint="--payload") from error
-    ticket = ticket or _mint(hosts)
+    ticket = ticket or _mint_ticket(hosts)
     body = {
         "ticket": ticket,
         "service": service,
@@ -58,7 +58,7 @@
     raise SystemExit(EXIT_CODES.get(str(outcome["outcome"]), ExitCode.UNKNOWN))
 
 
-def _mint(hosts: tuple[str, ...]) -> str:
+def _mint_ticket(hosts: tuple[str, ...]) -> str:
     problem = "no host answered"
     for host in hosts:
         client = CallerClient(Address(host))
@@ -81,10 +81,10 @@
     The ticket makes the repetition safe.
     """
     clock = SystemClock()
-    end = Millis(clock.now() + body["remaining_ms"])
-    known: dict[str, Any] = {}
+    deadline = Millis(clock.now() + body["remaining_ms"])
+    last_reply: dict[str, Any] = {}
     for host in hosts:
-        remaining = end - clock.now()
+        remaining = deadline - clock.now()
         if remaining <= 0:
             break
         client = CallerClient(Address(host))
@@ -94,10 +94,10 @@
             case CallerReply(body={"outcome": "ran" | "not_run"}):
                 return {"ticket": body["ticket"], **reply.body}
             case CallerReply():
-                known = reply.body
+                last_reply = reply.body
             case HttpLost(message=message):
-                known = known or {"message": f"unknown: {message}"}
-    return {"ticket": body["ticket"], **known, "outcome": "unknown"}
+                last_reply = last_reply or {"message": f"unknown: {message}"}
+    return {"ticket": body["ticket"], **last_reply, "outcome": "unknown"}
 
 
 def _describe(outcome: dict[str, Any]) -> str:
--- a/src/masticgate/process/_command_explain.py
+++ b/src/masticgate/process/_command_explain.py
@@ -68,16 +68,16 @@
     the host's own clock, that concern the whole host or name a searcher or a service which the
     request's lines name too. Lines of a host are in its own order, hosts by their first line.
     """
-    own = [line for line in lines if line.fields.get("request") == request]
-    ends = {line.host: line.wall for line in own}
-    named = {token for line in own for token in line.tokens} - {request}
+    request_lines = [line for line in lines if line.fields.get("request") == request]
+    ends = {line.host: line.wall for line in request_lines}
+    named_tokens = {token for line in request_lines for token in line.tokens} - {request}
     selected = []
     for line in lines:
         end = ends.get(line.host)
         if end is None or not end - before_ms <= line.wall <= end:
             continue
         subject = {str(line.fields.get(key)) for key in ("searcher", "service")}
-        if line in own or line.event in HOST_EVENTS or subject & named:
+        if line in request_lines or line.event in HOST_EVENTS or subject & named_tokens:
             selected.append(line)
     return sorted(selected, key=lambda line: (line.wall, line.host))
 
--- a/src/masticgate/process/_command_timeline.py
+++ b/src/masticgate/process/_command_timeline.py
@@ -16,7 +16,7 @@
 from ._timeline_merge import event_fields, merge_events
 
 
-class _EventText(BaseModel):
+class _EventFields(BaseModel):
     model_config = ConfigDict(extra="ignore")
     host: str
     sequence: int
@@ -62,14 +62,14 @@
 
 def _is_event(item: object) -> bool:
     try:
-        _EventText.model_validate(item)
+        _EventFields.model_validate(item)
     except ValidationError:
         return False
     return True
 
 
 def _read_event(item: object) -> Event:
-    text = _EventText.model_validate(item)
+    text = _EventFields.model_validate(item)
     seen = {HostId(host): sequence for host, sequence in text.seen.items()}
     return Event(
         HostId(text.host),
--- a/src/masticgate/process/_concurrency.py
+++ b/src/masticgate/process/_concurrency.py
@@ -10,7 +10,7 @@
 INITIAL_LIMIT = 16.0
 MIN_LIMIT = 8.0
 MAX_LIMIT = 256.0
-DECREASE = 0.9
+DECREASE_FACTOR = 0.9
 DECREASE_INTERVAL = Millis(100.0)
 """The limit falls at most once in this time, however many searches are late."""
 
@@ -55,4 +55,4 @@
             now = self.clock.now()
             if now - self.decreased_at >= DECREASE_INTERVAL:
                 self.decreased_at = now
-                self.limit = max(MIN_LIMIT, self.limit * DECREASE)
+                self.limit = max(MIN_LIMIT, self.limit * DECREASE_FACTOR)
--- a/src/masticgate/process/_delivery_lock.py
+++ b/src/masticgate/process/_delivery_lock.py
@@ -2,7 +2,7 @@
 
 from threading import Lock
 
-from ._work import Entry, Result
+from ._work import QueueEntry, Result
 
 
 class DeliveryLock:
@@ -10,7 +10,7 @@
 
     def __init__(self) -> None:
         self.lock = Lock()
-        self.undelivered: list[tuple[Entry, Result]] = []
+        self.undelivered: list[tuple[QueueEntry, Result]] = []
 
     def __enter__(self) -> None:
         self.lock.acquire()
--- a/src/masticgate/process/_dispatcher.py
+++ b/src/masticgate/process/_dispatcher.py
@@ -12,7 +12,7 @@
 from ._rank_queue import RankQueue
 from ._searcher_group import SearcherGroup, StateListener
 from ._searcher_health import SearcherHealth
-from ._work import BookingWork, Entry, Send, WorkState
+from ._work import BookingWork, QueueEntry, SearcherAttempt, WorkState
 
 EXPIRY_INTERVAL = Millis(100.0)
 """How often the whole queue is searched for work whose deadline passed."""
@@ -37,7 +37,7 @@
         self.idle_connections = IdleConnections()
         self.next_expiry = Millis(0.0)
 
-    def dispatch(self, now: Millis) -> list[Entry]:
+    def dispatch(self, now: Millis) -> list[QueueEntry]:
         """Hand out all work that may be sent now; return the entries found expired."""
         expired = self._find_expired(now)
         if self.idle_connections:
@@ -74,7 +74,7 @@
             times.append(eligible)
         return min(times)
 
-    def requeue(self, entry: Entry, failed_searcher: SearcherHealth) -> None:
+    def requeue(self, entry: QueueEntry, failed_searcher: SearcherHealth) -> None:
         """Put an entry back after a send failed."""
         self.candidates.discard(entry)
         entry.retries += 1
@@ -82,13 +82,13 @@
         entry.state = WorkState.PENDING
         self.pending.add(entry)
 
-    def remove(self, entry: Entry) -> None:
+    def remove(self, entry: QueueEntry) -> None:
         """Take an entry out, wherever it stands."""
         entry.state = WorkState.DONE
         self.pending.remove(entry)
         self.candidates.discard(entry)
 
-    def _find_expired(self, now: Millis) -> list[Entry]:
+    def _find_expired(self, now: Millis) -> list[QueueEntry]:
         if now < self.next_expiry or not self.pending.size:
             return []
         self.next_expiry = Millis(now + EXPIRY_INTERVAL)
@@ -97,7 +97,7 @@
             self.pending.remove(entry)
         return expired
 
-    def _send_next(self, now: Millis, expired: list[Entry]) -> bool:
+    def _send_next(self, now: Millis, expired: list[QueueEntry]) -> bool:
         """Send one pending entry; return ``False`` where no searcher may have more."""
         fallback = self.searchers.choose(self.idle_connections.by_searcher, now)
         if fallback is None:
@@ -110,7 +110,7 @@
         self._assign(self._choose(entry, now) or fallback, entry, now)
         return True
 
-    def _choose(self, entry: Entry, now: Millis) -> SearcherHealth | None:
+    def _choose(self, entry: QueueEntry, now: Millis) -> SearcherHealth | None:
         """Return a searcher that did not fail ``entry``; a booking is no probe either."""
         excluded = [] if entry.failed_searcher is None else [entry.failed_searcher]
         if isinstance(entry.work, BookingWork):
@@ -119,10 +119,10 @@
 
     def _send_hedges(self, now: Millis, delay: Millis, lowest_rank: Rank | None) -> None:
         """Send the hedges that are due, but none of a rank below ``first``."""
-        for entry in self.candidates.due(now, delay):
+        for entry in self.candidates.list_due(now, delay):
             if lowest_rank is not None and entry.work.rank > lowest_rank:
                 return
-            sent_to = [send.health for send in entry.sends]
+            sent_to = [attempt.health for attempt in entry.attempts]
             health = self.searchers.choose(self.idle_connections.by_searcher, now, sent_to)
             if health is None:
                 continue
@@ -131,10 +131,10 @@
             self._assign(health, entry, now, hedge=True)
 
     def _assign(
-        self, health: SearcherHealth, entry: Entry, now: Millis, *, hedge: bool = False
+        self, health: SearcherHealth, entry: QueueEntry, now: Millis, *, hedge: bool = False
     ) -> None:
-        send = Send(entry, health, now, hedge)
-        entry.sends.append(send)
+        attempt = SearcherAttempt(entry, health, now, hedge)
+        entry.attempts.append(attempt)
         if hedge:
             self.candidates.discard(entry)
         else:
@@ -144,4 +144,4 @@
             if entry.retries == 0:
                 self.budget.earn()
         health.in_flight += 1
-        self.idle_connections.assign(send)
+        self.idle_connections.assign(attempt)
--- a/src/masticgate/process/_hedge_budget.py
+++ b/src/masticgate/process/_hedge_budget.py
@@ -56,7 +56,7 @@
         """Record the latency of a first send, from which the hedge delay follows."""
         if isinstance(self.hedging, NoHedge):
             return
-        self.window.add(now, latency)
+        self.window.record(now, latency)
         self.percentile_latency = self.window.percentile(HEDGE_PERCENTILE)
 
     def hedge_delay(self) -> Millis | None:
--- a/src/masticgate/process/_hedge_candidates.py
+++ b/src/masticgate/process/_hedge_candidates.py
@@ -1,7 +1,7 @@
 """The searches that may be hedged: each is in flight at one searcher."""
 
 from .._ids import Millis
-from ._work import Entry, SearchWork
+from ._work import QueueEntry, SearchWork
 
 
 class HedgeCandidates:
@@ -11,22 +11,22 @@
     """
 
     def __init__(self) -> None:
-        self.entries: dict[int, Entry] = {}
+        self.entries: dict[int, QueueEntry] = {}
         self.added = False
 
-    def add(self, entry: Entry) -> None:
+    def add(self, entry: QueueEntry) -> None:
         """Add an entry that was just sent, unless it may not be sent twice."""
         if isinstance(entry.work, SearchWork):
             self.entries[id(entry)] = entry
             self.added = True
 
-    def discard(self, entry: Entry) -> None:
+    def discard(self, entry: QueueEntry) -> None:
         """Remove an entry that is hedged, retried or done."""
         self.entries.pop(id(entry), None)
 
-    def due(self, now: Millis, delay: Millis) -> list[Entry]:
+    def list_due(self, now: Millis, delay: Millis) -> list[QueueEntry]:
         """Return what has been in flight for ``delay``, urgent first."""
-        found: list[Entry] = []
+        found: list[QueueEntry] = []
         for entry in self.entries.values():
             if entry.sent_at + delay > now:
                 break
--- a/src/masticgate/process/_idle_connections.py
+++ b/src/masticgate/process/_idle_connections.py
@@ -5,7 +5,7 @@
 from threading import Condition, Lock
 
 from ._searcher_health import SearcherHealth
-from ._work import Send
+from ._work import SearcherAttempt
 
 
 @dataclass(frozen=True, slots=True)
@@ -29,7 +29,7 @@
     def __init__(self, lock: Lock, health: SearcherHealth) -> None:
         self.health = health
         self.ready = Condition(lock)
-        self.send: Send | None = None
+        self.attempt: SearcherAttempt | None = None
 
 
 class IdleConnections:
@@ -63,11 +63,11 @@
         if self.timer is connection:
             self.timer = None
 
-    def assign(self, send: Send) -> None:
+    def assign(self, attempt: SearcherAttempt) -> None:
         """Hand ``send`` to an idle connection of its searcher."""
-        connection = self.by_searcher[send.health][-1]
+        connection = self.by_searcher[attempt.health][-1]
         self.remove(connection)
-        connection.send = send
+        connection.attempt = attempt
         connection.ready.notify()
 
     def ensure_timer(self) -> None:
@@ -78,7 +78,7 @@
 
     def set_timer_if_unset(self, connection: IdleConnection) -> None:
         """Make ``connection`` the timer, unless there is one; its own task is about to wait."""
-        if self.timer is None and connection.send is None:
+        if self.timer is None and connection.attempt is None:
             self.timer = connection
 
     def wake_all(self) -> None:
--- a/src/masticgate/process/_latency_window.py
+++ b/src/masticgate/process/_latency_window.py
@@ -16,24 +16,24 @@
 
     def __init__(self) -> None:
         self.samples: deque[tuple[Millis, Millis]] = deque()
-        self.ordered = SortedList()
+        self.sorted_latencies = SortedList()
 
-    def add(self, now: Millis, latency: Millis) -> None:
+    def record(self, now: Millis, latency: Millis) -> None:
         """Record ``latency``, and drop what is too old or too much."""
         self.samples.append((now, latency))
-        self.ordered.add(latency)
+        self.sorted_latencies.add(latency)
         while len(self.samples) > MAX_SAMPLES or self._is_outdated(now):
-            self.ordered.remove(self.samples.popleft()[1])
+            self.sorted_latencies.remove(self.samples.popleft()[1])
 
     def percentile(self, percent: float) -> Millis | None:
         """Return the latency that ``percent`` of the samples do not exceed.
 
         Returns ``None`` while there are too few samples.
         """
-        count = len(self.ordered)
+        count = len(self.sorted_latencies)
         if count < MIN_SAMPLES:
             return None
-        found: Millis = self.ordered[min(count - 1, int(count * percent / 100.0))]
+        found: Millis = self.sorted_latencies[min(count - 1, int(count * percent / 100.0))]
         return found
 
     def _is_outdated(self, now: Millis) -> bool:
--- a/src/masticgate/process/_owner.py
+++ b/src/masticgate/process/_owner.py
@@ -17,7 +17,7 @@
 )
 from ..version import Configuration
 from ._booking_log import BookingLog
-from ._pools import Pools
+from ._pools import ServicePools
 from ._service_pool import ServicePool
 from ._versions import VersionStore
 from ._work import BookingWork, SearchWork, Work
@@ -29,7 +29,11 @@
     """Takes asks and bookings, of this host's own requests too."""
 
     def __init__(
-        self, pools: Pools, versions: VersionStore, clock: Clock, count_hosts: Callable[[], int]
+        self,
+        pools: ServicePools,
+        versions: VersionStore,
+        clock: Clock,
+        count_hosts: Callable[[], int],
     ) -> None:
         self.pools = pools
         self.versions = versions
--- a/src/masticgate/process/_peer_service.py
+++ b/src/masticgate/process/_peer_service.py
@@ -98,7 +98,7 @@
             case TextPush() | SectionsPush() | CataloguePush():
                 self.distribution.take_push(message, answer)
             case Demand():
-                self.pressure.receive_demand(message)
+                self.pressure.handle_demand(message)
             case Pressure(services=services):
                 self.pressure.admission.record_pressure(peer.host, services)
             case Hello():
--- a/src/masticgate/process/_pools.py
+++ b/src/masticgate/process/_pools.py
@@ -18,7 +18,7 @@
 ConnectionStarter = Callable[[ServicePool, Searcher], None]
 
 
-class Pools:
+class ServicePools:
     """Opens a pool when a service's first work comes, with its connection tasks."""
 
     def __init__(
--- a/src/masticgate/process/_pressure.py
+++ b/src/masticgate/process/_pressure.py
@@ -8,7 +8,7 @@
 from .._ranks import Rank
 from ._admission import AdmissionControl
 from ._messages import Demand, Pressure, ServicePressure
-from ._pools import Pools
+from ._pools import ServicePools
 from ._service_pool import ServicePool
 from ._timeline import EventKind, TimeLine
 
@@ -24,13 +24,13 @@
 
     def __init__(
         self,
-        own: HostId,
-        pools: Pools,
+        own_host: HostId,
+        pools: ServicePools,
         admission: AdmissionControl,
         timeline: TimeLine,
         clock: Clock,
     ) -> None:
-        self.own = own
+        self.own_host = own_host
         self.pools = pools
         self.admission = admission
         self.timeline = timeline
@@ -43,7 +43,7 @@
         """Remember that ``host`` asks this owner, and the connection it asks over."""
         self.entry_hosts[host] = (send_pressure, self.clock.now())
 
-    def receive_demand(self, demand: Demand) -> None:
+    def handle_demand(self, demand: Demand) -> None:
         """Count what an entry host refused because of this owner's pressure."""
         pools = {pool.service: pool for pool in self.pools.list_pools()}
         for item in demand.refused:
@@ -55,15 +55,15 @@
         """Exchange once; the process calls this every :data:`PRESSURE_INTERVAL`."""
         for owner, refused in self.admission.pop_refused().items():
             demand = Demand(tuple(refused))
-            if owner == self.own:
-                self.receive_demand(demand)
+            if owner == self.own_host:
+                self.handle_demand(demand)
             else:
                 send_demand(owner, demand)
         services = tuple(self._measure(pool) for pool in self.pools.list_pools())
         reported = tuple(item for item in services if min(item.admitted) < 1.0)
         self._record_changes(reported)
         if reported:
-            self.admission.record_pressure(self.own, reported)
+            self.admission.record_pressure(self.own_host, reported)
             self._send_pressure(Pressure(reported))
 
     def _measure(self, pool: ServicePool) -> ServicePressure:
--- a/src/masticgate/process/_public.py
+++ b/src/masticgate/process/_public.py
@@ -22,5 +22,5 @@
 from ._settings import check_settings as check_settings
 from ._settings import read_settings as read_settings
 from ._work import BookingWork as BookingWork
+from ._work import SearcherAttempt as SearcherAttempt
 from ._work import SearchWork as SearchWork
-from ._work import Send as Send
--- a/src/masticgate/process/_rank_queue.py
+++ b/src/masticgate/process/_rank_queue.py
@@ -7,16 +7,16 @@
 from .._ids import Millis
 from .._ranks import Rank
 from ._policy import ArrivalOrder, Order, RankOrder
-from ._work import BookingWork, Entry, SearchWork
+from ._work import BookingWork, QueueEntry, SearchWork
 
 MAX_FLOOR_CREDIT = 2.0
 """The pieces of work that a rank may be owed; older claims lapse."""
 
 
-def _number(entry: Entry) -> float:
+def _admission_number(entry: QueueEntry) -> float:
     match entry.work:
-        case SearchWork(number=number):
-            return number
+        case SearchWork(admission_number=admission_number):
+            return admission_number
         case BookingWork():
             return 0.0
 
@@ -29,8 +29,8 @@
         self.size = 0
         self.floors = dict(floors)
         self.credit = dict.fromkeys(Rank, 0.0)
-        self.by_arrival: dict[Rank, dict[int, Entry]] = {rank: {} for rank in Rank}
-        self.by_number = {rank: SortedKeyList(key=_number) for rank in Rank}
+        self.by_arrival: dict[Rank, dict[int, QueueEntry]] = {rank: {} for rank in Rank}
+        self.by_admission_number = {rank: SortedKeyList(key=_admission_number) for rank in Rank}
 
     def __len__(self) -> int:
         return self.size
@@ -44,30 +44,30 @@
         oldest = next(iter(self.by_arrival[rank].values()), None)
         return Millis(now - oldest.queued_at) if oldest else Millis(0.0)
 
-    def entries(self) -> Iterator[Entry]:
+    def entries(self) -> Iterator[QueueEntry]:
         """Iterate over all pending entries."""
         for rank in Rank:
             yield from self.by_arrival[rank].values()
 
-    def add(self, entry: Entry) -> None:
+    def add(self, entry: QueueEntry) -> None:
         """Add a pending entry."""
         rank = entry.work.rank
         self.by_arrival[rank][id(entry)] = entry
-        self.by_number[rank].add(entry)
+        self.by_admission_number[rank].add(entry)
         self.size += 1
 
-    def remove(self, entry: Entry) -> None:
+    def remove(self, entry: QueueEntry) -> None:
         """Remove an entry, pending or not."""
         rank = entry.work.rank
         if self.by_arrival[rank].pop(id(entry), None) is not None:
-            self.by_number[rank].remove(entry)
+            self.by_admission_number[rank].remove(entry)
             self.size -= 1
 
     def first_rank(self) -> Rank | None:
         """Return the most urgent rank that waits."""
         return next((rank for rank in Rank if self.by_arrival[rank]), None)
 
-    def pop(self, now: Millis) -> Entry:
+    def pop(self, now: Millis) -> QueueEntry:
         """Remove and return the entry to serve next.
 
         :raises IndexError: nothing is pending.
@@ -80,7 +80,7 @@
         self.remove(entry)
         return entry
 
-    def record_served(self, entry: Entry) -> None:
+    def record_served(self, entry: QueueEntry) -> None:
         """Count a popped entry as served: each waiting rank earns its floor.
 
         An entry that expired in the queue is not charged, so that it uses up no floor.
@@ -95,7 +95,7 @@
                 earned = self.credit[rank] + self.floors.get(rank, 0.0)
                 self.credit[rank] = min(MAX_FLOOR_CREDIT, earned)
 
-    def _oldest_entry(self) -> Entry:
+    def _oldest_entry(self) -> QueueEntry:
         heads = [next(iter(entries.values())) for entries in self.by_arrival.values() if entries]
         return min(heads, key=lambda entry: entry.queued_at)
 
@@ -104,8 +104,8 @@
         owed = [rank for rank in waiting if self.credit[rank] >= 1.0]
         return (owed or waiting)[0]
 
-    def _next_entry(self, rank: Rank, now: Millis, limit: Millis) -> Entry:
+    def _next_entry(self, rank: Rank, now: Millis, limit: Millis) -> QueueEntry:
         if self.oldest_wait(rank, now) > limit:
-            first: Entry = self.by_number[rank][0]
+            first: QueueEntry = self.by_admission_number[rank][0]
             return first
         return next(iter(self.by_arrival[rank].values()))
--- a/src/masticgate/process/_retry.py
+++ b/src/masticgate/process/_retry.py
@@ -3,7 +3,7 @@
 from enum import Enum
 
 from .._failures import NotRun, Reason, Unknown
-from ._work import Entry, Result, SearchWork
+from ._work import QueueEntry, Result, SearchWork
 
 MAX_RETRIES = 2
 
@@ -25,7 +25,7 @@
     FORBIDDEN = "forbidden"
 
 
-def retry_cost(entry: Entry, result: Result) -> RetryCost:
+def retry_cost(entry: QueueEntry, result: Result) -> RetryCost:
     """Return the cost of sending ``entry`` again after ``result``; a booking never is."""
     if not isinstance(entry.work, SearchWork) or entry.retries >= MAX_RETRIES:
         return RetryCost.FORBIDDEN
--- a/src/masticgate/process/_searcher_group.py
+++ b/src/masticgate/process/_searcher_group.py
@@ -7,7 +7,7 @@
 from ..request import Hits, Ran, VersionGone
 from ..version import Searcher
 from ._searcher_health import LoadReport, SearcherHealth, SearcherState
-from ._work import Result, Send, SendState
+from ._work import AttemptState, Result, SearcherAttempt
 
 HEALTH_FAILURES = frozenset(
     {Reason.SEARCHER_LOST, Reason.SEARCHER_ERROR, Reason.SEARCHER_REFUSED, Reason.WRONG_VERSION}
@@ -94,23 +94,23 @@
 
     # Observation.
 
-    def record_result(self, send: Send, result: Result, now: Millis) -> None:
+    def record_result(self, attempt: SearcherAttempt, result: Result, now: Millis) -> None:
         """Learn from the end of ``send``."""
-        health = send.health
+        health = attempt.health
         health.in_flight -= 1
         before = self._states()
-        if send.incarnation:
-            health.incarnation = send.incarnation
+        if attempt.incarnation:
+            health.incarnation = attempt.incarnation
         match result:
             case Hits() | Ran() | VersionGone():
-                health.record_success(Millis(now - send.sent_at), now)
+                health.record_success(Millis(now - attempt.sent_at), now)
                 self._eject_slow(now)
             case NotRun(reason=Reason.SEARCHER_DRAINING):
                 health.drain()
             case NotRun(reason=Reason.SEARCHER_SHED):
                 health.record_refusal(now)
             case NotRun(reason=reason) | Unknown(reason=reason):
-                if _is_failure(send, reason) and health.record_failure():
+                if _is_failure(attempt, reason) and health.record_failure():
                     self._eject(health, now)
         self._notify(before)
 
@@ -150,18 +150,18 @@
                 self.listener(self.service, health.searcher.id, health.state)
 
 
-def _is_failure(send: Send, reason: Reason) -> bool:
+def _is_failure(attempt: SearcherAttempt, reason: Reason) -> bool:
     """Tell whether the searcher is to blame; to be superseded by a hedge counts too.
 
     One that has answered other work since then is alive, so that one lost send does not count.
     """
-    answered_since = send.health.last_success_at >= send.sent_at
-    match send.state:
-        case SendState.WANTED if reason is Reason.SEARCHER_LOST:
+    answered_since = attempt.health.last_success_at >= attempt.sent_at
+    match attempt.state:
+        case AttemptState.WANTED if reason is Reason.SEARCHER_LOST:
             return not answered_since
-        case SendState.WANTED:
+        case AttemptState.WANTED:
             return reason in HEALTH_FAILURES
-        case SendState.SUPERSEDED:
-            return not send.hedge and not answered_since
-        case SendState.CANCELLED:
+        case AttemptState.SUPERSEDED:
+            return not attempt.hedge and not answered_since
+        case AttemptState.CANCELLED:
             return False
--- a/src/masticgate/process/_searcher_health.py
+++ b/src/masticgate/process/_searcher_health.py
@@ -68,7 +68,7 @@
     def reset(self) -> None:
         """Treat the searcher as newly started: nothing is known of it."""
         self.state = SearcherState.WARMING
-        self.window = 1.0
+        self.warm_up_limit = 1.0
         self.latency = Millis(0.0)
         self.last_success_at = Millis(0.0)
         self.samples = 0
@@ -108,7 +108,7 @@
             case SearcherState.ACTIVE:
                 return self.connections
             case SearcherState.WARMING if now >= self.eligible_at:
-                return min(self.connections, int(self.window))
+                return min(self.connections, int(self.warm_up_limit))
             case SearcherState.EJECTED if now >= self.eligible_at:
                 return min(self.connections, 1)
             case _:
@@ -138,9 +138,9 @@
         match self.state:
             case SearcherState.EJECTED:
                 self.state = SearcherState.WARMING
-                self.window = 1.0
+                self.warm_up_limit = 1.0
             case SearcherState.WARMING:
-                self._widen_window()
+                self._raise_warm_up_limit()
             case SearcherState.ACTIVE | SearcherState.DRAINING:
                 return
 
@@ -158,7 +158,7 @@
             return
         if self.state is not SearcherState.EJECTED:
             self.state = SearcherState.WARMING
-        self.window = max(1.0, min(self.window, float(self.connections)) / 2)
+        self.warm_up_limit = max(1.0, min(self.warm_up_limit, float(self.connections)) / 2)
         self.eligible_at = Millis(now + self.next_backoff)
         self.next_backoff = min(MAX_BACKOFF, Millis(self.next_backoff * 2))
 
@@ -173,7 +173,7 @@
         self.eligible_at = Millis(now + self.next_ejection)
         self.next_ejection = min(MAX_EJECTION, Millis(self.next_ejection * 2))
         self.failures = 0
-        self.window = 1.0
+        self.warm_up_limit = 1.0
         self.samples = 0
 
     def drain(self) -> None:
@@ -198,8 +198,8 @@
             return report.incarnation != self.drained_incarnation
         return self.lost_while_draining
 
-    def _widen_window(self) -> None:
-        self.window += 1.0 / WARM_UP_STEP
-        if self.window >= self.connections + 1:
+    def _raise_warm_up_limit(self) -> None:
+        self.warm_up_limit += 1.0 / WARM_UP_STEP
+        if self.warm_up_limit >= self.connections + 1:
             self.state = SearcherState.ACTIVE
             self.next_ejection = INITIAL_EJECTION
--- a/src/masticgate/process/_server.py
+++ b/src/masticgate/process/_server.py
@@ -30,7 +30,7 @@
 from ._owner import Owner
 from ._peer_service import PeerService, member_from_hello
 from ._policy import NAIVE_POLICY, OWNER_POLICY, Policy
-from ._pools import Pools
+from ._pools import ServicePools
 from ._pressure import PRESSURE_INTERVAL, PressureReporter
 from ._reply_router import ReplyRouter
 from ._service_pool import ServicePool
@@ -71,7 +71,7 @@
         self.distribution = Distribution(
             settings, self.versions, self.members, self.links, self.timeline, self.clock
         )
-        self.pools = Pools(self.policy, self.clock, self.timeline, self._start_connection)
+        self.pools = ServicePools(self.policy, self.clock, self.timeline, self._start_connection)
         self.owner = Owner(self.pools, self.versions, self.clock, self._count_hosts)
         self.admission = AdmissionControl(self.clock)
         self.pressure = PressureReporter(
--- a/src/masticgate/process/_service_pool.py
+++ b/src/masticgate/process/_service_pool.py
@@ -16,7 +16,16 @@
 from ._searcher_group import StateListener
 from ._searcher_health import LOAD_CHECK_INTERVAL, LoadReport, SearcherHealth
 from ._service_load import PoolSample, ServiceLoad
-from ._work import BookingWork, Entry, Result, SearchWork, Send, SendState, Work, WorkState
+from ._work import (
+    AttemptState,
+    BookingWork,
+    QueueEntry,
+    Result,
+    SearcherAttempt,
+    SearchWork,
+    Work,
+    WorkState,
+)
 
 MAX_PENDING = 2000
 """Work beyond this is refused as overload."""
@@ -51,7 +60,7 @@
         self.searchers = self.dispatcher.searchers
         self.idle_connections = self.dispatcher.idle_connections
         self.load = ServiceLoad(clock.now())
-        self.entries: dict[QueryId, Entry] = {}
+        self.entries: dict[QueryId, QueueEntry] = {}
         self.stopping = False
         self.last_used = clock.now()
 
@@ -71,7 +80,7 @@
             self.load.record_arrivals(work.rank)
             refusal = self._refuse(work)
             if refusal is None:
-                entry = Entry(work, self.last_used)
+                entry = QueueEntry(work, self.last_used)
                 self.entries[work.query] = entry
                 self.pending.add(entry)
                 self.dispatch()
@@ -88,7 +97,7 @@
                 return
             match entry.work:
                 case SearchWork():
-                    self._drop(entry, SendState.CANCELLED)
+                    self._remove(entry, AttemptState.CANCELLED)
                     self.dispatch()
                 case BookingWork() if entry.state is WorkState.PENDING:
                     self._settle(entry, NotRun(Reason.CANCELLED, Step.QUEUE, peer=self.service))
@@ -136,7 +145,9 @@
 
     # What connection tasks call.
 
-    def wait_for_work(self, searcher: Searcher) -> Send | CheckLoad | NoWork | CloseConnection:
+    def wait_for_work(
+        self, searcher: Searcher
+    ) -> SearcherAttempt | CheckLoad | NoWork | CloseConnection:
         """Wait for work for an idle connection of ``searcher``."""
         with self.lock:
             connection = IdleConnection(self.lock, self.searchers.find(searcher))
@@ -148,32 +159,32 @@
                 if outcome is not None:
                     return outcome
 
-    def may_send(self, send: Send, abort: Callable[[], None]) -> bool:
+    def may_send(self, attempt: SearcherAttempt, abort: Callable[[], None]) -> bool:
         """Tell whether ``send`` is still wanted, just before its first byte leaves.
 
         The deadline is checked again here, since the process may have been paused. ``abort`` is
         called at most until :meth:`finish` and must not block.
         """
         with self.lock:
-            send.abort = abort
-            expired = self.clock.now() >= send.entry.work.deadline
-            return not expired and send.state is SendState.WANTED
+            attempt.abort = abort
+            expired = self.clock.now() >= attempt.entry.work.deadline
+            return not expired and attempt.state is AttemptState.WANTED
 
-    def finish(self, send: Send, result: Result) -> None:
+    def finish(self, attempt: SearcherAttempt, result: Result) -> None:
         """Take the result of ``send``; deliver it, retry it elsewhere or drop it as late."""
         with self.delivery_lock:
-            entry = send.entry
-            self._record_result(send, result)
-            entry.sends.remove(send)
+            entry = attempt.entry
+            self._record_result(attempt, result)
+            entry.attempts.remove(attempt)
             if entry.state is not WorkState.DONE:
-                self._handle_result(send, result)
+                self._handle_result(attempt, result)
             self.dispatch()
 
-    def abandon(self, send: Send) -> None:
+    def abandon(self, attempt: SearcherAttempt) -> None:
         """Take back a send of which no byte left: it was aborted or its deadline passed."""
-        expired = self.clock.now() >= send.entry.work.deadline
+        expired = self.clock.now() >= attempt.entry.work.deadline
         reason = Reason.DEADLINE if expired else Reason.CANCELLED
-        self.finish(send, NotRun(reason, Step.SEND, peer=send.searcher))
+        self.finish(attempt, NotRun(reason, Step.SEND, peer=attempt.searcher))
 
     def record_load(self, searcher: Searcher, report: LoadReport | None) -> None:
         """Take what a searcher says of its load, ``None`` where it could not be asked."""
@@ -215,13 +226,13 @@
 
     def _wait_once(
         self, connection: IdleConnection, end: Millis
-    ) -> Send | CheckLoad | NoWork | CloseConnection | None:
+    ) -> SearcherAttempt | CheckLoad | NoWork | CloseConnection | None:
         """Return what ``connection`` has to do, or ``None`` after one wait for it."""
-        if connection.send is None and self.dispatcher.needs_timer():
+        if connection.attempt is None and self.dispatcher.needs_timer():
             self.idle_connections.set_timer_if_unset(connection)
             self.dispatch()
-        if connection.send is not None:
-            return connection.send
+        if connection.attempt is not None:
+            return connection.attempt
         if connection.health.should_close():
             self._remove_idle(connection)
             return CloseConnection()
@@ -252,23 +263,23 @@
         health.load_check_at = Millis(now + LOAD_CHECK_INTERVAL)
         return CheckLoad()
 
-    def _record_result(self, send: Send, result: Result) -> None:
+    def _record_result(self, attempt: SearcherAttempt, result: Result) -> None:
         now = self.clock.now()
-        self.searchers.record_result(send, result, now)
-        superseded = send.state is SendState.SUPERSEDED
-        if not send.hedge and (superseded or not isinstance(result, NotRun | Unknown)):
-            self.budget.record_latency(now, Millis(now - send.sent_at))
+        self.searchers.record_result(attempt, result, now)
+        superseded = attempt.state is AttemptState.SUPERSEDED
+        if not attempt.hedge and (superseded or not isinstance(result, NotRun | Unknown)):
+            self.budget.record_latency(now, Millis(now - attempt.sent_at))
         if self.searchers.all_draining():
             for entry in list(self.pending.entries()):
                 self._settle_unsent(entry, Reason.NO_SEARCHER)
 
-    def _handle_result(self, send: Send, result: Result) -> None:
-        entry = send.entry
-        if entry.sends and not isinstance(result, Hits):
+    def _handle_result(self, attempt: SearcherAttempt, result: Result) -> None:
+        entry = attempt.entry
+        if entry.attempts and not isinstance(result, Hits):
             return
         if self._should_retry(entry, result):
             entry.failure = result
-            self.dispatcher.requeue(entry, send.health)
+            self.dispatcher.requeue(entry, attempt.health)
         else:
             if isinstance(result, Hits | Ran):
                 now = self.clock.now()
@@ -277,7 +288,7 @@
                 )
             self._settle(entry, result)
 
-    def _should_retry(self, entry: Entry, result: Result) -> bool:
+    def _should_retry(self, entry: QueueEntry, result: Result) -> bool:
         if self.stopping or self.searchers.all_draining():
             return False
         if isinstance(self.policy.hedging, NoHedge) or self.clock.now() >= entry.work.deadline:
@@ -290,16 +301,16 @@
             case RetryCost.FORBIDDEN:
                 return False
 
-    def _settle_unsent(self, entry: Entry, reason: Reason) -> None:
+    def _settle_unsent(self, entry: QueueEntry, reason: Reason) -> None:
         """Settle a pending entry; one that was sent before has the result of that send."""
         self._settle(entry, entry.failure or NotRun(reason, Step.QUEUE, peer=self.service))
 
-    def _settle(self, entry: Entry, result: Result) -> None:
-        self._drop(entry, SendState.SUPERSEDED)
+    def _settle(self, entry: QueueEntry, result: Result) -> None:
+        self._remove(entry, AttemptState.SUPERSEDED)
         self.delivery_lock.undelivered.append((entry, result))
 
-    def _drop(self, entry: Entry, state: SendState) -> None:
+    def _remove(self, entry: QueueEntry, state: AttemptState) -> None:
         self.dispatcher.remove(entry)
         self.entries.pop(entry.work.query, None)
-        for send in entry.sends:
-            send.cancel(state)
+        for attempt in entry.attempts:
+            attempt.cancel(state)
--- a/src/masticgate/process/_tickets.py
+++ b/src/masticgate/process/_tickets.py
@@ -16,8 +16,8 @@
 """How long after its minting a ticket may be used; its outcome is kept as long again."""
 
 MAX_TICKETS = 50_000
-MAX_DROPPED_AT_ONCE = 16
-MAX_REQUESTS = 64
+MAX_REMOVED_AT_ONCE = 16
+MAX_REQUESTS_PER_TICKET = 64
 """The requests for one ticket that may begin or join an attempt."""
 
 SEPARATOR = "~"
@@ -76,7 +76,7 @@
     def mint(self) -> TicketId | NotRun:
         """Return a new ticket, or why none can be had."""
         with self.lock:
-            self._drop_expired()
+            self._remove_expired()
             if len(self.records) >= MAX_TICKETS:
                 return NotRun(Reason.OVERLOAD, Step.TICKET, peer=self.host)
             self.sequence += 1
@@ -101,7 +101,7 @@
                 return earlier
             if record.state is TicketState.SETTLED:
                 return record.outcome
-            if len(record.requests) >= MAX_REQUESTS:
+            if len(record.requests) >= MAX_REQUESTS_PER_TICKET:
                 return NotRun(Reason.OVERLOAD, Step.TICKET, peer=self.host)
             if record.state is TicketState.RUNNING:
                 record.requests[booking.id] = record.outcome
@@ -155,17 +155,17 @@
                 record.state = TicketState.MINTED
                 record.outcome = Future()
             case Ran():
-                record.outcome = _done(outcome)
+                record.outcome = _completed_future(outcome)
             case Unknown():
-                record.outcome = _done(outcome)
+                record.outcome = _completed_future(outcome)
                 return
         record.late_outcome = None
         del self.unresolved[record.query]
 
-    def _drop_expired(self) -> None:
+    def _remove_expired(self) -> None:
         """Drop the oldest records once their outcome is no longer kept."""
         limit = self.clock.now() - TICKET_LIFETIME
-        for ticket, record in list(islice(self.records.items(), MAX_DROPPED_AT_ONCE)):
+        for ticket, record in list(islice(self.records.items(), MAX_REMOVED_AT_ONCE)):
             if record.expires > limit:
                 return
             if record.state is not TicketState.RUNNING:
@@ -173,7 +173,7 @@
                 del self.records[ticket]
 
 
-def _done(outcome: BookingOutcome) -> "Future[BookingOutcome]":
+def _completed_future(outcome: BookingOutcome) -> "Future[BookingOutcome]":
     future: Future[BookingOutcome] = Future()
     future.set_result(outcome)
     return future
--- a/src/masticgate/process/_work.py
+++ b/src/masticgate/process/_work.py
@@ -20,7 +20,7 @@
     snapshot: SnapshotVersion
     rank: Rank
     deadline: Millis
-    number: float
+    admission_number: float
     text: str
     deliver: Callable[[SubReply], None]
 
@@ -54,7 +54,7 @@
 
 
 @dataclass(slots=True, eq=False)
-class Entry:
+class QueueEntry:
     """A piece of work in a queue, with the searchers it was sent to.
 
     ``failure`` is the result of its last send, where that is being retried, and ``failed_at`` the
@@ -66,7 +66,7 @@
     state: WorkState = WorkState.PENDING
     retries: int = 0
     sent_at: Millis = Millis(0.0)
-    sends: "list[Send]" = field(default_factory=list)
+    attempts: "list[SearcherAttempt]" = field(default_factory=list)
     failure: Result | None = None
     failed_searcher: SearcherHealth | None = None
 
@@ -75,7 +75,7 @@
         self.work.deliver(result)  # type: ignore[arg-type]
 
 
-class SendState(Enum):
+class AttemptState(Enum):
     """Whether a send is still wanted."""
 
     WANTED = "wanted"
@@ -85,18 +85,18 @@
 
 
 @dataclass(slots=True, eq=False)
-class Send:
+class SearcherAttempt:
     """One sending of an entry to one searcher.
 
     ``abort`` ends the call from another task; the connection task sets it before it sends.
     ``incarnation`` is what the searcher's reply said of itself, empty where it said nothing.
     """
 
-    entry: Entry
+    entry: QueueEntry
     health: SearcherHealth
     sent_at: Millis
     hedge: bool = False
-    state: SendState = SendState.WANTED
+    state: AttemptState = AttemptState.WANTED
     abort: Callable[[], None] | None = None
     incarnation: str = ""
 
@@ -105,7 +105,7 @@
         """The searcher that the entry is sent to."""
         return self.health.searcher.id
 
-    def cancel(self, state: SendState) -> None:
+    def cancel(self, state: AttemptState) -> None:
         """Mark the send as unwanted and cut its call, where it began."""
         self.state = state
         if self.abort is not None:
--- a/src/masticgate/process/gateway/_hedge_delays.py
+++ b/src/masticgate/process/gateway/_hedge_delays.py
@@ -32,7 +32,7 @@
         window = self.windows.setdefault(route, LatencyWindow())
         usual = window.percentile(TYPICAL_PERCENTILE)
         if first:
-            window.add(now, latency)
+            window.record(now, latency)
         return latency / usual if usual else 1.0
 
     def retain_routes(self, routes: set[RouteId]) -> None:
--- a/tests/process/fake_connections.py
+++ b/tests/process/fake_connections.py
@@ -58,7 +58,7 @@
         self.pool.apply_configuration([(SEARCHERS[name], SHARE) for name in names], {})
         self.results = {}
         self.idle_connections = []
-        self.sends = []
+        self.attempts = []
         self.aborted = []
         self.bookings = BookingLog(self.clock)
         self.counter = 0
@@ -110,19 +110,21 @@
     def collect(self):
         """Take up the sends that were given to idle connections."""
         given = [
-            connection.send for connection in self.idle_connections if connection.send is not None
+            connection.attempt
+            for connection in self.idle_connections
+            if connection.attempt is not None
         ]
         self.idle_connections = [
-            connection for connection in self.idle_connections if connection.send is None
+            connection for connection in self.idle_connections if connection.attempt is None
         ]
-        for send in given:
-            assert self.pool.may_send(send, lambda s=send: self.aborted.append(s))
-        self.sends += given
+        for attempt in given:
+            assert self.pool.may_send(attempt, lambda s=attempt: self.aborted.append(s))
+        self.attempts += given
         return given
 
-    def finish(self, send, result):
-        self.sends.remove(send)
-        self.pool.finish(send, result)
+    def finish(self, attempt, result):
+        self.attempts.remove(attempt)
+        self.pool.finish(attempt, result)
         return self.collect()
 
     def answer_all(self, rounds, result=HITS, latency=20.0):
@@ -131,6 +133,6 @@
             self.search()
             self.collect()
             self.clock.advance(Millis(latency))
-            for send in list(self.sends):
-                self.finish(send, result)
-                self.add_idle(send.searcher)
+            for attempt in list(self.attempts):
+                self.finish(attempt, result)
+                self.add_idle(attempt.searcher)
--- a/tests/process/test_owner_bookings.py
+++ b/tests/process/test_owner_bookings.py
@@ -13,7 +13,7 @@
 )
 from masticgate.process import OWNER_POLICY
 from masticgate.process._owner import Owner
-from masticgate.process._pools import Pools
+from masticgate.process._pools import ServicePools
 from masticgate.process._reply_router import ReplyRouter
 from masticgate.process._timeline import TimeLine
 from masticgate.process._versions import VersionStore
@@ -29,7 +29,7 @@
         versions = VersionStore(timeline, lambda configuration: None)
         versions.offer_text(SMALL, Revision(1))
         self.hosts = 3
-        self.pools = Pools(OWNER_POLICY, self.clock, timeline, lambda pool, searcher: None)
+        self.pools = ServicePools(OWNER_POLICY, self.clock, timeline, lambda pool, searcher: None)
         self.owner = Owner(self.pools, versions, self.clock, lambda: self.hosts)
         self.replies = []
 
@@ -43,7 +43,7 @@
     def take_send(self):
         """Take the next work as an idle connection would."""
         pool = self.pool()
-        return add_idle_connection(pool, pool.health[SearcherId("oa")]).send
+        return add_idle_connection(pool, pool.health[SearcherId("oa")]).attempt
 
     def outcomes(self):
         return [reply.outcome for reply in self.replies]
@@ -54,10 +54,10 @@
         bench = Bench()
         bench.book()
         bench.book()
-        send = bench.take_send()
-        assert bench.pool().may_send(send, lambda: None)
+        attempt = bench.take_send()
+        assert bench.pool().may_send(attempt, lambda: None)
         bench.book()
-        bench.pool().finish(send, Ran("1"))
+        bench.pool().finish(attempt, Ran("1"))
         bench.book()
         assert bench.outcomes() == [Ran("1")]
         assert bench.take_send() is None
@@ -82,18 +82,18 @@
         bench = Bench()
         bench.owner.cancel(Cancel(QueryId("q1")))
         bench.book()
-        send = bench.take_send()
+        attempt = bench.take_send()
         bench.owner.cancel(Cancel(QueryId("q1")))
         assert bench.outcomes() == []
-        assert bench.pool().may_send(send, lambda: None)
+        assert bench.pool().may_send(attempt, lambda: None)
 
     def test_deadline_is_checked_again_after_a_pause(self):
         bench = Bench()
         bench.book()
-        send = bench.take_send()
+        attempt = bench.take_send()
         bench.clock.advance(Millis(200))
-        assert not bench.pool().may_send(send, lambda: None)
-        bench.pool().abandon(send)
+        assert not bench.pool().may_send(attempt, lambda: None)
+        bench.pool().abandon(attempt)
         (outcome,) = bench.outcomes()
         assert isinstance(outcome, NotRun) and outcome.reason is Reason.DEADLINE
 
--- a/tests/process/test_pool_faults.py
+++ b/tests/process/test_pool_faults.py
@@ -33,12 +33,12 @@
         self.charged = 0
         self.refused = set()
 
-    def count_sends(self, sends):
-        for send in sends:
-            entry = send.entry
+    def count_sends(self, attempts):
+        for attempt in attempts:
+            entry = attempt.entry
             self.sent[entry.work.query] += 1
             free = entry.failure is not None and entry.failure.reason in FREE_RETRY_REASONS
-            if self.sent[entry.work.query] > 1 and (send.hedge or not free):
+            if self.sent[entry.work.query] > 1 and (attempt.hedge or not free):
                 self.charged += 1
 
     @rule(rank=st.sampled_from(list(Rank)), remaining=st.sampled_from([30.0, 200.0, 2000.0]))
@@ -59,18 +59,18 @@
 
     @rule(name=st.sampled_from("ab"))
     def add_idle(self, name):
-        busy = sum(s.searcher == name for s in self.fleet.sends)
+        busy = sum(s.searcher == name for s in self.fleet.attempts)
         idle = sum(s.health.searcher.id == name for s in self.fleet.idle_connections)
         if busy + idle < SHARE and not self.fleet.pool.stopping:
             self.count_sends(self.fleet.add_idle(name))
 
-    @precondition(lambda self: self.fleet.sends)
+    @precondition(lambda self: self.fleet.attempts)
     @rule(data=st.data(), result=st.sampled_from([HITS, DRAINING, SHED, LOST]))
     def finish(self, data, result):
-        send = data.draw(st.sampled_from(self.fleet.sends))
-        if isinstance(send.entry.work, BookingWork) and result is HITS:
+        attempt = data.draw(st.sampled_from(self.fleet.attempts))
+        if isinstance(attempt.entry.work, BookingWork) and result is HITS:
             result = Ran("{}")
-        self.count_sends(self.fleet.finish(send, result))
+        self.count_sends(self.fleet.finish(attempt, result))
 
     @rule(duration=st.sampled_from([5.0, 60.0, 600.0]))
     def advance(self, duration):
@@ -106,7 +106,7 @@
     @invariant()
     def counts_what_is_in_flight(self):
         for name, health in self.fleet.pool.health.items():
-            assert health.in_flight == sum(s.searcher == name for s in self.fleet.sends)
+            assert health.in_flight == sum(s.searcher == name for s in self.fleet.attempts)
             assert 0 <= health.in_flight <= health.connections
 
     @invariant()
@@ -122,7 +122,7 @@
     def loses_no_work(self):
         pool = self.fleet.pool
         for query, entry in pool.entries.items():
-            in_flight = any(s.entry is entry for s in self.fleet.sends)
+            in_flight = any(s.entry is entry for s in self.fleet.attempts)
             pending = any(e is entry for e in pool.pending.entries())
             assert in_flight != pending, query
 
--- a/tests/process/test_rank_queue.py
+++ b/tests/process/test_rank_queue.py
@@ -6,7 +6,7 @@
 from masticgate import Millis, QueryId, Rank, ServiceId, SnapshotVersion
 from masticgate.process._policy import RankOrder
 from masticgate.process._rank_queue import RankQueue
-from masticgate.process._work import Entry, SearchWork
+from masticgate.process._work import QueueEntry, SearchWork
 
 FLOORS = {Rank.STANDARD: 0.15, Rank.BULK: 0.1}
 PATIENCE = Millis(150.0)
@@ -24,7 +24,7 @@
         "",
         lambda result: None,
     )
-    return Entry(work, Millis(queued_at))
+    return QueueEntry(work, Millis(queued_at))
 
 
 def serve(queue, now=0.0):
@@ -63,7 +63,7 @@
             queue = RankQueue(RankOrder(PATIENCE), FLOORS)
             for share in arrivals:
                 queue.add(entry(share, Rank.BULK, share))
-            orders.append([serve(queue, PATIENCE + 1).work.number for _ in shares])
+            orders.append([serve(queue, PATIENCE + 1).work.admission_number for _ in shares])
         assert orders[0] == orders[1] == sorted(shares)
 
     def test_takes_work_that_expired_off_no_floor(self):
--- a/tests/process/test_searcher_choice.py
+++ b/tests/process/test_searcher_choice.py
@@ -26,11 +26,11 @@
             for _ in range(60):
                 fleet.search()
                 fleet.search()
-                given.update(send.searcher for send in fleet.collect())
+                given.update(attempt.searcher for attempt in fleet.collect())
                 fleet.clock.advance(Millis(20.0))
-                for send in list(fleet.sends):
-                    fleet.finish(send, HITS)
-                    fleet.add_idle(send.searcher)
+                for attempt in list(fleet.attempts):
+                    fleet.finish(attempt, HITS)
+                    fleet.add_idle(attempt.searcher)
             shares.append(given["a"] / sum(given.values()))
         assert max(shares) - min(shares) <= 0.1
 
@@ -40,11 +40,11 @@
         health = fleet.pool.health["a"]
         while health.state is not SearcherState.EJECTED:
             self.run(fleet, {"a": LOST, "b": HITS})
-        assert all(send.searcher == "b" for send in self.run(fleet, {"b": HITS}))
+        assert all(attempt.searcher == "b" for attempt in self.run(fleet, {"b": HITS}))
         fleet.clock.advance(Millis(600.0))
         for _ in range(4):
             fleet.search()
-        (probe,) = [send for send in fleet.collect() if send.searcher == "a"]
+        (probe,) = [attempt for attempt in fleet.collect() if attempt.searcher == "a"]
         fleet.finish(probe, HITS)
         assert health.state is SearcherState.WARMING
         assert health.max_in_flight(fleet.clock.now()) == 1
@@ -100,9 +100,9 @@
         ran = []
         fleet.collect()
         fleet.clock.advance(Millis(5.0))
-        while fleet.sends:
-            send = fleet.sends[0]
-            ran.append(send)
-            fleet.finish(send, results[send.searcher])
-            fleet.add_idle(send.searcher)
+        while fleet.attempts:
+            attempt = fleet.attempts[0]
+            ran.append(attempt)
+            fleet.finish(attempt, results[attempt.searcher])
+            fleet.add_idle(attempt.searcher)
         return ran
--- a/tests/process/test_service_pool.py
+++ b/tests/process/test_service_pool.py
@@ -1,8 +1,8 @@
 """One service's queue and its delivery, hedges and limits."""
 
 from masticgate import Millis, Rank, Reason
-from masticgate.process import Send
-from masticgate.process._work import SendState
+from masticgate.process import SearcherAttempt
+from masticgate.process._work import AttemptState
 from tests.process.fake_connections import (
     DRAINING,
     HITS,
@@ -30,8 +30,8 @@
         fleet = FakeConnections("a")
         first, _ = fleet.search()
         waiting, _ = fleet.search()
-        (send,) = fleet.add_idle("a")
-        fleet.finish(send, DRAINING)
+        (attempt,) = fleet.add_idle("a")
+        fleet.finish(attempt, DRAINING)
         assert fleet.results[first] == [DRAINING]
         assert [r.reason for r in fleet.results[waiting]] == [Reason.NO_SEARCHER]
 
@@ -47,28 +47,28 @@
     def test_says_not_run_only_of_what_never_left(self):
         fleet = FakeConnections()
         query, _ = fleet.search()
-        (send,) = fleet.add_idle("a")
-        fleet.finish(send, LOST)
+        (attempt,) = fleet.add_idle("a")
+        fleet.finish(attempt, LOST)
         fleet.pool.stop()
         assert fleet.results[query] == [LOST]
 
     def test_cancels_a_search_without_a_result_and_cuts_its_call(self):
         fleet = FakeConnections()
         query, _ = fleet.search()
-        (send,) = fleet.add_idle("a")
+        (attempt,) = fleet.add_idle("a")
         fleet.pool.cancel(query)
-        fleet.finish(send, LOST)
-        assert fleet.aborted == [send] and fleet.results[query] == []
+        fleet.finish(attempt, LOST)
+        assert fleet.aborted == [attempt] and fleet.results[query] == []
 
     def test_leaves_a_sent_booking_alone_and_never_sends_it_again(self):
         fleet = FakeConnections()
         query, _ = fleet.book("t")
-        (send,) = fleet.add_idle("a")
+        (attempt,) = fleet.add_idle("a")
         fleet.add_idle("b")
         fleet.pool.cancel(query)
         fleet.clock.advance(Millis(500.0))
         assert not fleet.wake() and not fleet.aborted
-        fleet.finish(send, DRAINING)
+        fleet.finish(attempt, DRAINING)
         assert fleet.results[query] == [DRAINING] and not fleet.wake()
 
 
@@ -84,7 +84,7 @@
         assert hedge.hedge and hedge.searcher != first.searcher
         fleet.finish(hedge, HITS)
         assert fleet.results[query] == [HITS]
-        assert first.state is SendState.SUPERSEDED and fleet.aborted == [first]
+        assert first.state is AttemptState.SUPERSEDED and fleet.aborted == [first]
 
     def test_sends_no_hedge_after_the_deadline(self):
         fleet = FakeConnections()
@@ -115,7 +115,7 @@
             fleet.search(Rank.BULK)
             fleet.collect()
         fleet.clock.advance(Millis(200.0))
-        bulk = next(s for s in fleet.sends if s.searcher != first.searcher)
+        bulk = next(s for s in fleet.attempts if s.searcher != first.searcher)
         given = [*fleet.finish(bulk, HITS), *fleet.add_idle(bulk.searcher)]
         assert given[0].entry is first.entry
 
@@ -148,4 +148,4 @@
         fleet = FakeConnections()
         fleet.search()
         taken = fleet.pool.wait_for_work(SEARCHERS["a"])
-        assert isinstance(taken, Send)
+        assert isinstance(taken, SearcherAttempt)
--- a/tests/request/test_booking_faults.py
+++ b/tests/request/test_booking_faults.py
@@ -21,7 +21,7 @@
 )
 from masticgate.process import OWNER_POLICY
 from masticgate.process._owner import Owner
-from masticgate.process._pools import Pools
+from masticgate.process._pools import ServicePools
 from masticgate.process._tickets import TicketTable
 from masticgate.process._timeline import TimeLine
 from masticgate.process._versions import VersionStore
@@ -58,7 +58,9 @@
         timeline = TimeLine(HostId("owner"), runtime.clock)
         versions = VersionStore(timeline, lambda configuration: None)
         versions.offer_text(SMALL, Revision(1))
-        self.pools = Pools(OWNER_POLICY, runtime.clock, timeline, lambda pool, searcher: None)
+        self.pools = ServicePools(
+            OWNER_POLICY, runtime.clock, timeline, lambda pool, searcher: None
+        )
         self.owner = Owner(self.pools, versions, runtime.clock, lambda: 3)
         self.idle_connections = []
 
@@ -75,22 +77,22 @@
     def add_idle(self, plan):
         for pool in self.pools.list_pools():
             self.idle_connections.append(add_idle_connection(pool, pool.health[SearcherId("oa")]))
-            for connection in [c for c in self.idle_connections if c.send is not None]:
+            for connection in [c for c in self.idle_connections if c.attempt is not None]:
                 self.idle_connections.remove(connection)
-                self.serve(pool, connection.send, plan)
+                self.serve(pool, connection.attempt, plan)
 
-    def serve(self, pool, send, plan):
-        if not self.alive or not pool.may_send(send, lambda: None):
-            pool.abandon(send)
+    def serve(self, pool, attempt, plan):
+        if not self.alive or not pool.may_send(attempt, lambda: None):
+            pool.abandon(attempt)
             return
-        work = send.entry.work
+        work = attempt.entry.work
 
         def end():
             if plan["searcher"].startswith("run"):
                 self.searched[work.ticket].append(work.query)
             result = {"run": Ran("1"), "refuse": SHED}.get(plan["searcher"], LOST)
             if self.alive:
-                pool.finish(send, result)
+                pool.finish(attempt, result)
 
         self.runtime.at(plan["service"], end)
 
