--- a/src/masticgate/connection/gateway/_catalogue_codec.py
+++ b/src/masticgate/connection/gateway/_catalogue_codec.py
@@ -16,12 +16,12 @@
 )
 from ...process.gateway._catalogue import (
     Change,
-    Listed,
-    Published,
+    PublishedConfiguration,
     SearcherEntry,
+    SearcherListed,
     SearcherPhase,
-    Unlisted,
-    Unreadable,
+    SearcherUnlisted,
+    UnreadableItem,
 )
 from ...version.gateway import (
     Idempotency,
@@ -44,13 +44,13 @@
 def encode_change(change: Change) -> Any:
     """Return a change as plain JSON values."""
     match change:
-        case Published(table=table):
+        case PublishedConfiguration(table=table):
             return {"table": _encode_table(table)}
-        case Listed(entry=entry):
+        case SearcherListed(entry=entry):
             return {"listed": asdict(entry) | {"phase": entry.phase.value}}
-        case Unlisted(searcher=searcher):
+        case SearcherUnlisted(searcher=searcher):
             return {"unlisted": searcher}
-        case Unreadable(key=key, detail=detail, searcher=searcher):
+        case UnreadableItem(key=key, detail=detail, searcher=searcher):
             return {"unreadable": [key, detail, searcher]}
 
 
@@ -104,13 +104,13 @@
 def _decode_change(item: dict[str, Any]) -> Change:
     match item:
         case {"table": table}:
-            return Published(_decode_table(table))
+            return PublishedConfiguration(_decode_table(table))
         case {"listed": entry}:
-            return Listed(_decode_entry(entry))
+            return SearcherListed(_decode_entry(entry))
         case {"unlisted": searcher}:
-            return Unlisted(SearcherId(searcher))
+            return SearcherUnlisted(SearcherId(searcher))
         case {"unreadable": [key, detail, searcher]}:
-            return Unreadable(key, detail, None if searcher is None else SearcherId(searcher))
+            return UnreadableItem(key, detail, None if searcher is None else SearcherId(searcher))
         case _:
             raise ValueError("an unknown kind of change")
 
--- a/src/masticgate/platform/_configuration.py
+++ b/src/masticgate/platform/_configuration.py
@@ -15,7 +15,10 @@
 )
 from ._fields import Fields
 
-KINDS = {"idempotent": Idempotency.IDEMPOTENT, "non_idempotent": Idempotency.NON_IDEMPOTENT}
+IDEMPOTENCY_KINDS = {
+    "idempotent": Idempotency.IDEMPOTENT,
+    "non_idempotent": Idempotency.NON_IDEMPOTENT,
+}
 DEFAULT_TIMEOUT_MS = 30_000.0
 DEFAULT_OBJECTIVE_MS = 1_000.0
 DEFAULT_RANK = 9
@@ -44,7 +47,7 @@
         id=RouteId(fields.text("name")),
         host=fields.text("hostname"),
         prefix=fields.text("prefix"),
-        kind=KINDS.get(fields.text("type"), Idempotency.NON_IDEMPOTENT),
+        kind=IDEMPOTENCY_KINDS.get(fields.text("type"), Idempotency.NON_IDEMPOTENT),
         target=_decode_target(fields),
         attempts=int(fields.number("maxAttempts", 1.0)),
         timeout=Millis(fields.number("timeoutMs", DEFAULT_TIMEOUT_MS)),
--- a/src/masticgate/platform/_items.py
+++ b/src/masticgate/platform/_items.py
@@ -8,12 +8,12 @@
 from .._ids import Address, FailureDomainId, Millis, SearcherId, ServiceId
 from ..process.gateway import (
     Change,
-    Listed,
-    Published,
+    PublishedConfiguration,
     SearcherEntry,
+    SearcherListed,
     SearcherPhase,
-    Unlisted,
-    Unreadable,
+    SearcherUnlisted,
+    UnreadableItem,
 )
 from ._configuration import decode_configuration
 from ._fields import FieldError, Fields
@@ -25,7 +25,7 @@
 def decode_item(item: Any) -> Change | None:
     """Return what one item or one event of a watch says, ``None`` for keys of no concern."""
     if not isinstance(item, dict) or not isinstance(item.get("key"), str):
-        return Unreadable("", "an item without a key")
+        return UnreadableItem("", "an item without a key")
     key = item["key"]
     if key.startswith(SEARCHERS_PREFIX):
         return _decode_searcher(key, item)
@@ -36,19 +36,19 @@
 
 def _decode_published(key: str, item: dict[str, Any]) -> Change:
     try:
-        return Published(decode_configuration(_decode_value(item)))
+        return PublishedConfiguration(decode_configuration(_decode_value(item)))
     except (FieldError, ValueError) as error:
-        return Unreadable(key, str(error))
+        return UnreadableItem(key, str(error))
 
 
 def _decode_searcher(key: str, item: dict[str, Any]) -> Change:
     searcher = SearcherId(key.removeprefix(SEARCHERS_PREFIX))
     if item.get("removed"):
-        return Unlisted(searcher)
+        return SearcherUnlisted(searcher)
     try:
-        return Listed(_decode_entry(searcher, Fields.of("entry", _decode_value(item))))
+        return SearcherListed(_decode_entry(searcher, Fields.of("entry", _decode_value(item))))
     except (FieldError, ValueError) as error:
-        return Unreadable(key, str(error), searcher)
+        return UnreadableItem(key, str(error), searcher)
 
 
 def _decode_entry(searcher: SearcherId, fields: Fields) -> SearcherEntry:
--- a/src/masticgate/platform/_store.py
+++ b/src/masticgate/platform/_store.py
@@ -6,7 +6,14 @@
 from .._clock import Clock
 from .._ids import Address, Millis, Revision
 from ..connection.gateway import GetTimeouts, HttpClient, InvalidResponse, NoResponse
-from ..process.gateway import Change, Changes, Contents, HistoryGone, Published, Unavailable
+from ..process.gateway import (
+    Change,
+    Changes,
+    Contents,
+    HistoryGone,
+    PublishedConfiguration,
+    Unavailable,
+)
 from ._items import decode_item
 from ._names import ALL_KEYS_PREFIX, CONFIGURATION_KEY
 
@@ -28,13 +35,17 @@
         self.clock = clock
         self.client = HttpClient(address, clock)
 
-    def read_table(self) -> Published | Unavailable:
+    def read_table(self) -> PublishedConfiguration | Unavailable:
         """Read the item that holds the configuration."""
         item = self._get("/v1/kv-key", {"key": CONFIGURATION_KEY}, READ_TIMEOUT)
         if isinstance(item, int | Unavailable):
             return _unavailable(item)
         change = decode_item(item)
-        return change if isinstance(change, Published) else Unavailable("no configuration")
+        return (
+            change
+            if isinstance(change, PublishedConfiguration)
+            else Unavailable("no configuration")
+        )
 
     def read(self) -> Contents | Unavailable:
         """Read every item, page by page.
--- a/src/masticgate/process/gateway/_catalogue.py
+++ b/src/masticgate/process/gateway/_catalogue.py
@@ -37,28 +37,28 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Published:
+class PublishedConfiguration:
     """A whole configuration."""
 
     table: RouteTable
 
 
 @dataclass(frozen=True, slots=True)
-class Listed:
+class SearcherListed:
     """A searcher's listing as it is now."""
 
     entry: SearcherEntry
 
 
 @dataclass(frozen=True, slots=True)
-class Unlisted:
+class SearcherUnlisted:
     """A searcher's listing was removed."""
 
     searcher: SearcherId
 
 
 @dataclass(frozen=True, slots=True)
-class Unreadable:
+class UnreadableItem:
     """An item that names nothing usable; ``searcher`` is set where it stood for one."""
 
     key: str
@@ -66,7 +66,7 @@
     searcher: SearcherId | None = None
 
 
-Change = Published | Listed | Unlisted | Unreadable
+Change = PublishedConfiguration | SearcherListed | SearcherUnlisted | UnreadableItem
 
 
 @dataclass(frozen=True, slots=True)
@@ -97,7 +97,7 @@
     detail: str
 
 
-class Source(Protocol):
+class CatalogueSource(Protocol):
     """Reads what the platform publishes."""
 
     def read(self) -> Contents | Unavailable:
@@ -109,9 +109,9 @@
         ...
 
 
-class PlatformSource(Source, Protocol):
+class PlatformSource(CatalogueSource, Protocol):
     """Reads the platform itself."""
 
-    def read_table(self) -> Published | Unavailable:
+    def read_table(self) -> PublishedConfiguration | Unavailable:
         """Read the configuration alone."""
         ...
--- a/src/masticgate/process/gateway/_fleet.py
+++ b/src/masticgate/process/gateway/_fleet.py
@@ -51,12 +51,12 @@
 LAST_RESORT_SHARE = 0.5
 """The part of the drain time for which a searcher that leaves is a last resort."""
 
-MAX_DRAINED = 2_000
+MAX_DRAINED_SEARCHERS = 2_000
 """Searchers remembered as drained; days of ordinary releases."""
 
 
 @dataclass(slots=True)
-class FleetSending:
+class DispatchedCall:
     """A call on its way through one connection."""
 
     call: Call
@@ -91,7 +91,7 @@
         self.replicas: dict[SearcherId, Replica] = {}
         self.tasks: dict[SearcherTask, Replica] = {}
         self.connection_numbers = count(1)
-        self.drained: dict[SearcherId, int] = {}
+        self.drained_start_times: dict[SearcherId, int] = {}
         self.accepted_connections: dict[ServiceId, int] = {}
         self.shard_services: set[ServiceId] = set()
         self.shares = GatewayShares(1, 1, False)
@@ -110,7 +110,7 @@
         """Return the gateway's clock."""
         return self.clock.now()
 
-    def send(self, call: Call, tried: set[SearcherId]) -> FleetSending | NotRun:
+    def send(self, call: Call, tried: set[SearcherId]) -> DispatchedCall | NotRun:
         """Send ``call`` to the best searcher of its service that is not in ``tried``.
 
         Where all others are ejected, a request that failed at one is sent to one of them.
@@ -135,7 +135,7 @@
         else:
             with self.lock:
                 self.budgets.record_request(call.service, self.clock.now())
-        return FleetSending(call, replica.entry.id, task)
+        return DispatchedCall(call, replica.entry.id, task)
 
     def hedge_delay(self, route: Route) -> Millis:
         """Return the age at which a send on ``route`` is repeated elsewhere."""
@@ -256,7 +256,7 @@
             self._update(known, entry, now)
 
     def remove_searcher(
-        self, searcher: SearcherId, why: str, last_resort: Millis | None = None
+        self, searcher: SearcherId, why: str, usable_time: Millis | None = None
     ) -> None:
         """Stop using a searcher whose listing is gone.
 
@@ -265,7 +265,7 @@
         with self.lock:
             replica = self.replicas.get(searcher)
             if replica is not None:
-                self._start_leaving(replica, why, last_resort)
+                self._start_leaving(replica, why, usable_time)
 
     def find_unlisted(self, listed: set[SearcherId]) -> set[SearcherId]:
         """Return the searchers that are in use but not ``listed``."""
@@ -345,7 +345,7 @@
             )
             if now - task.idle_since < kept - IDLE_TIMEOUT_MARGIN:
                 continue
-            recent = now - replica.last_used_at < RENEWAL_WINDOW or self._is_warm(
+            recent = now - replica.last_used_at < RENEWAL_WINDOW or self._is_kept_warm(
                 replica.entry.service
             )
             if recent and replica.state is ReplicaState.ACTIVE and replica.connection_count <= 2:
@@ -405,14 +405,17 @@
             return DEFAULT_CONNECTIONS
         return self.shares.max_connections(accepted, shard=service in self.shard_services)
 
-    def _is_warm(self, service: ServiceId) -> bool:
+    def _is_kept_warm(self, service: ServiceId) -> bool:
         return self.shares.keeps_warm and service in self.shard_services
 
     def _is_outdated(self, known: Replica | None, entry: SearcherEntry) -> bool:
         """Tell whether a listing is of an earlier start, or of one that has begun to leave."""
         if known is not None and entry.born < known.entry.born:
             return True
-        if entry.id in self.drained and entry.born <= self.drained[entry.id]:
+        if (
+            entry.id in self.drained_start_times
+            and entry.born <= self.drained_start_times[entry.id]
+        ):
             return known is None
         return known is None and entry.phase is SearcherPhase.DRAINING
 
@@ -444,9 +447,9 @@
             replica.restore()
 
     def _record_drained(self, entry: SearcherEntry) -> None:
-        self.drained[entry.id] = entry.born
-        while len(self.drained) > MAX_DRAINED:
-            del self.drained[next(iter(self.drained))]
+        self.drained_start_times[entry.id] = entry.born
+        while len(self.drained_start_times) > MAX_DRAINED_SEARCHERS:
+            del self.drained_start_times[next(iter(self.drained_start_times))]
 
     def _start_leaving(self, replica: Replica, why: str, usable_time: Millis | None = None) -> None:
         if replica.state in (ReplicaState.LEAVING, ReplicaState.GONE):
--- a/src/masticgate/process/gateway/_follower.py
+++ b/src/masticgate/process/gateway/_follower.py
@@ -7,16 +7,16 @@
 from ...version.gateway import RouteTable
 from .._backoff import Backoff
 from ._catalogue import (
+    CatalogueSource,
     Change,
     Changes,
     Contents,
     HistoryGone,
-    Listed,
-    Published,
-    Source,
+    PublishedConfiguration,
+    SearcherListed,
+    SearcherUnlisted,
     Unavailable,
-    Unlisted,
-    Unreadable,
+    UnreadableItem,
 )
 from ._fleet import Fleet
 from ._log import EventLog, LogEvent
@@ -46,7 +46,7 @@
     """Keeps the route table and the fleet up to date; :meth:`run` is its task."""
 
     def __init__(
-        self, source: Source, fleet: Fleet, clock: Clock, log: EventLog, metrics: Metrics
+        self, source: CatalogueSource, fleet: Fleet, clock: Clock, log: EventLog, metrics: Metrics
     ) -> None:
         self.source = source
         self.fleet = fleet
@@ -56,23 +56,23 @@
         self.backoff = Backoff(INITIAL_RETRY_DELAY, MAX_RETRY_DELAY)
         self.table: RouteTable | None = None
         self.catalogue = CatalogueLog(self.age)
-        self.recent: tuple[RouteTable, ...] = ()
+        self.recent_tables: tuple[RouteTable, ...] = ()
         self.stopping = Event()
-        self.lost_at: Millis | None = None
-        self.heard_at = clock.now()
-        self.returned_at: Millis | None = None
-        self.held: set[SearcherId] = set()
+        self.unavailable_since: Millis | None = None
+        self.last_contact_at = clock.now()
+        self.recovered_at: Millis | None = None
+        self.held_searchers: set[SearcherId] = set()
 
     def run(self) -> None:
         """Read everything, then follow the changes, until :meth:`stop`."""
         while not self.stopping.is_set():
             match self.source.read():
                 case Contents() as contents:
-                    self._note_heard()
+                    self._record_contact()
                     self._apply_all(contents)
                     self._follow(contents.revision)
                 case Unavailable(detail=detail):
-                    self._note_lost(detail)
+                    self._handle_unavailable(detail)
 
     def stop(self) -> None:
         """End after the call in progress."""
@@ -80,47 +80,50 @@
 
     def find_table(self, version: ConfigurationVersion) -> RouteTable | None:
         """Return the configuration of that version, while it is recent."""
-        return next((table for table in self.recent if table.version == version), None)
+        return next((table for table in self.recent_tables if table.version == version), None)
 
     def age(self) -> Millis:
         """Return the time since the platform was heard last."""
-        return Millis(self.clock.now() - self.heard_at)
+        return Millis(self.clock.now() - self.last_contact_at)
 
     def _follow(self, after: Revision) -> None:
         while not self.stopping.is_set():
             match self.source.watch(after, self._watch_wait()):
                 case Changes(changes=changes, revision=revision):
-                    self._note_heard()
+                    self._record_contact()
                     after = max(after, revision)
                     for change in changes:
                         self._apply(change)
-                    self._release_held()
+                    self._remove_held()
                     if changes:
                         self.stopping.wait(BATCH_INTERVAL / MILLIS_PER_SECOND)
                 case HistoryGone():
                     self.log.write(LogEvent.PLATFORM_REREAD, revision=after)
                     return
                 case Unavailable(detail=detail):
-                    self._note_lost(detail)
+                    self._handle_unavailable(detail)
 
     def _watch_wait(self) -> Millis:
-        if self.returned_at is None:
+        if self.recovered_at is None:
             return WATCH_TIMEOUT
-        left = self.returned_at + RELIST_TIMEOUT - self.clock.now()
+        left = self.recovered_at + RELIST_TIMEOUT - self.clock.now()
         return Millis(min(WATCH_TIMEOUT, max(50.0, left)))
 
-    def _note_heard(self) -> None:
-        self.heard_at = self.clock.now()
+    def _record_contact(self) -> None:
+        self.last_contact_at = self.clock.now()
         self.backoff.reset()
-        if self.lost_at is not None:
-            self.log.write(LogEvent.PLATFORM_BACK, after_ms=round(self.heard_at - self.lost_at))
-            self.lost_at = None
-            self.returned_at = self.heard_at
+        if self.unavailable_since is not None:
+            self.log.write(
+                LogEvent.PLATFORM_BACK,
+                after_ms=round(self.last_contact_at - self.unavailable_since),
+            )
+            self.unavailable_since = None
+            self.recovered_at = self.last_contact_at
 
-    def _note_lost(self, detail: str) -> None:
+    def _handle_unavailable(self, detail: str) -> None:
         self.metrics.count("platform_failures")
-        if self.lost_at is None:
-            self.lost_at = self.clock.now()
+        if self.unavailable_since is None:
+            self.unavailable_since = self.clock.now()
             version = self.table.version if self.table is not None else 0
             self.log.write(
                 LogEvent.PLATFORM_LOST, detail=detail, version=version, age_ms=round(self.age())
@@ -134,28 +137,28 @@
         listed = set()
         for change in contents.changes:
             self._apply(change)
-            if isinstance(change, Listed):
+            if isinstance(change, SearcherListed):
                 listed.add(change.entry.id)
         for searcher in self.fleet.find_unlisted(listed):
-            self._unlist(searcher, "not in the list")
+            self._handle_unlisted(searcher, "not in the list")
 
     def _apply(self, change: Change) -> None:
         match change:
-            case Published(table=table):
-                self._publish(table)
-            case Listed(entry=entry):
+            case PublishedConfiguration(table=table):
+                self._apply_table(table)
+            case SearcherListed(entry=entry):
                 self.catalogue.add(change)
-                self.held.discard(entry.id)
+                self.held_searchers.discard(entry.id)
                 self.fleet.apply_listing(entry)
-            case Unlisted(searcher=searcher):
-                self._unlist(searcher, "unlisted")
-            case Unreadable(key=key, detail=detail, searcher=searcher):
+            case SearcherUnlisted(searcher=searcher):
+                self._handle_unlisted(searcher, "unlisted")
+            case UnreadableItem(key=key, detail=detail, searcher=searcher):
                 self.catalogue.add(change)
                 self.log.write(LogEvent.UNREADABLE, key=key, detail=detail)
                 if searcher is not None:
                     self.fleet.remove_searcher(searcher, "unreadable")
 
-    def _publish(self, table: RouteTable) -> None:
+    def _apply_table(self, table: RouteTable) -> None:
         known = self.table
         if known is not None and table.version <= known.version:
             if table.version < known.version:
@@ -163,8 +166,8 @@
                     LogEvent.CONFIGURATION_IGNORED, version=table.version, newer=known.version
                 )
             return
-        self.catalogue.add(Published(table))
-        self.recent = (table, *self.recent)[:MAX_RECENT_TABLES]
+        self.catalogue.add(PublishedConfiguration(table))
+        self.recent_tables = (table, *self.recent_tables)[:MAX_RECENT_TABLES]
         self.table = table
         self.fleet.apply_table(table)
         self.log.write(
@@ -175,27 +178,27 @@
             services=len(table.services),
         )
 
-    def _unlist(self, searcher: SearcherId, why: str) -> None:
+    def _handle_unlisted(self, searcher: SearcherId, why: str) -> None:
         """Stop using a searcher, unless its listing may only have lapsed with the platform."""
-        if self._just_returned():
-            self.held.add(searcher)
+        if self._has_just_recovered():
+            self.held_searchers.add(searcher)
             self.log.write(LogEvent.SEARCHER_HELD, searcher=searcher, why=why)
         else:
-            self.catalogue.add(Unlisted(searcher))
+            self.catalogue.add(SearcherUnlisted(searcher))
             self.fleet.remove_searcher(searcher, why)
 
-    def _just_returned(self) -> bool:
-        if self.lost_at is not None:
+    def _has_just_recovered(self) -> bool:
+        if self.unavailable_since is not None:
             return True
-        if self.returned_at is None:
+        if self.recovered_at is None:
             return False
-        return self.clock.now() - self.returned_at < RELIST_TIMEOUT
+        return self.clock.now() - self.recovered_at < RELIST_TIMEOUT
 
-    def _release_held(self) -> None:
-        if self._just_returned():
+    def _remove_held(self) -> None:
+        if self._has_just_recovered():
             return
-        self.returned_at = None
-        for searcher in self.held:
-            self.catalogue.add(Unlisted(searcher))
+        self.recovered_at = None
+        for searcher in self.held_searchers:
+            self.catalogue.add(SearcherUnlisted(searcher))
             self.fleet.remove_searcher(searcher, "not back in the list", Millis(0.0))
-        self.held.clear()
+        self.held_searchers.clear()
--- a/src/masticgate/process/gateway/_gateway.py
+++ b/src/masticgate/process/gateway/_gateway.py
@@ -10,14 +10,14 @@
 from ...connection.gateway._caller import CallerState
 from ...request.gateway import Inbox, LocalPage, Reply, Request
 from ...version.gateway import Limits, RouteTable
-from ._catalogue import PlatformSource, Source
+from ._catalogue import CatalogueSource, PlatformSource
 from ._fleet import Fleet
 from ._follower import Follower
 from ._log import EventLog, LogEvent
 from ._metrics import Metrics
 from ._peers import Peers
 from ._relay import MAX_PLATFORM_AGE, RelayedSource
-from ._service import Beliefs, GatewayService
+from ._service import GatewayService, GatewayView
 from ._settings import GatewaySettings
 from ._task_pool import TaskPool
 
@@ -25,7 +25,7 @@
 """Connections of callers at one time; each is a task and three descriptors."""
 
 MAX_PAGE_CALLERS = 32
-PEER_HEAD_START = Millis(6.0)
+PEER_TRANSIT_TIME = Millis(6.0)
 """What a query handed to this gateway takes on its way here and back beside the gathering."""
 
 MAX_TASKS = 4_000
@@ -56,8 +56,8 @@
         self.metrics = Metrics()
         self.pool = TaskPool(MAX_TASKS, self.log, self.metrics)
         self.fleet = Fleet(settings, header_names, self.clock, self.pool, self.log, self.metrics)
-        followed = self._follow_relays(source) if not settings.is_seed else source
-        self.follower = Follower(followed, self.fleet, self.clock, self.log, self.metrics)
+        catalogue_source = self._make_relayed_source(source) if not settings.is_seed else source
+        self.follower = Follower(catalogue_source, self.fleet, self.clock, self.log, self.metrics)
         self.stopping = Event()
         self.peers = Peers(
             settings,
@@ -66,11 +66,11 @@
             self.log,
             self._table,
             self._is_ready,
-            self._hears_platform,
+            self._is_platform_reachable,
         )
         self.service = GatewayService(
             self.fleet,
-            self._beliefs,
+            self._view,
             self.log,
             self.metrics,
             self.peers,
@@ -81,7 +81,7 @@
         self.was_ready = False
         self.readiness = self._listen(settings.readiness, header_names, self._ready_page)
         self.callers = self._listen(
-            settings.callers, header_names, self.service.handle, most=MAX_CALLERS
+            settings.callers, header_names, self.service.handle, max_connections=MAX_CALLERS
         )
         self.listeners = [self.readiness, self.callers]
         if settings.peers is not None:
@@ -113,14 +113,14 @@
         self._wait_until(Millis(began + grace * ACCEPT_GRACE_SHARE))
         self.callers.stop()
         self.callers.close_idle()
-        self._finish(Millis(began + grace * FINISH_GRACE_SHARE))
+        self._wait_for_requests(Millis(began + grace * FINISH_GRACE_SHARE))
         cut = self.callers.count(CallerState.SERVING)
         self.log.write(LogEvent.STOPPED, cut=cut, took_ms=round(self.clock.now() - began))
         self.log.stop()
         self._wait_until(Millis(self.clock.now() + 100.0))
         os._exit(0)
 
-    def _finish(self, deadline: Millis) -> None:
+    def _wait_for_requests(self, deadline: Millis) -> None:
         """Wait for the requests in progress; connections without one end meanwhile."""
         while self.clock.now() < deadline:
             if not self.callers.count(CallerState.READING, CallerState.SERVING):
@@ -136,12 +136,12 @@
         address: Address,
         header_names: HeaderNames,
         handler: Handler,
-        most: int = MAX_PAGE_CALLERS,
+        max_connections: int = MAX_PAGE_CALLERS,
     ) -> Listener:
         settings = CallerSettings(
             handler, header_names, self.clock, self._limits, self.stopping.is_set
         )
-        return Listener(address, settings, self.pool, most)
+        return Listener(address, settings, self.pool, max_connections)
 
     def _listen_to_peers(self, address: Address, header_names: HeaderNames) -> Listener:
         settings = CallerSettings(
@@ -151,26 +151,26 @@
             Limits,
             self.stopping.is_set,
             between_gateways=True,
-            transit_time=PEER_HEAD_START,
+            transit_time=PEER_TRANSIT_TIME,
         )
         return Listener(address, settings, self.pool, MAX_CALLERS)
 
-    def _follow_relays(self, platform: PlatformSource) -> Source:
+    def _make_relayed_source(self, platform: PlatformSource) -> CatalogueSource:
         wait = Event().wait
-        return RelayedSource(platform, lambda: self.peers.relays(), self.clock, self.log, wait)
+        return RelayedSource(platform, lambda: self.peers.find_relays(), self.clock, self.log, wait)
 
     def _table(self) -> RouteTable | None:
         return self.follower.table
 
-    def _hears_platform(self) -> bool:
+    def _is_platform_reachable(self) -> bool:
         return self.follower.age() <= MAX_PLATFORM_AGE
 
     def _limits(self) -> Limits:
         table = self.follower.table
         return table.limits if table is not None else Limits()
 
-    def _beliefs(self) -> Beliefs:
-        return Beliefs(self.follower.table, self.follower.age())
+    def _view(self) -> GatewayView:
+        return GatewayView(self.follower.table, self.follower.age())
 
     def _is_ready(self) -> bool:
         return self.follower.table is not None and not self.stopping.is_set()
@@ -189,7 +189,7 @@
             if now - last > PAUSE_THRESHOLD:
                 self.log.write(LogEvent.PAUSED, for_ms=round(now - last))
             last = now
-            self.peers.decide()
+            self.peers.update_gathering()
             self.fleet.sweep()
             if self._is_ready() != self.was_ready:
                 self.was_ready = self._is_ready()
--- a/src/masticgate/process/gateway/_log.py
+++ b/src/masticgate/process/gateway/_log.py
@@ -21,7 +21,7 @@
 """Lines of one kind a second; a host on a busy day writes a tenth of it."""
 
 BATCH_INTERVAL_S = 0.2
-WINDOW = Millis(MILLIS_PER_SECOND)
+RATE_WINDOW = Millis(MILLIS_PER_SECOND)
 
 
 class LogEvent(Enum):
@@ -68,7 +68,7 @@
         self.descriptor = descriptor
         self.ready = Condition()
         self.queue: deque[str] = deque()
-        self.window_began = clock.now()
+        self.window_started_at = clock.now()
         self.written: Counter[LogEvent] = Counter()
         self.dropped: Counter[LogEvent] = Counter()
         self.stopping = False
@@ -76,13 +76,13 @@
     def write(self, event: LogEvent, **fields: Any) -> None:
         """Queue one line; never blocks on the output."""
         with self.ready:
-            self._turn_window()
+            self._roll_window()
             self.written[event] += 1
             full = len(self.queue) >= MAX_QUEUED_LINES
             if full or self.written[event] > MAX_LINES_PER_SECOND:
                 self.dropped[event] += 1
                 return
-            self.queue.append(self._line(event, fields))
+            self.queue.append(self._format_line(event, fields))
 
     def run(self) -> None:
         """Write queued lines until :meth:`stop`."""
@@ -93,7 +93,7 @@
                 lines = list(self.queue)
                 self.queue.clear()
                 ended = self.stopping
-            self._output(lines)
+            self._write_lines(lines)
             if ended:
                 return
 
@@ -108,22 +108,22 @@
             self.stopping = True
             self.ready.notify()
 
-    def _line(self, event: LogEvent, fields: dict[str, Any]) -> str:
+    def _format_line(self, event: LogEvent, fields: dict[str, Any]) -> str:
         head = {"wall_ms": round(self.clock.wall()), "host": self.host, "event": event.value}
         return json.dumps(head | fields, separators=(",", ":"), default=str)
 
-    def _turn_window(self) -> None:
+    def _roll_window(self) -> None:
         now = self.clock.now()
-        if now - self.window_began < WINDOW:
+        if now - self.window_started_at < RATE_WINDOW:
             return
         if self.dropped:
             counts = {event.value: count for event, count in self.dropped.items()}
-            self.queue.append(self._line(LogEvent.DROPPED, counts))
-        self.window_began = now
+            self.queue.append(self._format_line(LogEvent.DROPPED, counts))
+        self.window_started_at = now
         self.written.clear()
         self.dropped.clear()
 
-    def _output(self, lines: list[str]) -> None:
+    def _write_lines(self, lines: list[str]) -> None:
         data = "".join(f"{line}\n" for line in lines).encode()
         while data:
             try:
--- a/src/masticgate/process/gateway/_metrics.py
+++ b/src/masticgate/process/gateway/_metrics.py
@@ -44,7 +44,7 @@
         with self.lock:
             self.gauges[name] = value
 
-    def observe(self, kind: str, outcome: str, latency: Millis) -> None:
+    def record_request(self, kind: str, outcome: str, latency: Millis) -> None:
         """Count a request of ``kind`` that ended with ``outcome`` after ``latency``."""
         with self.lock:
             self.histograms.setdefault((kind, outcome), Histogram()).add(latency)
--- a/src/masticgate/process/gateway/_network_times.py
+++ b/src/masticgate/process/gateway/_network_times.py
@@ -17,21 +17,25 @@
 
 
 @dataclass(slots=True)
-class LongestPatience:
+class LongestTimeouts:
     """The longest patience seen on one route, over any connection and over fresh ones."""
 
-    any: Millis = Millis(0.0)
-    fresh: Millis = Millis(0.0)
+    any_connection: Millis = Millis(0.0)
+    new_connection: Millis = Millis(0.0)
 
-    def note(self, patience: Millis, *, fresh: bool) -> None:
+    def record(self, caller_timeout: Millis, *, on_new_connection: bool) -> None:
         """Take the patience of one request."""
-        self.any = max(self.any, patience)
-        if fresh:
-            self.fresh = max(self.fresh, patience)
+        self.any_connection = max(self.any_connection, caller_timeout)
+        if on_new_connection:
+            self.new_connection = max(self.new_connection, caller_timeout)
 
     def round_trip(self) -> Millis | None:
         """Return what opening a connection took of a caller's patience, where that was seen."""
-        return Millis(self.any - self.fresh) if 0.0 < self.fresh < self.any else None
+        return (
+            Millis(self.any_connection - self.new_connection)
+            if 0.0 < self.new_connection < self.any_connection
+            else None
+        )
 
 
 class NetworkTimes:
@@ -39,20 +43,22 @@
 
     def __init__(self) -> None:
         self.lock = Lock()
-        self.trip = INITIAL_ROUND_TRIP
+        self.round_trip_time = INITIAL_ROUND_TRIP
         self.version = ConfigurationVersion(0)
-        self.routes: dict[RouteId, LongestPatience] = {}
+        self.routes: dict[RouteId, LongestTimeouts] = {}
 
     def estimate(self, route: RouteId, request: Request) -> Millis:
         """Return what opening the connection took, if it did, and the way there and back."""
         with self.lock:
             if request.caller_timeout is not None:
-                longest = self.routes.setdefault(route, LongestPatience())
-                longest.note(request.caller_timeout, fresh=request.is_first_on_connection)
-                self.trip = longest.round_trip() or self.trip
-            return Millis(self.trip * (2.0 if request.is_first_on_connection else 1.0))
+                longest = self.routes.setdefault(route, LongestTimeouts())
+                longest.record(
+                    request.caller_timeout, on_new_connection=request.is_first_on_connection
+                )
+                self.round_trip_time = longest.round_trip() or self.round_trip_time
+            return Millis(self.round_trip_time * (2.0 if request.is_first_on_connection else 1.0))
 
-    def follow(self, table: RouteTable) -> None:
+    def apply_table(self, table: RouteTable) -> None:
         """Forget the routes that a newer configuration dropped."""
         with self.lock:
             if table.version <= self.version:
--- a/src/masticgate/process/gateway/_peers.py
+++ b/src/masticgate/process/gateway/_peers.py
@@ -91,7 +91,7 @@
         log: EventLog,
         table: Callable[[], RouteTable | None],
         ready: Callable[[], bool],
-        hears_platform: Callable[[], bool],
+        is_platform_reachable: Callable[[], bool],
     ) -> None:
         self.settings = settings
         self.fleet = fleet
@@ -99,11 +99,11 @@
         self.log = log
         self.table = table
         self.ready = ready
-        self.hears_platform = hears_platform
+        self.is_platform_reachable = is_platform_reachable
         self.lock = Lock()
         self.started_at = clock.now()
-        self.heard: dict[HostId, Millis] = {}
-        self.found: dict[Address, FailureDomainId] = {}
+        self.last_heartbeats: dict[HostId, Millis] = {}
+        self.relay_domains: dict[Address, FailureDomainId] = {}
         self.members = 1
         self.gathering: Gathering = GatherHere()
 
@@ -111,29 +111,29 @@
         """Start one task for each seed but this one."""
         for seed in self.settings.seeds:
             if seed != self.settings.peers:
-                Thread(target=self._follow, args=(seed,), daemon=True).start()
+                Thread(target=self._run_heartbeats, args=(seed,), daemon=True).start()
 
-    def answer_heartbeat(self, request: Request) -> LocalPage:
+    def handle_heartbeat(self, request: Request) -> LocalPage:
         """Count a heartbeat, and say how many gateways there are."""
         query = parse_qs(request.target.partition(b"?")[2].decode("latin-1"))
         host = HostId(query.get("host", [""])[0])
         now = self.clock.now()
         with self.lock:
-            self.heard[host] = now
-            old = [known for known, at in self.heard.items() if now - at > MEMBER_TTL]
+            self.last_heartbeats[host] = now
+            old = [known for known, at in self.last_heartbeats.items() if now - at > MEMBER_TTL]
             for known in old:
-                del self.heard[known]
-            members = 1 + len(self.heard)
+                del self.last_heartbeats[known]
+            members = 1 + len(self.last_heartbeats)
         reply = {
             "host": self.settings.host,
             "domain": self.settings.domain,
             "ready": self.ready(),
-            "relays": self.ready() and self.hears_platform(),
+            "relays": self.ready() and self.is_platform_reachable(),
             "members": members,
         }
         return LocalPage(200, json.dumps(reply).encode())
 
-    def relays(self) -> list[Address]:
+    def find_relays(self) -> list[Address]:
         """Return the seeds to follow the platform by, those of the own domain first.
 
         With few gateways each reads the platform itself, which is fresher by one hop.
@@ -141,18 +141,18 @@
         with self.lock:
             if self.settings.is_seed or self.members < MIN_MEMBERS_TO_RELAY:
                 return []
-            found = dict(self.found)
+            relay_domains = dict(self.relay_domains)
         own = self.settings.domain
-        return sorted(found, key=lambda seed: (found[seed] != own, seed))
+        return sorted(relay_domains, key=lambda seed: (relay_domains[seed] != own, seed))
 
-    def decide(self) -> None:
+    def update_gathering(self) -> None:
         """Decide who gathers, from what is known now; due regularly."""
         table = self.table()
         if table is None:
             return
         with self.lock:
             if self.settings.is_seed:
-                self.members = 1 + len(self.heard)
+                self.members = 1 + len(self.last_heartbeats)
             members = self.members
         shards = table.shard_services()
         accepted = [table.services[name].connections for name in shards if name in table.services]
@@ -168,17 +168,17 @@
                 connections=connections,
             )
         gatherers = len(self.settings.seeds) if isinstance(alone, GatherAtPeers) else members
-        warm = self._knows_members() and isinstance(chosen, GatherHere)
+        warm = self._knows_member_count() and isinstance(chosen, GatherHere)
         self.fleet.apply_shares(GatewayShares(members, max(1, gatherers), warm))
 
-    def _knows_members(self) -> bool:
+    def _knows_member_count(self) -> bool:
         """Tell whether the number of gateways is known, or no seed is going to tell it."""
         age = self.clock.now() - self.started_at
         return (
             age > WARM_UP_DELAY and (self.settings.is_seed or self.members > 1)
         ) or age > 2 * WARM_UP_DELAY
 
-    def _follow(self, seed: Address) -> None:
+    def _run_heartbeats(self, seed: Address) -> None:
         """Send heartbeats to one seed until the process ends."""
         client = HttpClient(seed, self.clock)
         peer = SearcherId(f"{PEER_SERVICE}/{seed}")
@@ -189,13 +189,13 @@
             wait = (
                 HEARTBEAT_INTERVAL if misses < MAX_MISSED_HEARTBEATS else HEARTBEAT_RETRY_INTERVAL
             )
-            reply = self._beat(client)
+            reply = self._exchange_heartbeat(client)
             if reply is not None and reply.get("ready") is True:
                 if misses >= MAX_MISSED_HEARTBEATS:
                     self.log.write(LogEvent.GATHERER_FOUND, peer=seed)
                 misses = 0
-                self._note_found(seed, reply)
-                self.fleet.apply_listing(_entry(peer, seed, reply))
+                self._record_reply(seed, reply)
+                self.fleet.apply_listing(_gatherer_entry(peer, seed, reply))
                 continue
             misses += 1
             if misses == MAX_MISSED_HEARTBEATS or (
@@ -204,10 +204,10 @@
                 misses = MAX_MISSED_HEARTBEATS
                 self.log.write(LogEvent.GATHERER_LOST, peer=seed, answered=reply is not None)
                 with self.lock:
-                    self.found.pop(seed, None)
+                    self.relay_domains.pop(seed, None)
                 self.fleet.remove_searcher(peer, "no heartbeat")
 
-    def _beat(self, client: HttpClient) -> dict[str, object] | None:
+    def _exchange_heartbeat(self, client: HttpClient) -> dict[str, object] | None:
         """Exchange one heartbeat; return ``None`` where no answer came."""
         query = {"host": self.settings.host}
         response = client.get(HEARTBEAT_HOST, "/", query, HEARTBEAT_TIMEOUTS)
@@ -220,18 +220,18 @@
             return None
         return reply if isinstance(reply, dict) else None
 
-    def _note_found(self, seed: Address, reply: dict[str, object]) -> None:
+    def _record_reply(self, seed: Address, reply: dict[str, object]) -> None:
         members = reply.get("members")
         with self.lock:
             if reply.get("relays") is True:
-                self.found[seed] = FailureDomainId(str(reply.get("domain")))
+                self.relay_domains[seed] = FailureDomainId(str(reply.get("domain")))
             else:
-                self.found.pop(seed, None)
+                self.relay_domains.pop(seed, None)
             if isinstance(members, int) and members > 0:
                 self.members = members
 
 
-def _entry(peer: SearcherId, seed: Address, reply: dict[str, object]) -> SearcherEntry:
+def _gatherer_entry(peer: SearcherId, seed: Address, reply: dict[str, object]) -> SearcherEntry:
     """Return a gatherer in the form in which the fleet holds searchers."""
     domain = FailureDomainId(str(reply.get("domain")))
     ready = SearcherPhase.READY
--- a/src/masticgate/process/gateway/_relay.py
+++ b/src/masticgate/process/gateway/_relay.py
@@ -25,12 +25,12 @@
     Changes,
     Contents,
     HistoryGone,
-    Listed,
     PlatformSource,
-    Published,
+    PublishedConfiguration,
+    SearcherListed,
+    SearcherUnlisted,
     Unavailable,
-    Unlisted,
-    Unreadable,
+    UnreadableItem,
 )
 from ._log import EventLog, LogEvent
 
@@ -75,11 +75,11 @@
         value = encode_change(change)
         with self.changed:
             match change:
-                case Published():
+                case PublishedConfiguration():
                     self.state["table"] = value
-                case Listed(entry=entry):
+                case SearcherListed(entry=entry):
                     self.state[f"searcher {entry.id}"] = value
-                case Unlisted(searcher=searcher) | Unreadable(searcher=searcher):
+                case SearcherUnlisted(searcher=searcher) | UnreadableItem(searcher=searcher):
                     self.state.pop(f"searcher {searcher}", None)
             self.number += 1
             self.changes.append((self.number, value))
@@ -141,14 +141,14 @@
         self.wait = wait
         self.client: HttpClient | None = None
         self.epoch = ""
-        self.started = False
-        self.retry_at = Millis(0.0)
+        self.startup_wait_over = False
+        self.relay_retry_at = Millis(0.0)
 
     def read(self) -> Contents | Unavailable:
         """Read everything from the first relay that answers, or from the platform."""
         self._wait_for_relays()
         for address in self.relays():
-            self._leave()
+            self._close_client()
             self.client = HttpClient(address, self.clock)
             reply = self._get({}, READ_TIMEOUT)
             if isinstance(reply, CatalogueUpdate):
@@ -156,14 +156,14 @@
                 return Contents(reply.changes, reply.number)
         if self.client is not None:
             self.log.write(LogEvent.SOURCE, relay=None)
-        self._leave()
-        self.retry_at = Millis(self.clock.now() + RELAY_RETRY_INTERVAL)
+        self._close_client()
+        self.relay_retry_at = Millis(self.clock.now() + RELAY_RETRY_INTERVAL)
         return self.platform.read()
 
     def watch(self, after: Revision, wait: Millis) -> Changes | HistoryGone | Unavailable:
         """Wait for changes; a relay that fails or is no longer one is left for another."""
         if self.client is None:
-            if self.relays() and self.clock.now() >= self.retry_at:
+            if self.relays() and self.clock.now() >= self.relay_retry_at:
                 return HistoryGone()
             return self.platform.watch(after, wait)
         if self.client.address not in self.relays():
@@ -179,11 +179,14 @@
 
         Whether it does is not known until the configuration is there.
         """
-        tries = 0 if self.started else START_ATTEMPTS
-        self.started = True
+        tries = 0 if self.startup_wait_over else START_ATTEMPTS
+        self.startup_wait_over = True
         for _ in range(tries):
             published = self.platform.read_table()
-            if isinstance(published, Published) and len(published.table.services) < MANY_SERVICES:
+            if (
+                isinstance(published, PublishedConfiguration)
+                and len(published.table.services) < MANY_SERVICES
+            ):
                 return
             deadline = monotonic() + RELAY_WAIT_S
             while not self.relays() and monotonic() < deadline:
@@ -191,7 +194,7 @@
             if self.relays():
                 return
 
-    def _leave(self) -> None:
+    def _close_client(self) -> None:
         if self.client is not None:
             self.client.close()
         self.client = None
--- a/src/masticgate/process/gateway/_replica.py
+++ b/src/masticgate/process/gateway/_replica.py
@@ -57,9 +57,9 @@
         self.last_used_at = now
         self.cold_until = Millis(now + entry.cold)
         self.latency_ratio = 1.0
-        self.latency_ratio_at = Millis(0.0)
+        self.latency_ratio_updated_at = Millis(0.0)
         self.failure_rate = 0.0
-        self.failure_rate_at = now
+        self.failure_rate_updated_at = now
         self.other_requests = 0
         self.load_reported_at = Millis(0.0)
         self.consecutive_failures = 0
@@ -86,7 +86,7 @@
     def cost(self, now: Millis) -> float:
         """Return what orders the choice among searchers, the lowest first."""
         latency_ratio = self.latency_ratio
-        if self.in_flight == 0 and now - self.latency_ratio_at > LATENCY_RATIO_TTL:
+        if self.in_flight == 0 and now - self.latency_ratio_updated_at > LATENCY_RATIO_TTL:
             latency_ratio = min(latency_ratio, 1.0)
         if now < self.cold_until:
             latency_ratio *= COLD_START_FACTOR
@@ -99,7 +99,8 @@
         if self.failure_rate < MIN_FAILURE_RATE:
             return 0.0
         return float(
-            self.failure_rate * 0.5 ** ((now - self.failure_rate_at) / FAILURE_RATE_HALF_LIFE)
+            self.failure_rate
+            * 0.5 ** ((now - self.failure_rate_updated_at) / FAILURE_RATE_HALF_LIFE)
         )
 
     def raise_failure_rate(self, now: Millis) -> None:
@@ -109,7 +110,7 @@
     def _update_failure_rate(self, failed: float, now: Millis) -> None:
         failure_rate = self.current_failure_rate(now)
         self.failure_rate = failure_rate + FAILURE_RATE_WEIGHT * (failed - failure_rate)
-        self.failure_rate_at = now
+        self.failure_rate_updated_at = now
 
     def record_success(self, ratio: float, now: Millis) -> bool:
         """Count an answer; return ``True`` where it ends an ejection."""
@@ -118,7 +119,7 @@
         self.latency_ratio += LATENCY_RATIO_WEIGHT * (
             min(ratio, MAX_LATENCY_RATIO) - self.latency_ratio
         )
-        self.latency_ratio_at = now
+        self.latency_ratio_updated_at = now
         if self.state is not ReplicaState.EJECTED:
             return False
         self.state = ReplicaState.ACTIVE
--- a/src/masticgate/process/gateway/_service.py
+++ b/src/masticgate/process/gateway/_service.py
@@ -36,7 +36,7 @@
 """One of so many whole answers in time has a log line."""
 
 
-class SplitTurns:
+class WeightedRoundRobin:
     """Shares out the requests of split routes smoothly, by weight."""
 
     def __init__(self) -> None:
@@ -61,7 +61,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Beliefs:
+class GatewayView:
     """What a request was decided on; ``age`` is the time since the platform was heard."""
 
     table: RouteTable | None
@@ -74,7 +74,7 @@
     def __init__(
         self,
         fleet: Fleet,
-        beliefs: Callable[[], Beliefs],
+        view: Callable[[], GatewayView],
         log: EventLog,
         metrics: Metrics,
         peers: Peers,
@@ -82,34 +82,34 @@
         catalogue: CatalogueLog,
     ) -> None:
         self.fleet = fleet
-        self.beliefs = beliefs
+        self.view = view
         self.log = log
         self.metrics = metrics
         self.find_table = find_table
         self.peers = peers
         self.catalogue = catalogue
-        self.turns = SplitTurns()
-        self.network = NetworkTimes()
-        self.served = 0
+        self.round_robin = WeightedRoundRobin()
+        self.network_times = NetworkTimes()
+        self.ordinary_reply_count = 0
 
     def handle(self, request: Request, inbox: Inbox) -> Reply:
         """Answer one request."""
-        beliefs = self.beliefs()
-        route = self._find(request, beliefs.table)
+        view = self.view()
+        route = self._find_route(request, view.table)
         if isinstance(route, Refused):
             reply: Reply = route
         else:
-            assert beliefs.table is not None
-            self.network.follow(beliefs.table)
-            request = replace(request, network_time=self.network.estimate(route.id, request))
-            reply = self._run(request, beliefs.table, route, inbox)
-        self._account(request, beliefs, route, reply)
+            assert view.table is not None
+            self.network_times.apply_table(view.table)
+            request = replace(request, network_time=self.network_times.estimate(route.id, request))
+            reply = self._run(request, view.table, route, inbox)
+        self._record_result(request, view, route, reply)
         return reply
 
     def handle_peer(self, request: Request, inbox: Inbox) -> Reply:
         """Answer another gateway: a heartbeat, or a query to gather by the version it names."""
         if request.host == HEARTBEAT_HOST:
-            return self.peers.answer_heartbeat(request)
+            return self.peers.handle_heartbeat(request)
         if request.host == CATALOGUE_HOST:
             return self.catalogue.answer(request)
         version = request.version
@@ -123,10 +123,10 @@
             return Refused(503, failure)
         request = replace(request, version=None)
         reply = run_gather(request, route, route.target, self.fleet, inbox)
-        self._account(request, Beliefs(table, self.beliefs().age), route, reply)
+        self._record_result(request, GatewayView(table, self.view().age), route, reply)
         return reply
 
-    def _find(self, request: Request, table: RouteTable | None) -> Route | Refused:
+    def _find_route(self, request: Request, table: RouteTable | None) -> Route | Refused:
         if not request.id:
             failure = NotRun(Reason.BAD_REQUEST, Step.READ, detail="a request id is needed")
             return Refused(400, failure)
@@ -144,7 +144,7 @@
             case Shards() as shards:
                 return self._gather(request, table, route, shards, inbox)
             case Split() as split:
-                service = self.turns.next(table.version, route.id, split)
+                service = self.round_robin.next(table.version, route.id, split)
                 return run_forward(request, route, service, self.fleet, inbox)
             case OneService(service=service):
                 return run_forward(request, route, service, self.fleet, inbox)
@@ -167,7 +167,7 @@
             case Failed(status=502) if self.fleet.allow_retry(PEER_SERVICE):
                 self.metrics.count("gathered_again")
                 again = run_gather(request, route, shards, self.fleet, inbox)
-                return _after_loss(again)
+                return _refusal_as_unknown(again)
             case _:
                 return reply
         return run_gather(request, route, shards, self.fleet, inbox)
@@ -185,21 +185,21 @@
                 status, detail = answer.status, answer.body.decode("utf-8", "replace")
         return Failed(status, Unknown(Reason.COVERAGE, Step.FORWARD, answer.searcher, detail))
 
-    def _account(
-        self, request: Request, beliefs: Beliefs, route: Route | Refused, reply: Reply
+    def _record_result(
+        self, request: Request, view: GatewayView, route: Route | Refused, reply: Reply
     ) -> None:
         """Count the request, and log it unless it is one of many ordinary ones."""
         took = Millis(self.fleet.now() - request.arrived_at)
         outcome, detail = _describe_reply(reply)
         kind = "none" if isinstance(route, Refused) else f"rank{route.rank}"
-        self.metrics.observe(kind, outcome, took)
+        self.metrics.record_request(kind, outcome, took)
         late = not isinstance(route, Refused) and took > route.objective
         if outcome == "whole" and not late and _is_ordinary(reply):
-            self.served += 1
-            if self.served % LOG_SAMPLE_INTERVAL:
+            self.ordinary_reply_count += 1
+            if self.ordinary_reply_count % LOG_SAMPLE_INTERVAL:
                 return
         event = LogEvent.REQUEST if outcome in ("whole", "partial") else LogEvent.REQUEST_FAILED
-        version = beliefs.table.version if beliefs.table is not None else 0
+        version = view.table.version if view.table is not None else 0
         self.log.write(
             event,
             request=request.id,
@@ -210,11 +210,11 @@
             patience_ms=request.caller_timeout,
             network_ms=round(request.network_time),
             version=version,
-            beliefs_age_ms=round(beliefs.age),
+            beliefs_age_ms=round(view.age),
         )
 
 
-def _after_loss(reply: Reply) -> Reply:
+def _refusal_as_unknown(reply: Reply) -> Reply:
     """Return the reply to a query of which another gateway may have sent parts already."""
     match reply:
         case Refused(failure=failure):
--- a/src/masticgate/process/gateway/_shares.py
+++ b/src/masticgate/process/gateway/_shares.py
@@ -4,7 +4,7 @@
 
 from ._settings import RepeatBounds
 
-MIN_SHARERS = 8
+MIN_ASSUMED_GATEWAYS = 8
 """Gateways that are taken to share at least, since some may not be known yet."""
 
 RATIO_MARGIN = 0.85
@@ -27,16 +27,16 @@
 
     def max_connections(self, accepted: int, *, shard: bool) -> int:
         """Return this gateway's part of the connections that one searcher accepts."""
-        return max(1, accepted // self._sharers(shard))
+        return max(1, accepted // self._gateway_count(shard))
 
     def repeat_limits(self, bounds: RepeatBounds, *, shard: bool) -> tuple[float, float]:
         """Return this gateway's ratio and slack of the repeats of one service."""
-        slack = bounds.slack * SLACK_MARGIN / self._sharers(shard)
+        slack = bounds.slack * SLACK_MARGIN / self._gateway_count(shard)
         return bounds.ratio * RATIO_MARGIN, slack
 
     def peer_repeat_limits(self, bounds: RepeatBounds) -> tuple[float, float]:
         """Return this gateway's ratio and slack of queries that are gathered again."""
         return bounds.ratio * PEER_REPEAT_SHARE, PEER_REPEAT_SLACK
 
-    def _sharers(self, shard: bool) -> int:
-        return max(MIN_SHARERS, self.gatherers if shard else self.gateways)
+    def _gateway_count(self, shard: bool) -> int:
+        return max(MIN_ASSUMED_GATEWAYS, self.gatherers if shard else self.gateways)
--- a/src/masticgate/process/gateway/_task_pool.py
+++ b/src/masticgate/process/gateway/_task_pool.py
@@ -54,26 +54,26 @@
     given up to their present tasks, and new tasks go to other threads.
     """
 
-    def __init__(self, most: int, log: EventLog, metrics: Metrics) -> None:
-        self.most = most
+    def __init__(self, max_tasks: int, log: EventLog, metrics: Metrics) -> None:
+        self.max_tasks = max_tasks
         self.log = log
         self.metrics = metrics
         self.lock = Lock()
         self.running = 0
-        self.threads = self._make_threads()
+        self.executor = self._make_executor()
 
     def start(self, run: Callable[..., None], *args: Any) -> TaskRefused | None:
         """Start a task at once, or refuse it for good."""
         task = Task(lambda: self._run(run, args))
         with self.lock:
-            if self.running >= self.most:
+            if self.running >= self.max_tasks:
                 return TaskRefused("all tasks are in use")
             self.running += 1
             try:
-                self.threads.submit(task.run)
+                self.executor.submit(task.run)
             except RuntimeError as error:
-                self.threads.shutdown(wait=False)
-                self.threads = self._make_threads()
+                self.executor.shutdown(wait=False)
+                self.executor = self._make_executor()
                 if task.refuse():
                     self.running -= 1
                     return TaskRefused(str(error))
@@ -82,19 +82,19 @@
     def close(self) -> None:
         """Refuse tasks from now on; the present ones run to their ends."""
         with self.lock:
-            self.most = 0
-            self.threads.shutdown(wait=False)
+            self.max_tasks = 0
+            self.executor.shutdown(wait=False)
 
     def _run(self, run: Callable[..., None], args: tuple[Any, ...]) -> None:
         try:
             run(*args)
         except Exception as error:
-            self._note_failure(run, error)
+            self._record_failure(run, error)
         finally:
             with self.lock:
                 self.running -= 1
 
-    def _note_failure(self, run: Callable[..., None], error: Exception) -> None:
+    def _record_failure(self, run: Callable[..., None], error: Exception) -> None:
         """Log an error that would stay in a future that nobody asks."""
         self.metrics.count("tasks_failed")
         where = traceback.extract_tb(error.__traceback__)[-1]
@@ -105,6 +105,6 @@
             at=f"{basename(where.filename)}:{where.lineno}",
         )
 
-    def _make_threads(self) -> ThreadPoolExecutor:
+    def _make_executor(self) -> ThreadPoolExecutor:
         """Return threads enough for all tasks beside those that just ended theirs."""
-        return ThreadPoolExecutor(2 * self.most)
+        return ThreadPoolExecutor(2 * self.max_tasks)
--- a/tests/gateway/loopback.py
+++ b/tests/gateway/loopback.py
@@ -10,7 +10,7 @@
 from threading import Event
 
 from masticgate import Address, Revision
-from masticgate.process.gateway import Changes, Contents, Listed, Published
+from masticgate.process.gateway import Changes, Contents, PublishedConfiguration, SearcherListed
 from masticgate.process.gateway._gateway import Gateway
 
 from .fakes import HEADER_NAMES, make_entry, make_settings, make_table
@@ -156,7 +156,8 @@
 
     def __init__(self, table, entries) -> None:
         self.contents = Contents(
-            (Published(table), *(Listed(entry) for entry in entries)), Revision(1)
+            (PublishedConfiguration(table), *(SearcherListed(entry) for entry in entries)),
+            Revision(1),
         )
 
     def read_table(self):
--- a/tests/gateway/test_answers.py
+++ b/tests/gateway/test_answers.py
@@ -739,7 +739,7 @@
         searchers = {name: [RepeatingSearcher(answer_as_shard)] for name in SHARDS.services}
         told = []
         with running_gateway([make_route(SHARDS)], searchers) as entry:
-            entry.peers.decide = lambda: None
+            entry.peers.update_gathering = lambda: None
             entry.peers.gathering = GatherAtPeers()
             entry.fleet.apply_listing(
                 replace(make_entry("p", PEER_SERVICE), address=gatherer.address)
--- a/tests/gateway/test_follower.py
+++ b/tests/gateway/test_follower.py
@@ -6,11 +6,11 @@
     Changes,
     Contents,
     HistoryGone,
-    Listed,
-    Published,
+    PublishedConfiguration,
+    SearcherListed,
+    SearcherUnlisted,
     Unavailable,
-    Unlisted,
-    Unreadable,
+    UnreadableItem,
 )
 from masticgate.process.gateway._follower import Follower
 from masticgate.process.gateway._log import EventLog
@@ -75,29 +75,32 @@
 class TestConfiguration:
     def test_a_later_version_is_taken(self):
         one, two = make_table(ROUTE, version=1), make_table(ROUTE, version=7)
-        follower, _, _ = follow((0, contents(Published(one))), (1, changes(2, Published(two))))
+        follower, _, _ = follow(
+            (0, contents(PublishedConfiguration(one))), (1, changes(2, PublishedConfiguration(two)))
+        )
         assert follower.table is two
 
     def test_an_earlier_version_never_comes_back(self):
         one, two = make_table(ROUTE, version=1), make_table(ROUTE, version=7)
         follower, _, _ = follow(
-            (0, contents(Published(two))),
+            (0, contents(PublishedConfiguration(two))),
             (1, HistoryGone()),
-            (1, contents(Published(one), revision=9)),
+            (1, contents(PublishedConfiguration(one), revision=9)),
         )
         assert follower.table is two
 
     def test_what_cannot_be_read_changes_nothing(self):
         one = make_table(ROUTE, version=1)
         follower, _, _ = follow(
-            (0, contents(Published(one))), (1, changes(2, Unreadable("op/config", "no version")))
+            (0, contents(PublishedConfiguration(one))),
+            (1, changes(2, UnreadableItem("op/config", "no version"))),
         )
         assert follower.table is one
 
     def test_it_is_kept_while_the_platform_is_away(self):
         one = make_table(ROUTE, version=1)
         follower, _, source = follow(
-            (0, contents(Published(one), revision=4)),
+            (0, contents(PublishedConfiguration(one), revision=4)),
             (3_000, Unavailable("timed out")),
             (3_000, Unavailable("timed out")),
         )
@@ -108,17 +111,17 @@
 class TestSearchers:
     def test_a_removed_listing_ends_its_use(self):
         _, fleet, _ = follow(
-            (0, contents(Listed(make_entry("a")))),
-            (1, changes(2, Unlisted(SearcherId("a")))),
+            (0, contents(SearcherListed(make_entry("a")))),
+            (1, changes(2, SearcherUnlisted(SearcherId("a")))),
             (2_000, changes(2)),
         )
         assert not is_used(fleet, "a")
 
     def test_one_missing_after_the_history_was_lost_is_gone(self):
         _, fleet, _ = follow(
-            (0, contents(Listed(make_entry("a")), Listed(make_entry("b")))),
+            (0, contents(SearcherListed(make_entry("a")), SearcherListed(make_entry("b")))),
             (1, HistoryGone()),
-            (1, contents(Listed(make_entry("b")), revision=9)),
+            (1, contents(SearcherListed(make_entry("b")), revision=9)),
             (2_000, changes(9)),
         )
         assert not is_used(fleet, "a")
@@ -126,18 +129,18 @@
 
     def test_listings_that_lapsed_with_the_platform_are_held_until_they_are_back(self):
         _, fleet, _ = follow(
-            (0, contents(Listed(make_entry("a")))),
+            (0, contents(SearcherListed(make_entry("a")))),
             (5_000, Unavailable("down")),
-            (10, changes(5, Unlisted(SearcherId("a")))),
+            (10, changes(5, SearcherUnlisted(SearcherId("a")))),
             (1_000, changes(6)),
         )
         assert is_used(fleet, "a")
 
     def test_a_listing_that_is_not_back_in_time_ends_its_use(self):
         _, fleet, _ = follow(
-            (0, contents(Listed(make_entry("a")))),
+            (0, contents(SearcherListed(make_entry("a")))),
             (5_000, Unavailable("down")),
-            (10, changes(5, Unlisted(SearcherId("a")))),
+            (10, changes(5, SearcherUnlisted(SearcherId("a")))),
             (2_500, changes(6)),
             (2_000, changes(6)),
         )
@@ -145,23 +148,33 @@
 
     def test_a_listing_that_was_waited_for_in_vain_is_no_last_resort(self):
         _, fleet, _ = follow(
-            (0, contents(Listed(make_entry("a")))),
+            (0, contents(SearcherListed(make_entry("a")))),
             (5_000, Unavailable("down")),
-            (10, changes(5, Unlisted(SearcherId("a")))),
+            (10, changes(5, SearcherUnlisted(SearcherId("a")))),
             (2_500, changes(6)),
         )
         assert not is_used(fleet, "a")
 
     def test_a_held_listing_is_relayed_as_gone_only_when_it_is(self):
-        back = (10, changes(5, Unlisted(SearcherId("a"))))
+        back = (10, changes(5, SearcherUnlisted(SearcherId("a"))))
         follower, _, _ = follow(
-            (0, contents(Published(make_table(ROUTE)), Listed(make_entry("a")))),
+            (
+                0,
+                contents(
+                    PublishedConfiguration(make_table(ROUTE)), SearcherListed(make_entry("a"))
+                ),
+            ),
             (5_000, Unavailable("down")),
             back,
         )
         assert "searcher a" in follower.catalogue.state
         follower, _, _ = follow(
-            (0, contents(Published(make_table(ROUTE)), Listed(make_entry("a")))),
+            (
+                0,
+                contents(
+                    PublishedConfiguration(make_table(ROUTE)), SearcherListed(make_entry("a"))
+                ),
+            ),
             (5_000, Unavailable("down")),
             back,
             (2_500, changes(6)),
@@ -170,8 +183,8 @@
 
     def test_an_unreadable_listing_names_no_searcher_and_the_others_hold(self):
         _, fleet, _ = follow(
-            (0, contents(Listed(make_entry("a")), Listed(make_entry("b")))),
-            (1, changes(2, Unreadable("servers/a", "no slots", SearcherId("a")))),
+            (0, contents(SearcherListed(make_entry("a")), SearcherListed(make_entry("b")))),
+            (1, changes(2, UnreadableItem("servers/a", "no slots", SearcherId("a")))),
             (2_000, changes(2)),
         )
         assert not is_used(fleet, "a")
--- a/tests/gateway/test_gathering_at_peers.py
+++ b/tests/gateway/test_gathering_at_peers.py
@@ -36,9 +36,9 @@
         running(routes, searchers, version=seed_version, **seed_settings) as seed,
         running(routes, searchers, seeds=(SEED,)) as entry,
     ):
-        entry.peers.decide = lambda: None
+        entry.peers.update_gathering = lambda: None
         for _ in range(200):
-            if entry.peers.found:
+            if entry.peers.relay_domains:
                 break
             entry.ended.wait(0.02)
         entry.peers.gathering = GatherAtPeers()
--- a/tests/gateway/test_log.py
+++ b/tests/gateway/test_log.py
@@ -55,8 +55,8 @@
         metrics = Metrics()
         metrics.count("repeats", 3)
         metrics.set_gauge("tasks", 12)
-        metrics.observe("rank0", "whole", Millis(11.0))
-        metrics.observe("rank0", "whole", Millis(9_000.0))
+        metrics.record_request("rank0", "whole", Millis(11.0))
+        metrics.record_request("rank0", "whole", Millis(9_000.0))
         lines = metrics.render().decode().splitlines()
         assert "masticgate_repeats_total 3" in lines
         assert "masticgate_tasks 12" in lines
--- a/tests/gateway/test_missing_counts.py
+++ b/tests/gateway/test_missing_counts.py
@@ -20,7 +20,7 @@
     stamps = b"x-gateway-stamps: s, s\r\n"
     peer = StandInSearcher(lambda head: reply_to(head, bytes(16), extra=stamps + headers))
     with running_gateway([make_route(SHARDS)], {"s1": [StandInSearcher(reply_to)]}) as gateway:
-        gateway.peers.decide = lambda: None
+        gateway.peers.update_gathering = lambda: None
         gateway.peers.gathering = GatherAtPeers()
         gateway.fleet.apply_listing(replace(make_entry("peer", PEER_SERVICE), address=peer.address))
         return RawCaller(gateway).get().read()
--- a/tests/gateway/test_network_times.py
+++ b/tests/gateway/test_network_times.py
@@ -56,7 +56,7 @@
         kept = make_route()
         times.estimate(kept.id, make_request())
         estimate(times, 600.0)
-        times.follow(make_table(kept, version=2))
+        times.apply_table(make_table(kept, version=2))
         assert set(times.routes) == {kept.id}
 
     @given(st.lists(st.tuples(st.floats(1, 5_000), st.booleans()), max_size=30))
@@ -64,4 +64,4 @@
         times = NetworkTimes()
         for patience, fresh in patiences:
             taken = estimate(times, patience, fresh=fresh)
-            assert taken == times.trip * (2 if fresh else 1) > 0
+            assert taken == times.round_trip_time * (2 if fresh else 1) > 0
--- a/tests/gateway/test_peers.py
+++ b/tests/gateway/test_peers.py
@@ -30,7 +30,7 @@
 def beat(peers: Peers, host: str) -> dict:
     target = f"/?host={host}".encode()
     request = Request(RequestId(""), b"GET", target, HEARTBEAT_HOST, (), b"", None, Millis(0.0))
-    return json.loads(peers.answer_heartbeat(request).body)
+    return json.loads(peers.handle_heartbeat(request).body)
 
 
 class TestGathering:
@@ -71,8 +71,8 @@
 
     def test_relays_are_used_from_many_gateways_on_and_the_own_domain_first(self):
         peers = make_peers(ManualClock())
-        peers.found = {Address("127.0.0.2:1"): "z2", Address("127.0.0.3:1"): "z1"}
+        peers.relay_domains = {Address("127.0.0.2:1"): "z2", Address("127.0.0.3:1"): "z1"}
         peers.members = 6
-        assert peers.relays() == []
+        assert peers.find_relays() == []
         peers.members = 58
-        assert peers.relays() == ["127.0.0.3:1", "127.0.0.2:1"]
+        assert peers.find_relays() == ["127.0.0.3:1", "127.0.0.2:1"]
--- a/tests/gateway/test_refused_tasks.py
+++ b/tests/gateway/test_refused_tasks.py
@@ -26,7 +26,7 @@
 
     def __init__(self, monkeypatch: pytest.MonkeyPatch) -> None:
         self.tasks = make_pool(8)
-        self.threads = self.tasks.threads
+        self.executor = self.tasks.executor
         self.release = Event()
         self.monkeypatch = monkeypatch
         self.tasks.start(self._occupy)
@@ -44,7 +44,7 @@
         """Let threads start again, and give the busy task's thread time to take what is queued."""
         self.monkeypatch.undo()
         self.release.set()
-        ending = Thread(target=self.threads.shutdown, daemon=True)
+        ending = Thread(target=self.executor.shutdown, daemon=True)
         ending.start()
         ending.join(2)
 
@@ -161,7 +161,7 @@
     def test_logs_and_counts_a_task_that_fails(self):
         tasks = make_pool(1)
         tasks.start(int, "no number")
-        tasks.threads.shutdown()
+        tasks.executor.shutdown()
         line = json.loads(tasks.log.queue[-1])
         assert (line["event"], line["task"]) == ("task_failed", "int")
         assert "no number" in line["detail"]
--- a/tests/gateway/test_relay.py
+++ b/tests/gateway/test_relay.py
@@ -12,12 +12,12 @@
     Changes,
     Contents,
     HistoryGone,
-    Listed,
-    Published,
+    PublishedConfiguration,
+    SearcherListed,
     SearcherPhase,
+    SearcherUnlisted,
     Unavailable,
-    Unlisted,
-    Unreadable,
+    UnreadableItem,
 )
 from masticgate.process.gateway._log import EventLog
 from masticgate.process.gateway._relay import CatalogueLog, RelayedSource
@@ -45,7 +45,9 @@
 
 def make_catalogue(age: float = 0.0) -> CatalogueLog:
     catalogue = CatalogueLog(lambda: Millis(age))
-    catalogue.add(Published(make_table(SHARDS, SPLIT, make_route(prefix="/c/"), version=7)))
+    catalogue.add(
+        PublishedConfiguration(make_table(SHARDS, SPLIT, make_route(prefix="/c/"), version=7))
+    )
     return catalogue
 
 
@@ -53,30 +55,30 @@
     def test_a_read_returns_the_state_as_it_was_published(self):
         catalogue = make_catalogue()
         entry = make_entry("a", phase=SearcherPhase.DRAINING)
-        catalogue.add(Listed(entry))
-        catalogue.add(Listed(make_entry("b")))
-        catalogue.add(Unlisted(SearcherId("b")))
+        catalogue.add(SearcherListed(entry))
+        catalogue.add(SearcherListed(make_entry("b")))
+        catalogue.add(SearcherUnlisted(SearcherId("b")))
         news = decode_changes(get(catalogue).body)
         number, changes = news.number, news.changes
         table = make_table(SHARDS, SPLIT, make_route(prefix="/c/"), version=7)
         assert number == 4
-        assert changes == (Published(table), Listed(entry))
+        assert changes == (PublishedConfiguration(table), SearcherListed(entry))
 
     def test_a_watch_returns_what_came_after(self):
         catalogue = make_catalogue()
-        unreadable = Unreadable("servers/x", "no slots", SearcherId("x"))
-        catalogue.add(Unlisted(SearcherId("b")))
+        unreadable = UnreadableItem("servers/x", "no slots", SearcherId("x"))
+        catalogue.add(SearcherUnlisted(SearcherId("b")))
         catalogue.add(unreadable)
         news = decode_changes(since(catalogue, 1).body)
         number, changes = news.number, news.changes
-        assert (number, changes) == (3, (Unlisted(SearcherId("b")), unreadable))
+        assert (number, changes) == (3, (SearcherUnlisted(SearcherId("b")), unreadable))
         assert decode_changes(since(catalogue, 3).body) == CatalogueUpdate(catalogue.epoch, 3, ())
 
     def test_another_start_and_lost_changes_are_told(self):
         catalogue = make_catalogue()
         assert get(catalogue, "after=1&epoch=other&wait=0").status == 410
         for number in range(2_100):
-            catalogue.add(Unlisted(SearcherId(str(number))))
+            catalogue.add(SearcherUnlisted(SearcherId(str(number))))
         assert since(catalogue, 1).status == 410
 
     def test_one_that_does_not_hear_the_platform_passes_nothing_on(self):
@@ -101,7 +103,7 @@
         self.table = make_table(SHARDS)
 
     def read_table(self):
-        return Published(self.table)
+        return PublishedConfiguration(self.table)
 
     def read(self):
         self.reads += 1
@@ -191,10 +193,10 @@
     def test_a_relay_found_later_is_used(self):
         source, platform, relays = relayed(lambda head: http(200, get(make_catalogue()).body))
         address = relays.pop()
-        source.started = True
+        source.startup_wait_over = True
         source.read()
         assert isinstance(source.watch(Revision(50), Millis(1.0)), Changes)
         relays.append(address)
         assert isinstance(source.watch(Revision(50), Millis(1.0)), Changes)
-        source.retry_at = Millis(0.0)
+        source.relay_retry_at = Millis(0.0)
         assert source.watch(Revision(50), Millis(1.0)) == HistoryGone()
--- a/tests/platform/test_items.py
+++ b/tests/platform/test_items.py
@@ -8,7 +8,13 @@
 from hypothesis import strategies as st
 
 from masticgate.platform._items import decode_item
-from masticgate.process.gateway import Listed, Published, SearcherPhase, Unlisted, Unreadable
+from masticgate.process.gateway import (
+    PublishedConfiguration,
+    SearcherListed,
+    SearcherPhase,
+    SearcherUnlisted,
+    UnreadableItem,
+)
 from masticgate.version.gateway import Idempotency, OneService, Shards, Split
 
 ENTRY = {
@@ -66,20 +72,20 @@
 class TestEntries:
     def test_a_searcher(self):
         change = decode_item(item("servers/i-1", ENTRY))
-        assert isinstance(change, Listed)
+        assert isinstance(change, SearcherListed)
         entry = change.entry
         assert (entry.id, entry.service, entry.address) == ("i-1", "huvo", "10.128.0.9:8080")
         assert (entry.slots, entry.phase, entry.born) == (2, SearcherPhase.READY, 1772450980024)
 
     def test_a_removed_searcher(self):
         change = decode_item({"key": "servers/i-1", "revision": 6, "removed": True})
-        assert change == Unlisted("i-1")
+        assert change == SearcherUnlisted("i-1")
 
     @pytest.mark.parametrize("name", [name for name in ENTRY if name != "born"])
     def test_a_missing_field_names_no_searcher(self, name):
         entry = {key: value for key, value in ENTRY.items() if key != name}
         change = decode_item(item("servers/i-1", entry))
-        assert isinstance(change, Unreadable) and change.searcher == "i-1"
+        assert isinstance(change, UnreadableItem) and change.searcher == "i-1"
 
     @pytest.mark.parametrize(
         ("name", "value"),
@@ -99,14 +105,14 @@
     )
     def test_a_field_of_another_type_names_no_searcher(self, name, value):
         change = decode_item(item("servers/i-1", ENTRY | {name: value}))
-        assert isinstance(change, Unreadable)
+        assert isinstance(change, UnreadableItem)
 
     def test_unknown_fields_are_ignored(self):
-        assert isinstance(decode_item(item("servers/i-1", ENTRY | {"new": []})), Listed)
+        assert isinstance(decode_item(item("servers/i-1", ENTRY | {"new": []})), SearcherListed)
 
     @given(st.binary(max_size=80))
     def test_any_bytes_are_decoded_or_unreadable(self, data):
-        assert isinstance(decode_item(item("servers/i-1", data)), Unreadable)
+        assert isinstance(decode_item(item("servers/i-1", data)), UnreadableItem)
 
     @given(
         st.recursive(
@@ -123,7 +129,7 @@
 class TestConfiguration:
     def test_routes_of_each_target(self):
         change = decode_item(item("op/config", CONFIG))
-        assert isinstance(change, Published)
+        assert isinstance(change, PublishedConfiguration)
         table = change.table
         shards, one, split = table.routes
         assert shards.target == Shards(("s1", "s2"), 5, 0.75)
@@ -149,7 +155,7 @@
     @pytest.mark.parametrize("name", ["version", "routes", "services", "limits"])
     def test_a_missing_part_changes_nothing(self, name):
         config = {key: value for key, value in CONFIG.items() if key != name}
-        assert isinstance(decode_item(item("op/config", config)), Unreadable)
+        assert isinstance(decode_item(item("op/config", config)), UnreadableItem)
 
     def test_other_keys_are_of_no_concern(self):
         assert decode_item(item("op/other", CONFIG)) is None
--- a/tests/platform/test_store.py
+++ b/tests/platform/test_store.py
@@ -6,7 +6,13 @@
 
 from masticgate import Millis, Revision, SystemClock
 from masticgate.platform._store import Store
-from masticgate.process.gateway import Changes, Contents, HistoryGone, Published, Unavailable
+from masticgate.process.gateway import (
+    Changes,
+    Contents,
+    HistoryGone,
+    PublishedConfiguration,
+    Unavailable,
+)
 from tests.gateway.loopback import StandInSearcher
 
 from .test_items import CONFIG, ENTRY
@@ -57,7 +63,7 @@
             lambda head: http(200, stored("op/config", CONFIG) | {"currentRev": 3})
         )
         published = store.read_table()
-        assert isinstance(published, Published) and published.table.version == 7
+        assert isinstance(published, PublishedConfiguration) and published.table.version == 7
         assert query_of(server.heads[0]) == {"key": "op/config"}
 
     def test_none_is_unavailable(self):
