--- a/bench/process/_host_costs.py
+++ b/bench/process/_host_costs.py
@@ -47,7 +47,7 @@
     )
     host = Host(settings)  # type: ignore[arg-type]
     assert host.versions.offer_text(text, Revision(1))
-    host.versions.open()
+    host.versions.activate()
     return host
 
 
--- a/bench/process/_watch_costs.py
+++ b/bench/process/_watch_costs.py
@@ -52,7 +52,7 @@
         def read() -> None:
             listed = reader.list_hosts()
             assert not isinstance(listed, Unknown)
-            host.distribution._take_hosts(listed)
+            host.distribution._handle_hosts(listed)
 
         read()
         values.append(cpu_micros(read, REPEATS))
--- a/src/masticgate/process/_command_serve.py
+++ b/src/masticgate/process/_command_serve.py
@@ -10,7 +10,7 @@
 from ._exit_codes import ExitCode
 from ._logs import start_logs
 from ._server import Host
-from ._settings import BadSettings, read_settings
+from ._settings import InvalidSettings, read_settings
 
 
 @click.command()
@@ -24,7 +24,7 @@
 def serve(path: Path) -> None:
     """Run an entry host until SIGTERM or SIGINT, then stop it gracefully."""
     settings = read_settings(path)
-    if isinstance(settings, BadSettings):
+    if isinstance(settings, InvalidSettings):
         for problem in settings.problems:
             click.echo(f"masticgate serve: {problem}", err=True)
         raise SystemExit(ExitCode.USAGE)
--- a/src/masticgate/process/_distribution.py
+++ b/src/masticgate/process/_distribution.py
@@ -24,9 +24,9 @@
 from ._members import Members
 from ._messages import Heartbeat, Hello
 from ._settings import Settings
-from ._startup import START_WAIT, Startup
+from ._startup import STARTUP_TIMEOUT, Startup
 from ._timeline import EventKind, TimeLine
-from ._versions import Offered, VersionStore
+from ._versions import OfferResult, VersionStore
 from ._watch import HostListWatch, KeyWatch
 from ._watch_role import WatchRole
 
@@ -70,15 +70,15 @@
     def start(self, start_task: Callable[[Callable[[], None]], None]) -> None:
         """Start the tasks that read the platform; the first puts the start's outcome in force."""
         platform = self.settings.platform
-        start_task(self._start_up)
+        start_task(self._run_startup)
         for key, on_value in (
-            (platform.text_key, self._take_text_value),
-            (platform.snapshots_key, self._take_catalogue_value),
+            (platform.text_key, self._handle_text_value),
+            (platform.snapshots_key, self._handle_catalogue_value),
         ):
             reader = self._open_reader()
             watch = KeyWatch(key, reader, self.timeline, on_value, self.role, self.clock)
             start_task(watch.run)
-        hosts = HostListWatch(self._open_reader(), self._take_hosts, self.role)
+        hosts = HostListWatch(self._open_reader(), self._handle_hosts, self.role)
         start_task(hosts.run)
 
     def stop(self) -> None:
@@ -93,73 +93,73 @@
         usable = set(self.members.usable())
         members = [m.host for m in self.members.list_members() if m.failure_domain == self.domain]
         in_domain = [host for host in members if host in usable]
-        watching = should_watch(self.own, self.domain, in_domain, _Reachable(self.links))
+        watching = should_watch(self.own, self.domain, in_domain, _ReachableHosts(self.links))
         if self.role.update(watching) and not watching:
             self._abort_reads()
 
-    def compare_versions(self, peer: Hello, theirs: Versions, answer: Answer) -> None:
+    def compare_versions(self, peer: Hello, peer_versions: Versions, answer: Answer) -> None:
         """Ask ``peer`` for what it has newer, unless another was just asked for as much."""
         if self.versions.starting:
-            self.startup.note_peer(peer.host, peer.failure_domain, theirs)
-        if self._is_worth_fetching(theirs):
+            self.startup.record_peer(peer.host, peer.failure_domain, peer_versions)
+        if self._should_fetch(peer_versions):
             answer(FetchVersions(self.versions.versions()))
 
     def answer_fetch(self, have: Versions, answer: Answer) -> None:
         """Send what is newer here than ``have``."""
-        push = self.versions.newer_than(have.revision)
+        push = self.versions.build_push(have.revision)
         if push is not None:
             answer(push)
         if self.versions.catalogue.newest > have.catalogue:
             answer(CataloguePush(self.versions.catalogue_text))
 
-    def take_push(self, push: TextPush | SectionsPush | CataloguePush, answer: Answer) -> None:
+    def handle_push(self, push: TextPush | SectionsPush | CataloguePush, answer: Answer) -> None:
         """Take over what a peer sent; ask it again where its changes do not fit."""
         match push:
             case TextPush(revision=revision, text=text):
-                self._settle(self.versions.offer_text(text, revision))
+                self._handle_offer_result(self.versions.offer_text(text, revision))
             case CataloguePush(text=text):
-                self._settle(self.versions.offer_catalogue(text))
+                self._handle_offer_result(self.versions.offer_catalogue(text))
             case SectionsPush():
-                self._take_sections(push, answer)
+                self._handle_sections(push, answer)
 
     def announce(self) -> None:
         """Tell the peers at once; the next heartbeat would tell them a little later."""
         self.links.broadcast(Heartbeat(self.timeline.sequence, self.versions.versions(), ()))
 
-    def _take_sections(self, push: SectionsPush, answer: Answer) -> None:
+    def _handle_sections(self, push: SectionsPush, answer: Answer) -> None:
         match self.versions.offer_sections(push):
-            case Offered.IN_FORCE:
-                self._settle(True)
-            case Offered.OTHER_BASE:
+            case OfferResult.IN_FORCE:
+                self._handle_offer_result(True)
+            case OfferResult.OTHER_BASE:
                 answer(FetchVersions(self.versions.versions()))
-            case Offered.OTHER_TEXT:
+            case OfferResult.OTHER_TEXT:
                 answer(FetchVersions(Versions(Revision(0), self.versions.catalogue.newest)))
-            case Offered.NOT_NEWER | Offered.REFUSED:
-                self._settle(False)
+            case OfferResult.NOT_NEWER | OfferResult.REFUSED:
+                self._handle_offer_result(False)
 
-    def _settle(self, risen: bool) -> None:
-        self.startup.note_change()
-        if risen:
+    def _handle_offer_result(self, accepted: bool) -> None:
+        self.startup.notify_change()
+        if accepted:
             self.announce()
 
-    def _is_worth_fetching(self, theirs: Versions) -> bool:
+    def _should_fetch(self, peer_versions: Versions) -> bool:
         """Tell whether to ask for ``theirs``; a refused revision is not asked for again."""
-        judged = self.versions.has_judged(theirs.revision)
-        if judged and theirs.catalogue <= self.versions.catalogue.newest:
+        processed = self.versions.has_processed(peer_versions.revision)
+        if processed and peer_versions.catalogue <= self.versions.catalogue.newest:
             return False
         with self.lock:
             now = self.clock.now()
-            if now < self.fetch_deadline and not _is_newer(theirs, self.fetching):
+            if now < self.fetch_deadline and not _is_newer(peer_versions, self.fetching):
                 return False
-            self.fetching = theirs
+            self.fetching = peer_versions
             self.fetch_deadline = Millis(now + FETCH_TIMEOUT)
             return True
 
-    def _start_up(self) -> None:
-        deadline = Millis(self.clock.now() + START_WAIT)
-        self.startup.note_platform(self._read_platform())
+    def _run_startup(self) -> None:
+        deadline = Millis(self.clock.now() + STARTUP_TIMEOUT)
+        self.startup.record_platform_read(self._read_platform())
         state = self.startup.wait(deadline)
-        self.versions.open()
+        self.versions.activate()
         self.timeline.add(EventKind.SERVING, self.own, self.startup.describe(state))
         self.update_role()
 
@@ -171,13 +171,13 @@
             text = reader.read(platform.text_key)
             if not isinstance(text, Value):
                 return False
-            self._take_text_value(text)
+            self._handle_text_value(text)
             catalogue = reader.read(platform.snapshots_key)
             if isinstance(catalogue, Value):
-                self._take_catalogue_value(catalogue)
+                self._handle_catalogue_value(catalogue)
             hosts = reader.list_hosts()
             if not isinstance(hosts, Unknown):
-                self._take_hosts(hosts)
+                self._handle_hosts(hosts)
             return True
         finally:
             self.readers.remove(reader)
@@ -193,18 +193,18 @@
         self.readers.append(reader)
         return reader
 
-    def _take_text_value(self, value: Value) -> None:
-        self._settle(self.versions.offer_text(value.text, value.revision))
+    def _handle_text_value(self, value: Value) -> None:
+        self._handle_offer_result(self.versions.offer_text(value.text, value.revision))
 
-    def _take_catalogue_value(self, value: Value) -> None:
-        self._settle(self.versions.offer_catalogue(value.text))
+    def _handle_catalogue_value(self, value: Value) -> None:
+        self._handle_offer_result(self.versions.offer_catalogue(value.text))
 
-    def _take_hosts(self, hosts: tuple[ListedHost, ...]) -> None:
+    def _handle_hosts(self, hosts: tuple[ListedHost, ...]) -> None:
         self.members.merge(self.host_list.read(hosts, self.clock.now()))
         self.update_role()
 
 
-class _Reachable(Container[HostId]):
+class _ReachableHosts(Container[HostId]):
     """The hosts that are not known to be unreachable."""
 
     def __init__(self, links: Links) -> None:
@@ -214,5 +214,5 @@
         return isinstance(host, str) and not self.links.is_closed(HostId(host))
 
 
-def _is_newer(theirs: Versions, own: Versions) -> bool:
-    return theirs.revision > own.revision or theirs.catalogue > own.catalogue
+def _is_newer(peer_versions: Versions, own: Versions) -> bool:
+    return peer_versions.revision > own.revision or peer_versions.catalogue > own.catalogue
--- a/src/masticgate/process/_peer_service.py
+++ b/src/masticgate/process/_peer_service.py
@@ -96,7 +96,7 @@
             case FetchVersions(have=have):
                 self.distribution.answer_fetch(have, answer)
             case TextPush() | SectionsPush() | CataloguePush():
-                self.distribution.take_push(message, answer)
+                self.distribution.handle_push(message, answer)
             case Demand():
                 self.pressure.handle_demand(message)
             case Pressure(services=services):
--- a/src/masticgate/process/_public.py
+++ b/src/masticgate/process/_public.py
@@ -17,7 +17,7 @@
 from ._policy import Policy as Policy
 from ._searcher_health import LoadReport as LoadReport
 from ._service_pool import ServicePool as ServicePool
-from ._settings import BadSettings as BadSettings
+from ._settings import InvalidSettings as InvalidSettings
 from ._settings import Settings as Settings
 from ._settings import check_settings as check_settings
 from ._settings import read_settings as read_settings
--- a/src/masticgate/process/_settings.py
+++ b/src/masticgate/process/_settings.py
@@ -12,7 +12,7 @@
 MAX_SETTINGS_BYTES = 100_000
 
 
-class SeedText(StrictModel):
+class SeedSettings(StrictModel):
     """Another host that a starting one asks first."""
 
     host: Name
@@ -20,7 +20,7 @@
     failure_domain: Name
 
 
-class PlatformText(StrictModel):
+class PlatformSettings(StrictModel):
     """Where the platform's services answer."""
 
     configuration: AddressText
@@ -31,7 +31,7 @@
     )
 
 
-class StatsdText(StrictModel):
+class StatsdSettings(StrictModel):
     """Where metrics go."""
 
     address: AddressText
@@ -50,9 +50,9 @@
     caller_address: AddressText
     peer_address: AddressText
     peer_listen_address: AddressText | None = None
-    platform: PlatformText
-    seeds: list[SeedText] = Field(default=[], max_length=32)
-    statsd: StatsdText | None = None
+    platform: PlatformSettings
+    seeds: list[SeedSettings] = Field(default=[], max_length=32)
+    statsd: StatsdSettings | None = None
     routing: Literal["owner", "naive"] = "owner"
     max_callers: int = Field(default=256, ge=1, le=4096)
     max_body_bytes: int = Field(default=64_000, ge=1_000, le=1_000_000)
@@ -60,39 +60,39 @@
     shutdown_ms: int = Field(default=10_000, ge=0, le=600_000)
     log_level: Literal["debug", "info", "warning", "error"] = "info"
 
-    def other_seeds(self) -> list[SeedText]:
+    def other_seeds(self) -> list[SeedSettings]:
         """Return the seeds without this host itself."""
         return [seed for seed in self.seeds if seed.host != self.host]
 
 
 @dataclass(frozen=True, slots=True)
-class BadSettings:
+class InvalidSettings:
     """Settings that a process refuses to start with."""
 
     problems: tuple[str, ...]
 
 
-def read_settings(path: Path) -> Settings | BadSettings:
+def read_settings(path: Path) -> Settings | InvalidSettings:
     """Read and check the settings in ``path``."""
     try:
         if path.stat().st_size > MAX_SETTINGS_BYTES:
-            return BadSettings((f"{path}: longer than {MAX_SETTINGS_BYTES} bytes",))
+            return InvalidSettings((f"{path}: longer than {MAX_SETTINGS_BYTES} bytes",))
         text = path.read_text(encoding="utf-8")
     except (OSError, UnicodeDecodeError) as error:
-        return BadSettings((f"{path}: {error}",))
+        return InvalidSettings((f"{path}: {error}",))
     return check_settings(text, str(path))
 
 
-def check_settings(text: str, name: str) -> Settings | BadSettings:
+def check_settings(text: str, name: str) -> Settings | InvalidSettings:
     """Check the settings in ``text``; ``name`` stands before each problem."""
     document = parse_document(text)
     if isinstance(document, SyntaxProblem):
         place = f"{name}:{document.position.line}:{document.position.column}"
-        return BadSettings((f"{place}: {document.message}",))
+        return InvalidSettings((f"{place}: {document.message}",))
     try:
         return Settings.model_validate(document.value)
     except ValidationError as error:
-        return BadSettings(tuple(_describe(name, document, item) for item in error.errors()))
+        return InvalidSettings(tuple(_describe(name, document, item) for item in error.errors()))
 
 
 def _describe(name: str, document: Document, error: ErrorDetails) -> str:
--- a/src/masticgate/process/_status.py
+++ b/src/masticgate/process/_status.py
@@ -17,7 +17,7 @@
         "host": runtime.own,
         "incarnation": runtime.incarnation,
         "revision": configuration.revision if configuration else 0,
-        "refused_revision": runtime.versions.refused,
+        "refused_revision": runtime.versions.highest_refused,
         "problems": list(runtime.versions.problems),
         "watcher": role.watching,
         "snapshots": [s.version for s in runtime.versions.catalogue.snapshots],
--- a/src/masticgate/process/_versions.py
+++ b/src/masticgate/process/_versions.py
@@ -24,13 +24,13 @@
 )
 from ._timeline import EventKind, TimeLine
 
-MAX_OUTLINES = 64
+MAX_DIGEST_REVISIONS = 64
 """How many earlier revisions' digests are kept, to send others only what changed since."""
 
-MAX_REFUSALS = 64
+MAX_REFUSED_REVISIONS = 64
 
 
-class Offered(Enum):
+class OfferResult(Enum):
     """What became of a text that was offered."""
 
     IN_FORCE = "in_force"
@@ -46,7 +46,7 @@
 class VersionStore:
     """Holds the configuration and the snapshot catalogue in force.
 
-    With ``starting`` set, nothing is in force until :meth:`open`.
+    With ``starting`` set, nothing is in force until :meth:`activate`.
     """
 
     def __init__(
@@ -62,9 +62,9 @@
         self.notify_lock = Lock()
         self.accepted: Configuration | None = None
         self.sections = NO_SECTIONS
-        self.outlines: dict[Revision, Mapping[SectionId, Digest]] = {}
-        self.refused = Revision(0)
-        self.refusals: frozenset[Revision] = frozenset()
+        self.digests_by_revision: dict[Revision, Mapping[SectionId, Digest]] = {}
+        self.highest_refused = Revision(0)
+        self.refused_revisions: frozenset[Revision] = frozenset()
         self.problems: tuple[str, ...] = ()
         self.catalogue = SnapshotCatalogue()
         self.catalogue_text = ""
@@ -81,38 +81,38 @@
         revision = accepted.revision if accepted else Revision(0)
         return Versions(revision, self.catalogue.newest)
 
-    def has_judged(self, revision: Revision) -> bool:
+    def has_processed(self, revision: Revision) -> bool:
         """Tell whether ``revision`` can change nothing here: it is refused, or not newer."""
-        return revision <= self.versions().revision or revision in self.refusals
+        return revision <= self.versions().revision or revision in self.refused_revisions
 
-    def open(self) -> None:
+    def activate(self) -> None:
         """Put what a starting host has accepted in force."""
         self.starting = False
-        self._notify()
+        self._notify_configuration()
 
     def offer_text(self, text: str, revision: Revision) -> bool:
         """Put ``text`` in force if it is newer and acceptable; tell whether it now is."""
         with self.lock:
-            offered = self._judge(text, revision)
-        if offered is Offered.IN_FORCE:
-            self._notify()
-        return offered is Offered.IN_FORCE
+            offered = self._apply_text(text, revision)
+        if offered is OfferResult.IN_FORCE:
+            self._notify_configuration()
+        return offered is OfferResult.IN_FORCE
 
-    def offer_sections(self, push: SectionsPush) -> Offered:
+    def offer_sections(self, push: SectionsPush) -> OfferResult:
         """Put the text that ``push`` makes of this host's own in force, if it is acceptable."""
         with self.lock:
-            offered = self._judge_sections(push)
-        if offered is Offered.IN_FORCE:
-            self._notify()
+            offered = self._apply_sections(push)
+        if offered is OfferResult.IN_FORCE:
+            self._notify_configuration()
         return offered
 
-    def newer_than(self, have: Revision) -> SectionsPush | TextPush | None:
+    def build_push(self, have: Revision) -> SectionsPush | TextPush | None:
         """Return what turns the text at ``have`` into the one here, ``None`` if it is no older."""
         with self.lock:
             revision = self.versions().revision
             if revision <= have:
                 return None
-            known = self.outlines.get(have)
+            known = self.digests_by_revision.get(have)
             if known is not None:
                 return self.sections.changes_since(have, known, revision)
             return TextPush(revision, self.sections.join() or "")
@@ -148,52 +148,54 @@
             lacking = (published - set(held)) | {snapshot}
             self.gone = {**self.gone, service: frozenset(lacking & published)}
 
-    def _judge_sections(self, push: SectionsPush) -> Offered:
-        if self.has_judged(push.revision):
-            return Offered.NOT_NEWER
+    def _apply_sections(self, push: SectionsPush) -> OfferResult:
+        if self.has_processed(push.revision):
+            return OfferResult.NOT_NEWER
         if push.base != self.versions().revision:
-            return Offered.OTHER_BASE
+            return OfferResult.OTHER_BASE
         sections = self.sections.apply(push)
         text = sections.join() if sections else None
         if text is None:
-            return Offered.OTHER_TEXT
-        return self._judge(text, push.revision)
+            return OfferResult.OTHER_TEXT
+        return self._apply_text(text, push.revision)
 
-    def _judge(self, text: str, revision: Revision) -> Offered:
-        if self.has_judged(revision):
-            return Offered.NOT_NEWER
+    def _apply_text(self, text: str, revision: Revision) -> OfferResult:
+        if self.has_processed(revision):
+            return OfferResult.NOT_NEWER
         match accept_text(text, revision):
             case Accepted(configuration=configuration):
-                self._put_in_force(configuration)
-                return Offered.IN_FORCE
+                self._apply_configuration(configuration)
+                return OfferResult.IN_FORCE
             case Refused(problems=problems):
                 self._refuse(revision, tuple(map(str, problems)))
-                return Offered.REFUSED
+                return OfferResult.REFUSED
 
     def _refuse(self, revision: Revision, problems: tuple[str, ...]) -> None:
-        self.refusals = frozenset(sorted({*self.refusals, revision})[-MAX_REFUSALS:])
-        if revision > self.refused:
-            self.refused = revision
+        self.refused_revisions = frozenset(
+            sorted({*self.refused_revisions, revision})[-MAX_REFUSED_REVISIONS:]
+        )
+        if revision > self.highest_refused:
+            self.highest_refused = revision
             self.problems = problems
         self.timeline.add(EventKind.TEXT_REFUSED, f"revision {revision}", problems[0])
 
-    def _put_in_force(self, configuration: Configuration) -> None:
+    def _apply_configuration(self, configuration: Configuration) -> None:
         before = self.accepted.leaving if self.accepted else frozenset()
         self.sections = split_sections(configuration)
-        self._keep_outline(configuration.revision, self.sections)
+        self._store_digests(configuration.revision, self.sections)
         self.accepted = configuration
-        if configuration.revision > self.refused:
+        if configuration.revision > self.highest_refused:
             self.problems = ()
         self.timeline.add(EventKind.TEXT_ACCEPTED, f"revision {configuration.revision}")
         for department in sorted(configuration.leaving - before):
             self.timeline.add(EventKind.DEPARTMENT_LEAVING, department)
 
-    def _keep_outline(self, revision: Revision, sections: Sections) -> None:
-        self.outlines[revision] = sections.digests
-        if len(self.outlines) > MAX_OUTLINES:
-            del self.outlines[min(self.outlines)]
+    def _store_digests(self, revision: Revision, sections: Sections) -> None:
+        self.digests_by_revision[revision] = sections.digests
+        if len(self.digests_by_revision) > MAX_DIGEST_REVISIONS:
+            del self.digests_by_revision[min(self.digests_by_revision)]
 
-    def _notify(self) -> None:
+    def _notify_configuration(self) -> None:
         """Tell of the configuration in force; the last call always tells of the latest."""
         with self.notify_lock:
             configuration = self.configuration
--- a/src/masticgate/process/_watch.py
+++ b/src/masticgate/process/_watch.py
@@ -12,40 +12,40 @@
 from .._ids import Millis, Revision
 from ..connection import ListedHost, PlatformReader, Unchanged, Value
 from ..version import WATCHERS_PER_DOMAIN
-from ._backoff import LEAST_JITTER, RETRY_LONGEST, Backoff
+from ._backoff import MAX_RETRY_DELAY, MIN_JITTER, Backoff
 from ._timeline import EventKind, TimeLine
 from ._watch_role import WatchRole
 
-WATCH_WAIT = Millis(20_000.0)
+WATCH_TIMEOUT = Millis(20_000.0)
 HOST_LIST_INTERVAL = Millis(2000.0)
-LEAST_READ_INTERVAL = Millis(200.0)
+MIN_READ_INTERVAL = Millis(200.0)
 """The delay after each new value, so that a flood of edits is read at a bounded rate."""
 
 WATCHED_KEYS = 2
-READS_AT_START = WATCHED_KEYS + 1
+READS_PER_START = WATCHED_KEYS + 1
 
 
 def most_reads(domains: int, duration: Millis, changes: int, starts: int) -> int:
     """Return the most reads of the platform within ``duration``, however many hosts there are.
 
     Each of the ``WATCHERS_PER_DOMAIN`` watchers of a failure domain reads the host list once in
-    ``HOST_LIST_INTERVAL``, each key once in ``WATCH_WAIT`` and once again after each of
+    ``HOST_LIST_INTERVAL``, each key once in ``WATCH_TIMEOUT`` and once again after each of
     ``changes`` new values; one read more of each may fall into the duration at its edge. Each of
     ``starts`` starting hosts reads each of them once.
 
     In an outage a watcher's three reads are each retried after half to all of
-    ``RETRY_LONGEST``. Even if every host is cut off from all others and watches for itself, and
+    ``MAX_RETRY_DELAY``. Even if every host is cut off from all others and watches for itself, and
     the platform is down, the rate is at most hosts x 3 / 5 s: 1,980 a second for 3,300 hosts.
     """
     watchers = domains * WATCHERS_PER_DOMAIN
     listings = ceil(duration / HOST_LIST_INTERVAL) + 1
-    polls = WATCHED_KEYS * (ceil(duration / WATCH_WAIT) + 1)
-    return watchers * (listings + polls + changes) + starts * READS_AT_START
+    polls = WATCHED_KEYS * (ceil(duration / WATCH_TIMEOUT) + 1)
+    return watchers * (listings + polls + changes) + starts * READS_PER_START
 
 
 def most_outage_reads_per_second(watchers: int) -> float:
     """Return the most reads a second by ``watchers`` hosts once the platform stays down."""
-    return watchers * READS_AT_START * MILLIS_PER_SECOND / (LEAST_JITTER * RETRY_LONGEST)
+    return watchers * READS_PER_START * MILLIS_PER_SECOND / (MIN_JITTER * MAX_RETRY_DELAY)
 
 
 class KeyWatch:
@@ -72,7 +72,7 @@
 
     def run(self) -> None:
         """Watch whenever this host is a watcher, until the process stops."""
-        while self.role.await_turn(self.reader.allow):
+        while self.role.wait_until_watching(self.reader.allow):
             self.role.wait(self.read_once())
         self.reader.close()
 
@@ -83,23 +83,23 @@
         more often than one that is down.
         """
         started = self.clock.now()
-        result = self.reader.watch(self.key, self.revision, WATCH_WAIT)
+        result = self.reader.watch(self.key, self.revision, WATCH_TIMEOUT)
         if isinstance(result, Unknown) and not self.role.watching:
             return Millis(0.0)
-        self._note_lost(isinstance(result, Unknown))
+        self._record_lost(isinstance(result, Unknown))
         match result:
             case Value(revision=revision) if revision > self.revision:
                 self.revision = revision
                 self.on_value(result)
                 self.backoff.reset()
-                return LEAST_READ_INTERVAL
-            case Unchanged() if self.clock.now() - started >= WATCH_WAIT / 2:
+                return MIN_READ_INTERVAL
+            case Unchanged() if self.clock.now() - started >= WATCH_TIMEOUT / 2:
                 self.backoff.reset()
                 return Millis(0.0)
             case _:
-                return self.backoff.next()
+                return self.backoff.next_delay()
 
-    def _note_lost(self, lost: bool) -> None:
+    def _record_lost(self, lost: bool) -> None:
         if lost != self.lost and not self.role.stopped:
             kind = EventKind.PLATFORM_LOST if lost else EventKind.PLATFORM_BACK
             self.timeline.add(kind, self.key)
@@ -122,7 +122,7 @@
 
     def run(self) -> None:
         """Read whenever this host is a watcher; a failed read changes nothing."""
-        while self.role.await_turn(self.reader.allow):
+        while self.role.wait_until_watching(self.reader.allow):
             self.role.wait(self.read_once())
         self.reader.close()
 
@@ -130,7 +130,7 @@
         """Read the list and return the delay before the next read."""
         hosts = self.reader.list_hosts()
         if isinstance(hosts, Unknown):
-            return max(HOST_LIST_INTERVAL, self.backoff.next())
+            return max(HOST_LIST_INTERVAL, self.backoff.next_delay())
         self.backoff.reset()
         self.on_hosts(hosts)
         return HOST_LIST_INTERVAL
--- a/src/masticgate/process/_watch_role.py
+++ b/src/masticgate/process/_watch_role.py
@@ -7,7 +7,7 @@
 from .._ids import Millis
 from ._timeline import EventKind, TimeLine
 
-TURN_WAIT = Millis(60_000.0)
+ROLE_CHECK_INTERVAL = Millis(60_000.0)
 
 
 class WatchRole:
@@ -30,7 +30,7 @@
         self.timeline.add(EventKind.WATCH_CHANGED, self.timeline.host, what)
         return True
 
-    def await_turn(self, allow: Callable[[], None]) -> bool:
+    def wait_until_watching(self, allow: Callable[[], None]) -> bool:
         """Wait until this host watches, then call ``allow``; return ``False`` at the stop.
 
         An abort that follows the loss of the role cannot be undone by a late ``allow``, since the
@@ -38,7 +38,7 @@
         """
         with self.condition:
             while not self.watching and not self.stopped:
-                self.condition.wait(TURN_WAIT / MILLIS_PER_SECOND)
+                self.condition.wait(ROLE_CHECK_INTERVAL / MILLIS_PER_SECOND)
             if not self.stopped:
                 allow()
             return not self.stopped
--- a/src/masticgate/process/gateway/_follower.py
+++ b/src/masticgate/process/gateway/_follower.py
@@ -128,7 +128,7 @@
             self.log.write(
                 LogEvent.PLATFORM_LOST, detail=detail, version=version, age_ms=round(self.age())
             )
-        wait = self.backoff.next()
+        wait = self.backoff.next_delay()
         if self.table is None:
             wait = min(wait, MAX_RETRY_DELAY_UNREADY)
         self.stopping.wait(wait / MILLIS_PER_SECOND)
--- a/tests/process/test_fetches.py
+++ b/tests/process/test_fetches.py
@@ -78,7 +78,7 @@
     def takes(self, push) -> list[object]:
         """Return what this node asks after it got ``push``."""
         self.answers.clear()
-        self.distribution.take_push(push, self.answer)
+        self.distribution.handle_push(push, self.answer)
         return list(self.answers)
 
     def answer(self, message) -> bool:
--- a/tests/process/test_versions.py
+++ b/tests/process/test_versions.py
@@ -20,12 +20,12 @@
     Unknown,
 )
 from masticgate.connection import PlatformReader, Unchanged, Value
-from masticgate.process._backoff import RETRY_LONGEST, Backoff
+from masticgate.process._backoff import MAX_RETRY_DELAY, Backoff
 from masticgate.process._startup import StartState, Startup
 from masticgate.process._timeline import EventKind, TimeLine
-from masticgate.process._versions import MAX_OUTLINES, Offered, VersionStore
+from masticgate.process._versions import MAX_DIGEST_REVISIONS, OfferResult, VersionStore
 from masticgate.process._watch import (
-    LEAST_READ_INTERVAL,
+    MIN_READ_INTERVAL,
     KeyWatch,
     most_outage_reads_per_second,
     most_reads,
@@ -82,11 +82,11 @@
     def hear_the_peer(self, index, have):
         store, peer = self.stores[index], self.stores[1 - index]
         asked = store.versions().revision if have > 6 else Revision(have)
-        match peer.newer_than(asked):
+        match peer.build_push(asked):
             case SectionsPush(base=base) as push:
                 fits = base == store.versions().revision
                 offered = store.offer_sections(push)
-                assert fits or offered in (Offered.OTHER_BASE, Offered.NOT_NEWER)
+                assert fits or offered in (OfferResult.OTHER_BASE, OfferResult.NOT_NEWER)
                 self.offered[index].add(store.versions().revision)
             case TextPush(revision=revision, text=text):
                 store.offer_text(text, revision)
@@ -125,7 +125,7 @@
         assert store.configuration.revision == 3
         assert store.problems[0].startswith("line 8, column ")
         assert kinds(store) == [EventKind.TEXT_ACCEPTED, EventKind.TEXT_REFUSED]
-        assert store.newer_than(Revision(3)) is None
+        assert store.build_push(Revision(3)) is None
         assert store.offer_text(text_at(5), Revision(5))
         assert store.problems == ()
 
@@ -142,18 +142,18 @@
 class TestOutlines:
     def test_are_kept_for_the_latest_revisions_only(self):
         store = new_store()
-        for revision in range(1, MAX_OUTLINES + 3):
+        for revision in range(1, MAX_DIGEST_REVISIONS + 3):
             store.offer_text(text_at(1), Revision(revision))
-        assert isinstance(store.newer_than(Revision(1)), TextPush)
-        assert isinstance(store.newer_than(Revision(3)), SectionsPush)
+        assert isinstance(store.build_push(Revision(1)), TextPush)
+        assert isinstance(store.build_push(Revision(3)), SectionsPush)
 
     def test_of_another_text_under_the_same_revision_are_noticed(self):
         ours, theirs = new_store(), new_store()
         ours.offer_text(text_at(1), Revision(1))
         theirs.offer_text(text_at(2).replace('"orders": {}', '"orders": {"leaving": true}'), 1)
         theirs.offer_text(text_at(3).replace('"orders": {}', '"orders": {"leaving": true}'), 2)
-        assert ours.offer_sections(theirs.newer_than(Revision(1))) is Offered.OTHER_TEXT
-        whole = theirs.newer_than(Revision(0))
+        assert ours.offer_sections(theirs.build_push(Revision(1))) is OfferResult.OTHER_TEXT
+        whole = theirs.build_push(Revision(0))
         assert ours.offer_text(whole.text, whole.revision)
         assert ours.configuration == theirs.configuration
 
@@ -166,7 +166,7 @@
 
     def hear(self, startup: Startup, *names: str, revision: int = 0) -> None:
         for name in names:
-            startup.note_peer(HostId(name), self.seeds[HostId(name)], Versions(revision, 0))
+            startup.record_peer(HostId(name), self.seeds[HostId(name)], Versions(revision, 0))
 
     def wait(self, startup: Startup, duration: float = 0.0) -> StartState:
         return startup.wait(Millis(startup.clock.now() + duration))
@@ -176,15 +176,15 @@
         store = new_store(told.append, starting=True)
         store.offer_text(text_at(1), Revision(1))
         assert store.configuration is None and not told
-        assert isinstance(store.newer_than(Revision(0)), TextPush)
-        store.open()
+        assert isinstance(store.build_push(Revision(0)), TextPush)
+        store.activate()
         assert [c.revision for c in told] == [1] and store.configuration.revision == 1
 
     def test_needs_the_platform_and_peers_in_two_failure_domains(self):
         startup = self.startup()
         assert self.wait(startup) is StartState.ALONE
         self.hear(startup, "h2", "h3")
-        startup.note_platform(True)
+        startup.record_platform_read(True)
         assert self.wait(startup) is StartState.PARTIAL
         self.hear(startup, "h4")
         assert self.wait(startup) is StartState.COMPLETE
@@ -192,12 +192,12 @@
     def test_goes_on_without_the_platform_once_peers_answered(self):
         startup = self.startup()
         self.hear(startup, "h2", "h3", "h4")
-        startup.note_platform(False)
+        startup.record_platform_read(False)
         assert self.wait(startup) is StartState.COMPLETE
 
     def test_waits_for_the_highest_version_that_a_peer_has(self):
         startup = self.startup()
-        startup.note_platform(True)
+        startup.record_platform_read(True)
         self.hear(startup, "h2", "h4")
         self.hear(startup, "h3", revision=7)
         startup.versions.offer_text(text_at(1), Revision(5))
@@ -205,7 +205,7 @@
         with ThreadPoolExecutor(1) as tasks:
             waiting = tasks.submit(self.wait, startup, 10_000.0)
             startup.versions.offer_text(text_at(1), Revision(7))
-            startup.note_change()
+            startup.notify_change()
             assert waiting.result() is StartState.COMPLETE
 
 
@@ -218,12 +218,12 @@
 
     def test_backs_off_with_jitter_up_to_a_cap(self):
         backoff = Backoff()
-        waits = [backoff.next() for _ in range(200)]
-        assert waits[0] <= 500 and max(waits) <= RETRY_LONGEST
-        assert min(waits[10:]) >= RETRY_LONGEST / 2
+        waits = [backoff.next_delay() for _ in range(200)]
+        assert waits[0] <= 500 and max(waits) <= MAX_RETRY_DELAY
+        assert min(waits[10:]) >= MAX_RETRY_DELAY / 2
         assert len(set(waits)) > 150
         backoff.reset()
-        assert backoff.next() <= 500
+        assert backoff.next_delay() <= 500
 
 
 class StaleReader:
@@ -253,12 +253,12 @@
         watch, taken = self.watch(new, old, new, old)
         delays = [watch.read_once() for _ in range(4)]
         assert taken == [5] and watch.revision == 5
-        assert delays[0] == LEAST_READ_INTERVAL and min(delays[1:]) >= 250
+        assert delays[0] == MIN_READ_INTERVAL and min(delays[1:]) >= 250
         assert delays[3] > delays[1]
 
     def test_does_not_spin_where_every_watch_returns_at_once(self):
         watch, _ = self.watch(*[Unchanged()] * 9)
-        assert [watch.read_once() for _ in range(9)][-1] >= RETRY_LONGEST / 2
+        assert [watch.read_once() for _ in range(9)][-1] >= MAX_RETRY_DELAY / 2
 
     def test_notes_an_outage_and_its_end_once(self):
         lost = Unknown(Reason.PLATFORM, Step.READ)
@@ -275,9 +275,9 @@
         reader = PlatformReader(Address("127.0.0.1:9"), Address("127.0.0.1:9"))
         reader.abort()
         assert role.update(True) and not role.update(True)
-        assert role.await_turn(reader.allow)
+        assert role.wait_until_watching(reader.allow)
         assert not reader.values.aborted and not reader.hosts.aborted
         reader.abort()
         role.stop()
-        assert not role.await_turn(reader.allow)
+        assert not role.wait_until_watching(reader.allow)
         assert reader.values.aborted and reader.hosts.aborted
--- a/tests/test_operators_pages.py
+++ b/tests/test_operators_pages.py
@@ -10,7 +10,7 @@
 
 from masticgate import Reason
 from masticgate.process import Settings, check_settings
-from masticgate.process._settings import PlatformText, SeedText, StatsdText
+from masticgate.process._settings import PlatformSettings, SeedSettings, StatsdSettings
 from masticgate.process._timeline import EventKind
 from masticgate.process.commands import main
 from masticgate.process.gateway._log import LogEvent
@@ -26,7 +26,12 @@
 
 ROOT = Path(__file__).resolve().parents[1]
 PAGES = ROOT / "docs" / "operators"
-SETTINGS = {"": Settings, "platform.": PlatformText, "seeds[].": SeedText, "statsd.": StatsdText}
+SETTINGS = {
+    "": Settings,
+    "platform.": PlatformSettings,
+    "seeds[].": SeedSettings,
+    "statsd.": StatsdSettings,
+}
 TEXT = {
     "": ConfigurationText,
     "floors.": FloorsText,
--- a/tests/version/test_text.py
+++ b/tests/version/test_text.py
@@ -7,7 +7,7 @@
 from hypothesis import strategies as st
 
 from masticgate import Revision
-from masticgate.process import BadSettings, Settings, check_settings
+from masticgate.process import InvalidSettings, Settings, check_settings
 from masticgate.version import (
     Accepted,
     Document,
@@ -109,7 +109,7 @@
     def test_a_text_gets_a_verdict(self, text):
         assert isinstance(parse_document(text), Document | SyntaxProblem)
         assert isinstance(accept_text(text, Revision(1)), Accepted | Refused)
-        assert isinstance(check_settings(text, "x"), Settings | BadSettings)
+        assert isinstance(check_settings(text, "x"), Settings | InvalidSettings)
         assert isinstance(read_catalogue(text), SnapshotCatalogue | None)
 
     @RUNS
