--- a/src/masticgate/__init__.py
+++ b/src/masticgate/__init__.py
@@ -8,7 +8,7 @@
 from ._failures import Reason as Reason
 from ._failures import Step as Step
 from ._failures import Unknown as Unknown
-from ._failures import describe as describe
+from ._failures import describe_failure as describe_failure
 from ._ids import Address as Address
 from ._ids import DepartmentId as DepartmentId
 from ._ids import FailureDomainId as FailureDomainId
--- a/src/masticgate/_clock.py
+++ b/src/masticgate/_clock.py
@@ -51,6 +51,6 @@
         self.current = Millis(self.current + duration)
 
 
-def seconds_until(deadline: Millis, clock: Clock) -> float:
+def remaining_seconds(deadline: Millis, clock: Clock) -> float:
     """Return the seconds left before ``deadline``, never less than zero."""
     return max(0.0, deadline - clock.now()) / MILLIS_PER_SECOND
--- a/src/masticgate/_failures.py
+++ b/src/masticgate/_failures.py
@@ -77,7 +77,7 @@
 Failure = NotRun | Unknown
 
 
-def describe(failure: Failure) -> str:
+def describe_failure(failure: Failure) -> str:
     """Return one line that a person can read."""
     outcome = "not run" if isinstance(failure, NotRun) else "unknown"
     parts = [f"{outcome}: {failure.reason.value} at {failure.step.value}"]
--- a/src/masticgate/_ranks.py
+++ b/src/masticgate/_ranks.py
@@ -16,7 +16,7 @@
         return self.name.lower()
 
     @classmethod
-    def of(cls, label: str) -> "Rank":
+    def from_label(cls, label: str) -> "Rank":
         """Return the rank named ``label``.
 
         :raises KeyError: no rank has that name.
--- a/src/masticgate/connection/_caller_app.py
+++ b/src/masticgate/connection/_caller_app.py
@@ -11,7 +11,7 @@
 from werkzeug.routing import Map, Rule
 from werkzeug.wrappers import Request, Response
 
-from .._failures import Failure, NotRun, Reason, Step, describe
+from .._failures import Failure, NotRun, Reason, Step, describe_failure
 from .._ids import Millis, ServiceId, TicketId
 from .._ranks import Rank
 from ..request import Answer, BookingOutcome, Ran
@@ -231,7 +231,7 @@
         "step": failure.step.value,
         "peer": failure.peer,
         "detail": failure.detail,
-        "message": describe(failure),
+        "message": describe_failure(failure),
     }
 
 
@@ -280,7 +280,7 @@
 
 def _read_rank(label: str) -> Rank | NotRun:
     try:
-        return Rank.of(label)
+        return Rank.from_label(label)
     except KeyError:
         return NotRun(Reason.BAD_REQUEST, Step.READ, detail=f"no rank {label!r}")
 
--- a/src/masticgate/connection/_request_structs.py
+++ b/src/masticgate/connection/_request_structs.py
@@ -23,7 +23,7 @@
     Ran,
     Reply,
     ServicePart,
-    SubReply,
+    ServiceResult,
     VersionGone,
 )
 from ._struct_list import write_list
@@ -84,7 +84,7 @@
     return Reply(QueryId(source.query), ServiceId(source.service), _read_result(source.result))
 
 
-def _read_result(source: Any) -> SubReply:
+def _read_result(source: Any) -> ServiceResult:
     match str(source.which()):
         case "hits":
             return _read_hits(source.hits)
--- a/src/masticgate/connection/_searcher.py
+++ b/src/masticgate/connection/_searcher.py
@@ -18,7 +18,7 @@
     SearchWork,
     ServicePool,
 )
-from ..request import BookingOutcome, Hit, Hits, Ran, SubReply, VersionGone
+from ..request import BookingOutcome, Hit, Hits, Ran, ServiceResult, VersionGone
 from ..version import Searcher
 from ._http_call import HttpCall, HttpLost, HttpReply
 
@@ -117,7 +117,9 @@
             pool.finish(attempt, _book(call, work, attempt, clock))
 
 
-def _search(call: HttpCall, work: SearchWork, attempt: SearcherAttempt, clock: Clock) -> SubReply:
+def _search(
+    call: HttpCall, work: SearchWork, attempt: SearcherAttempt, clock: Clock
+) -> ServiceResult:
     remaining = Millis(work.deadline - clock.now())
     body = {
         "query": work.query,
@@ -137,7 +139,7 @@
             return _read_failure(reply, attempt)
 
 
-def _read_hits(body: bytes, work: SearchWork, searcher: SearcherId) -> SubReply:
+def _read_hits(body: bytes, work: SearchWork, searcher: SearcherId) -> ServiceResult:
     try:
         text = _HitsText.model_validate_json(body)
     except ValidationError:
@@ -152,7 +154,7 @@
     return Hits(SnapshotVersion(text.snapshot), tuple(map(ShardId, text.shards)), hits)
 
 
-def _read_gone(body: bytes, work: SearchWork, searcher: SearcherId) -> SubReply:
+def _read_gone(body: bytes, work: SearchWork, searcher: SearcherId) -> ServiceResult:
     try:
         held = _GoneText.model_validate_json(body).held
     except ValidationError:
--- a/src/masticgate/connection/gateway/_encoding.py
+++ b/src/masticgate/connection/gateway/_encoding.py
@@ -3,7 +3,7 @@
 from http import HTTPStatus
 
 from ..._clock import MILLIS_PER_SECOND
-from ..._failures import describe
+from ..._failures import describe_failure
 from ..._ids import Millis, SearcherId
 from ...request.gateway import (
     Answered,
@@ -55,13 +55,13 @@
             )
             return _encode_message(200, headers, records, close)
         case Refused(status=status, failure=failure, retry_after=retry_after):
-            body = describe(failure).encode()
+            body = describe_failure(failure).encode()
             if retry_after is None:
                 return _encode_message(status, (), body, close)
             seconds = b"%.3f" % (retry_after / MILLIS_PER_SECOND)
             return _encode_message(status, ((b"Retry-After", seconds),), body, close)
         case Failed(status=status, failure=failure):
-            return _encode_message(status, (), describe(failure).encode(), close)
+            return _encode_message(status, (), describe_failure(failure).encode(), close)
         case LocalPage(status=status, body=body):
             return _encode_message(status, (), body, close)
         case _:
--- a/src/masticgate/process/_owner.py
+++ b/src/masticgate/process/_owner.py
@@ -13,7 +13,7 @@
     Cancel,
     Reply,
     ServicePart,
-    SubReply,
+    ServiceResult,
 )
 from ..version import Configuration
 from ._booking_log import BookingLog
@@ -76,7 +76,7 @@
             pool.cancel(cancel.query)
 
     def _submit_part(self, ask: Ask, part: ServicePart, send_reply: SendReply) -> None:
-        def deliver(result: SubReply) -> None:
+        def deliver(result: ServiceResult) -> None:
             send_reply(Reply(ask.query, part.service, result))
 
         work = SearchWork(
--- a/src/masticgate/process/_server.py
+++ b/src/masticgate/process/_server.py
@@ -5,7 +5,7 @@
 from concurrent.futures import Future, ThreadPoolExecutor, wait
 from threading import Event
 
-from .._clock import MILLIS_PER_SECOND, Clock, SystemClock, seconds_until
+from .._clock import MILLIS_PER_SECOND, Clock, SystemClock, remaining_seconds
 from .._ids import Address, FailureDomainId, HostId, Incarnation, Millis
 from .._ranks import Rank
 from ..connection import (
@@ -113,7 +113,7 @@
         self.caller_server.stop()
         self.caller_server.await_closed(Millis(max(0.0, end - self.clock.now())))
         self.pools.stop()
-        wait(list(self.connections), seconds_until(end, self.clock))
+        wait(list(self.connections), remaining_seconds(end, self.clock))
         self.stopping.set()
         self.distribution.stop()
         self.links.stop()
--- a/src/masticgate/process/_startup.py
+++ b/src/masticgate/process/_startup.py
@@ -4,7 +4,7 @@
 from enum import Enum
 from threading import Condition
 
-from .._clock import Clock, seconds_until
+from .._clock import Clock, remaining_seconds
 from .._ids import FailureDomainId, HostId, Millis, Revision
 from ..version import Versions
 from ._versions import VersionStore
@@ -66,7 +66,7 @@
     def wait(self, deadline: Millis) -> StartState:
         """Wait until enough was heard, at most until ``deadline``."""
         with self.condition:
-            self.condition.wait_for(self._is_complete, seconds_until(deadline, self.clock))
+            self.condition.wait_for(self._is_complete, remaining_seconds(deadline, self.clock))
             if self._is_complete():
                 return StartState.COMPLETE
             answered = self.platform_answered or self.peer_versions
--- a/src/masticgate/process/_work.py
+++ b/src/masticgate/process/_work.py
@@ -6,7 +6,7 @@
 
 from .._ids import Millis, QueryId, SearcherId, ServiceId, ShardId, SnapshotVersion, TicketId
 from .._ranks import Rank
-from ..request import BookingOutcome, SubReply
+from ..request import BookingOutcome, ServiceResult
 from ._searcher_health import SearcherHealth
 
 
@@ -22,7 +22,7 @@
     deadline: Millis
     admission_number: float
     text: str
-    deliver: Callable[[SubReply], None]
+    deliver: Callable[[ServiceResult], None]
 
 
 @dataclass(frozen=True, slots=True)
@@ -50,7 +50,7 @@
     DONE = "done"
 
 
-Result = SubReply | BookingOutcome
+Result = ServiceResult | BookingOutcome
 
 
 @dataclass(slots=True, eq=False)
--- a/src/masticgate/process/gateway/_service.py
+++ b/src/masticgate/process/gateway/_service.py
@@ -4,7 +4,7 @@
 from collections.abc import Callable
 from dataclasses import dataclass, replace
 
-from ..._failures import NotRun, Reason, Step, Unknown, describe
+from ..._failures import NotRun, Reason, Step, Unknown, describe_failure
 from ..._ids import ConfigurationVersion, Millis, RouteId, ServiceId
 from ...connection.gateway import parse_missing_shards
 from ...request.gateway import (
@@ -260,9 +260,9 @@
                 f"status {answer.status} of {answer.searcher}, {attempts_summary}",
             )
         case Refused(status=status, failure=failure):
-            return f"refused_{status}", describe(failure)
+            return f"refused_{status}", describe_failure(failure)
         case Failed(status=status, failure=failure):
-            return f"failed_{status}", describe(failure)
+            return f"failed_{status}", describe_failure(failure)
         case Abandoned():
             return "caller_left", ""
         case _:
--- a/src/masticgate/request/_booking.py
+++ b/src/masticgate/request/_booking.py
@@ -7,7 +7,7 @@
 from queue import Empty
 from typing import Protocol
 
-from .._clock import seconds_until
+from .._clock import remaining_seconds
 from .._failures import NotRun, Reason, Step, Unknown
 from .._ids import HostId, Incarnation, Millis, QueryId, ServiceId, TicketId
 from .._ranks import Rank
@@ -17,7 +17,7 @@
 ANSWER_RESERVE = Millis(5.0)
 """Kept back from the deadline for returning the outcome to the caller."""
 
-CANCEL_WAIT = Millis(50.0)
+CANCEL_TIMEOUT = Millis(50.0)
 """How long an owner may take to confirm that a cancelled booking did not run."""
 
 
@@ -70,7 +70,7 @@
         case NotRun() | Unknown():
             return begun
         case Future():
-            return _join(booking, begun, runtime)
+            return _join_attempt(booking, begun, runtime)
         case Attempt():
             return _run_attempt(booking, begun, tickets, runtime)
 
@@ -88,9 +88,11 @@
     return outcome
 
 
-def _join(booking: Booking, running: "Future[BookingOutcome]", runtime: Runtime) -> BookingOutcome:
+def _join_attempt(
+    booking: Booking, attempt_outcome: "Future[BookingOutcome]", runtime: Runtime
+) -> BookingOutcome:
     try:
-        return running.result(timeout=seconds_until(booking.deadline, runtime.clock))
+        return attempt_outcome.result(timeout=remaining_seconds(booking.deadline, runtime.clock))
     except FutureTimeout:
         return Unknown(Reason.DEADLINE, Step.TICKET)
 
@@ -107,12 +109,12 @@
         _remaining(booking, runtime),
         booking.payload,
     )
-    lost = Unknown(Reason.MINTER_LOST, Step.FORWARD, peer=booking.host)
+    minter_lost = Unknown(Reason.MINTER_LOST, Step.FORWARD, peer=booking.host)
     if runtime.send(booking.host, message, inbox) is not None:
-        return lost
+        return minter_lost
     reply = _await_reply(inbox, booking.deadline, runtime)
     runtime.discard_replies(booking.id)
-    return reply if reply is not None else lost
+    return reply if reply is not None else minter_lost
 
 
 def _send_once(booking: Booking, attempt: Attempt, runtime: Runtime) -> BookingOutcome:
@@ -149,7 +151,7 @@
 
 def _await_owner(booking: Booking, owner: HostId, inbox: Inbox, runtime: Runtime) -> BookingOutcome:
     end = Millis(booking.deadline - ANSWER_RESERVE)
-    reserve = min(CANCEL_WAIT, (end - runtime.clock.now()) / 2)
+    reserve = min(CANCEL_TIMEOUT, (end - runtime.clock.now()) / 2)
     outcome = _await_reply(inbox, Millis(end - reserve), runtime)
     if outcome is None:
         runtime.send(owner, Cancel(booking.id), None)
@@ -157,9 +159,9 @@
     return outcome or Unknown(Reason.DEADLINE, Step.FORWARD, peer=owner)
 
 
-def _await_reply(inbox: Inbox, until: Millis, runtime: Runtime) -> BookingOutcome | None:
+def _await_reply(inbox: Inbox, deadline: Millis, runtime: Runtime) -> BookingOutcome | None:
     try:
-        delivery = inbox.get(timeout=seconds_until(until, runtime.clock))
+        delivery = inbox.get(timeout=remaining_seconds(deadline, runtime.clock))
     except Empty:
         return None
     match delivery.message:
--- a/src/masticgate/request/_merge.py
+++ b/src/masticgate/request/_merge.py
@@ -12,7 +12,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Missing:
+class MissingShard:
     """A shard that the answer does not cover, and why."""
 
     service: ServiceId
@@ -34,7 +34,7 @@
     snapshot: SnapshotVersion
     coverage: float
     hits: tuple[Hit, ...]
-    missing: tuple[Missing, ...]
+    missing: tuple[MissingShard, ...]
 
     @property
     def whole(self) -> bool:
@@ -51,60 +51,64 @@
         self.merged: dict[ServiceId, frozenset[ShardId]] = {}
         self.failures: dict[ServiceId, Failure] = {}
         self.hits: list[Hit] = []
-        self.waiting = {s.id for s in scope.remaining if snapshot.shards_of(s.id)}
+        self.pending = {s.id for s in scope.remaining if snapshot.shards_of(s.id)}
 
     def add_hits(self, service: ServiceId, hits: Hits) -> bool:
         """Merge ``hits``; return ``False`` where they are late, duplicate or of another version."""
-        if service not in self.waiting or hits.snapshot != self.snapshot.version:
+        if service not in self.pending or hits.snapshot != self.snapshot.version:
             return False
-        known = self.snapshot.shards_of(service)
-        covered = frozenset(shard for shard in hits.shards if shard in known)
-        self.waiting.discard(service)
+        snapshot_shards = self.snapshot.shards_of(service)
+        covered = frozenset(shard for shard in hits.shards if shard in snapshot_shards)
+        self.pending.discard(service)
         self.merged[service] = covered
         self.hits.extend(hit for hit in hits.hits if hit.shard in covered)
         return True
 
     def add_failure(self, service: ServiceId, failure: Failure) -> None:
         """Give up on ``service``."""
-        if service in self.waiting:
-            self.waiting.discard(service)
+        if service in self.pending:
+            self.pending.discard(service)
             self.failures[service] = failure
 
-    def close(self, failure: Failure) -> None:
+    def fail_pending(self, failure: Failure) -> None:
         """Give up on every service still waited for."""
-        for service in tuple(self.waiting):
+        for service in tuple(self.pending):
             self.add_failure(service, failure)
 
-    def answer(self, query: QueryId, rank: Rank, limit: int) -> Answer:
+    def build_answer(self, query: QueryId, rank: Rank, limit: int) -> Answer:
         """Return the answer with its ``limit`` best hits and its true coverage."""
-        missing = tuple(self._missing())
+        missing = tuple(self._list_missing())
         coverage = 1.0 if not missing else self._coverage()
         hits = tuple(nlargest(limit, self.hits, key=lambda hit: (hit.score, hit.id)))
         return Answer(query, rank, self.snapshot.version, coverage, hits, missing)
 
     def _coverage(self) -> float:
-        merged = total = 0.0
-        mapped = 0
+        merged = needed_weight = 0.0
+        services_with_shards = 0
         for service in self.scope.needed:
             shards = self.snapshot.shards_of(service.id)
             covered = self.merged.get(service.id, frozenset())
-            total += sum(shards.values())
+            needed_weight += sum(shards.values())
             merged += sum(shards[shard] for shard in covered)
-            mapped += bool(shards)
-        unmapped = len(self._unmapped())
-        return _fraction(merged, total) * _fraction(mapped, mapped + unmapped)
+            services_with_shards += bool(shards)
+        services_without_shards = len(self._find_services_without_shards())
+        return _ratio(merged, needed_weight) * _ratio(
+            services_with_shards, services_with_shards + services_without_shards
+        )
 
-    def _missing(self) -> Iterable[Missing]:
+    def _list_missing(self) -> Iterable[MissingShard]:
         for service in self.scope.needed:
             covered = self.merged.get(service.id, frozenset())
             for shard in self.snapshot.shards_of(service.id):
                 if shard not in covered:
-                    yield Missing(service.id, shard, self._failure_of(service.id))
-        for name in self._unmapped():
+                    yield MissingShard(service.id, shard, self._failure_of(service.id))
+        for name in self._find_services_without_shards():
             detail = f"snapshot {self.snapshot.version} has no shards of it"
-            yield Missing(name, ShardId(""), NotRun(Reason.NO_SNAPSHOT, Step.PIN, name, detail))
+            yield MissingShard(
+                name, ShardId(""), NotRun(Reason.NO_SNAPSHOT, Step.PIN, name, detail)
+            )
 
-    def _unmapped(self) -> list[ServiceId]:
+    def _find_services_without_shards(self) -> list[ServiceId]:
         """Return the services to search that the shard map lacks; one for bookings needs none."""
         return [
             service.id
@@ -121,5 +125,5 @@
         return self.failures.get(service, default)
 
 
-def _fraction(part: float, whole: float) -> float:
+def _ratio(part: float, whole: float) -> float:
     return max(0.0, part / whole) if whole > 0 else 0.0
--- a/src/masticgate/request/_messages.py
+++ b/src/masticgate/request/_messages.py
@@ -43,7 +43,7 @@
     held: tuple[SnapshotVersion, ...]
 
 
-SubReply = Hits | VersionGone | NotRun | Unknown
+ServiceResult = Hits | VersionGone | NotRun | Unknown
 
 
 @dataclass(frozen=True, slots=True)
@@ -77,7 +77,7 @@
 
     query: QueryId
     service: ServiceId
-    result: SubReply
+    result: ServiceResult
 
 
 @dataclass(frozen=True, slots=True)
--- a/src/masticgate/request/_public.py
+++ b/src/masticgate/request/_public.py
@@ -5,7 +5,7 @@
 from ._booking import Tickets as Tickets
 from ._booking import run_booking as run_booking
 from ._merge import Answer as Answer
-from ._merge import Missing as Missing
+from ._merge import MissingShard as MissingShard
 from ._messages import Ask as Ask
 from ._messages import Book as Book
 from ._messages import BookingOutcome as BookingOutcome
@@ -19,7 +19,7 @@
 from ._messages import Ran as Ran
 from ._messages import Reply as Reply
 from ._messages import ServicePart as ServicePart
-from ._messages import SubReply as SubReply
+from ._messages import ServiceResult as ServiceResult
 from ._messages import VersionGone as VersionGone
 from ._runtime import Inbox as Inbox
 from ._runtime import Runtime as Runtime
--- a/src/masticgate/request/_search.py
+++ b/src/masticgate/request/_search.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass
 from queue import Empty
 
-from .._clock import seconds_until
+from .._clock import remaining_seconds
 from .._failures import Failure, NotRun, Reason, Step, Unknown
 from .._ids import HostId, Millis, QueryId, ServiceId, SnapshotVersion
 from .._ranks import Rank
@@ -18,10 +18,10 @@
 ANSWER_RESERVE = Millis(4.0)
 """Kept back from the deadline for the merge and for returning the answer to the caller."""
 
-SILENCE_CHECK = Millis(40.0)
+SILENCE_CHECK_INTERVAL = Millis(40.0)
 """How often a waiting search looks for owners that have gone silent."""
 
-RESTART_MINIMUM = Millis(25.0)
+MIN_RESTART_TIME = Millis(25.0)
 """A search restarts on another snapshot only with at least this much time left."""
 
 MAX_OWNERS_TRIED = 3
@@ -86,7 +86,7 @@
         tried |= {snapshot.version}
         attempt = _Attempt(query, scope, snapshot, tried, runtime)
         complete = attempt.run()
-        answer = attempt.merge.answer(query.id, query.rank, query.limit)
+        answer = attempt.merge.build_answer(query.id, query.rank, query.limit)
         if best is None or answer.coverage > best.coverage:
             best = answer
         if complete:
@@ -113,32 +113,34 @@
         self.inbox: Inbox = runtime.open_inbox()
         self.tried: dict[ServiceId, list[HostId]] = defaultdict(list)
         self.unanswered: set[tuple[ServiceId, HostId]] = set()
-        self.restart = False
-        self.next_check = Millis(runtime.clock.now() + SILENCE_CHECK)
+        self.restart_needed = False
+        self.next_silence_check = Millis(runtime.clock.now() + SILENCE_CHECK_INTERVAL)
 
     def run(self) -> bool:
         """Ask, collect until done or late; return ``False`` to restart on another snapshot."""
-        stop = Millis(self.query.deadline - ANSWER_RESERVE)
-        self._ask(tuple(self.merge.waiting))
-        while self.merge.waiting and not self.restart:
+        collection_end = Millis(self.query.deadline - ANSWER_RESERVE)
+        self._ask_next_owners(tuple(self.merge.pending))
+        while self.merge.pending and not self.restart_needed:
             now = self.runtime.clock.now()
-            if now >= stop:
+            if now >= collection_end:
                 break
-            if now >= self.next_check:
-                self._leave_silent_owners(now)
-            wake = min(stop, self.next_check)
+            if now >= self.next_silence_check:
+                self._replace_silent_owners(now)
+            wake = min(collection_end, self.next_silence_check)
             with suppress(Empty):
-                self._take(self.inbox.get(timeout=seconds_until(wake, self.runtime.clock)))
-        self._cancel_rest()
+                self._handle_delivery(
+                    self.inbox.get(timeout=remaining_seconds(wake, self.runtime.clock))
+                )
+        self._cancel_unanswered()
         self.runtime.discard_replies(self.id)
-        return not self.restart
+        return not self.restart_needed
 
-    def _ask(self, services: Iterable[ServiceId]) -> None:
+    def _ask_next_owners(self, services: Iterable[ServiceId]) -> None:
         by_owner: dict[HostId, list[ServiceId]] = defaultdict(list)
         for service in services:
             owner = self._next_owner(service)
             if owner is None:
-                self.merge.add_failure(service, self._out_of_owners(service))
+                self.merge.add_failure(service, self._no_owner_failure(service))
             else:
                 by_owner[owner].append(service)
         for owner, asked in by_owner.items():
@@ -162,7 +164,7 @@
         )
         if self.runtime.send(owner, ask, self.inbox) is not None:
             self.unanswered.difference_update((service, owner) for service in services)
-            self._ask(services)
+            self._ask_next_owners(services)
 
     def _next_owner(self, service: ServiceId) -> HostId | None:
         tried = self.tried[service]
@@ -170,59 +172,59 @@
             return None
         return next((host for host in self.runtime.owners(service) if host not in tried), None)
 
-    def _out_of_owners(self, service: ServiceId) -> Failure:
+    def _no_owner_failure(self, service: ServiceId) -> Failure:
         tried = self.tried[service]
         if not tried:
             return NotRun(Reason.NO_OWNER, Step.ROUTE, peer=service)
         return Unknown(Reason.OWNER_LOST, Step.FORWARD, peer=tried[-1])
 
-    def _take(self, delivery: Delivery) -> None:
+    def _handle_delivery(self, delivery: Delivery) -> None:
         if isinstance(delivery.message, Reply):
             self.unanswered.discard((delivery.message.service, delivery.source))
         match delivery.message:
             case Reply(service=service, result=Hits() as hits):
                 self.merge.add_hits(service, hits)
-            case Reply(service=service, result=VersionGone() as gone):
-                self.runtime.record_version_gone(service, gone.snapshot, gone.held)
-                if service in self.merge.waiting and gone.snapshot == self.snapshot.version:
+            case Reply(service=service, result=VersionGone() as version_gone):
+                self.runtime.record_version_gone(service, version_gone.snapshot, version_gone.held)
+                if service in self.merge.pending and version_gone.snapshot == self.snapshot.version:
                     failure = NotRun(Reason.VERSION_GONE, Step.UPSTREAM, peer=service)
                     self.merge.add_failure(service, failure)
-                    self.restart = self._can_restart()
+                    self.restart_needed = self._can_restart()
             case Reply(service=service, result=NotRun() | Unknown() as failure):
-                self._take_failure(service, failure, delivery.source)
+                self._handle_failure(service, failure, delivery.source)
 
     def _can_restart(self) -> bool:
         """Tell whether another snapshot and the time for it are left."""
-        if self.runtime.clock.now() > self.query.deadline - RESTART_MINIMUM:
+        if self.runtime.clock.now() > self.query.deadline - MIN_RESTART_TIME:
             return False
         needed = [service.id for service in self.merge.scope.remaining]
         return self.runtime.pin_snapshot(needed, self.pinned) is not None
 
-    def _take_failure(self, service: ServiceId, failure: Failure, source: HostId) -> None:
-        if service not in self.merge.waiting or self.tried[service][-1] != source:
+    def _handle_failure(self, service: ServiceId, failure: Failure, source: HostId) -> None:
+        if service not in self.merge.pending or self.tried[service][-1] != source:
             return
         if failure.reason in OWNER_FAILURES and self._next_owner(service) is not None:
-            self._ask((service,))
+            self._ask_next_owners((service,))
         else:
             self.merge.add_failure(service, failure)
 
-    def _leave_silent_owners(self, now: Millis) -> None:
-        self.next_check = Millis(now + SILENCE_CHECK)
-        for owner in {self.tried[service][-1] for service in self.merge.waiting}:
+    def _replace_silent_owners(self, now: Millis) -> None:
+        self.next_silence_check = Millis(now + SILENCE_CHECK_INTERVAL)
+        for owner in {self.tried[service][-1] for service in self.merge.pending}:
             self.runtime.probe(owner)
         silent = [
             service
-            for service in self.merge.waiting
+            for service in self.merge.pending
             if self.runtime.is_silent(self.tried[service][-1]) and self._next_owner(service)
         ]
         if silent and self.runtime.allow_repeats(len(silent)):
-            self._ask(silent)
+            self._ask_next_owners(silent)
 
-    def _cancel_rest(self) -> None:
+    def _cancel_unanswered(self) -> None:
         """Cancel what is still asked for, at silent owners that were left too."""
         for host in {host for _, host in self.unanswered}:
             self.runtime.send(host, Cancel(self.id), None)
-        for service in tuple(self.merge.waiting):
+        for service in tuple(self.merge.pending):
             owner = self.tried[service][-1]
             silent = self.runtime.is_silent(owner)
             reason = Reason.OWNER_SILENT if silent else Reason.DEADLINE
--- a/src/masticgate/request/gateway/_attempts.py
+++ b/src/masticgate/request/gateway/_attempts.py
@@ -2,7 +2,7 @@
 
 from dataclasses import replace
 
-from ..._failures import NotRun, Reason, Step, describe
+from ..._failures import NotRun, Reason, Step, describe_failure
 from ..._ids import Millis, SearcherId, ServiceId
 from ...version.gateway import Route
 from ._exchange import (
@@ -111,12 +111,12 @@
         """Return how often the request was sent, and why not once more."""
         if self.repeat_failure is None:
             return f"sent {self.attempt_count}"
-        return f"sent {self.attempt_count}, repeat {describe(self.repeat_failure)}"
+        return f"sent {self.attempt_count}, repeat {describe_failure(self.repeat_failure)}"
 
     def describe_missing_answer(self) -> str:
         """Return in a few words why there is no answer."""
         if not self.in_flight_calls:
-            return f"{self.service}: {describe(self.failure)}, sent {self.attempt_count}"
+            return f"{self.service}: {describe_failure(self.failure)}, sent {self.attempt_count}"
         asked = ", ".join(
             f"{s.searcher}{'' if s.call.started else ' (connecting)'}"
             for s in self.in_flight_calls.values()
