--- a/bench/connection/_connection_memory.py
+++ b/bench/connection/_connection_memory.py
@@ -9,7 +9,7 @@
 from pathlib import Path
 
 from masticgate import Address, FailureDomainId, Millis, Rank, SearcherId, ServiceId, SystemClock
-from masticgate.connection import FrameSocket, HttpCall
+from masticgate.connection import FrameSocket, HttpConnection
 from masticgate.process import OWNER_POLICY, ServicePool
 from masticgate.version import Searcher
 
@@ -87,10 +87,10 @@
         lambda *_: None,
     )
     tasks = ThreadPoolExecutor(max(COUNTS))
-    calls: list[HttpCall] = []
+    calls: list[HttpConnection] = []
 
     def serve() -> None:
-        call = HttpCall(address)
+        call = HttpConnection(address)
         calls.append(call)
         call.get("/", CALL_TIMEOUT)
         pool.wait_for_work(searcher)
--- a/src/masticgate/connection/_caller_client.py
+++ b/src/masticgate/connection/_caller_client.py
@@ -5,7 +5,7 @@
 from typing import Any
 
 from .._ids import Address, Millis
-from ._http_call import HttpCall, HttpLost, HttpReply
+from ._http_connection import HttpConnection, HttpFailure, HttpReply
 
 ANSWER_MARGIN = Millis(500.0)
 """Waited beyond the request's own deadline for the answer to arrive."""
@@ -22,46 +22,46 @@
 
 
 class CallerClient:
-    """Calls one entry host; a lost connection is returned as :class:`HttpLost`."""
+    """Calls one entry host; a lost connection is returned as :class:`HttpFailure`."""
 
     def __init__(self, address: Address) -> None:
         self.address = address
-        self.call = HttpCall(address)
+        self.connection = HttpConnection(address)
 
-    def search(self, body: dict[str, Any]) -> CallerReply | HttpLost:
+    def search(self, body: dict[str, Any]) -> CallerReply | HttpFailure:
         """Run a search; it is idempotent."""
         timeout = Millis(float(body["remaining_ms"]) + ANSWER_MARGIN)
-        return _read(self.call.post("/v1/search", json.dumps(body).encode(), timeout))
+        return _read(self.connection.post("/v1/search", json.dumps(body).encode(), timeout))
 
-    def mint_ticket(self) -> CallerReply | HttpLost:
+    def mint_ticket(self) -> CallerReply | HttpFailure:
         """Ask for a ticket for one booking."""
-        return _read(self.call.post("/v1/tickets", b"", PLAIN_TIMEOUT))
+        return _read(self.connection.post("/v1/tickets", b"", PLAIN_TIMEOUT))
 
-    def book(self, body: dict[str, Any]) -> CallerReply | HttpLost:
+    def book(self, body: dict[str, Any]) -> CallerReply | HttpFailure:
         """Submit a booking; with the same ticket this may be repeated through any host."""
         timeout = Millis(float(body["remaining_ms"]) + ANSWER_MARGIN)
-        return _read(self.call.post("/v1/bookings", json.dumps(body).encode(), timeout))
+        return _read(self.connection.post("/v1/bookings", json.dumps(body).encode(), timeout))
 
-    def status(self) -> CallerReply | HttpLost:
+    def status(self) -> CallerReply | HttpFailure:
         """Return the host's status."""
-        return _read(self.call.get("/v1/status", PLAIN_TIMEOUT))
+        return _read(self.connection.get("/v1/status", PLAIN_TIMEOUT))
 
-    def events(self) -> CallerReply | HttpLost:
+    def events(self) -> CallerReply | HttpFailure:
         """Return the events of the host's time line."""
-        return _read(self.call.get("/v1/events", PLAIN_TIMEOUT))
+        return _read(self.connection.get("/v1/events", PLAIN_TIMEOUT))
 
     def close(self) -> None:
         """Close the connection."""
-        self.call.close()
+        self.connection.close()
 
 
-def _read(reply: HttpReply | HttpLost) -> CallerReply | HttpLost:
-    if isinstance(reply, HttpLost):
+def _read(reply: HttpReply | HttpFailure) -> CallerReply | HttpFailure:
+    if isinstance(reply, HttpFailure):
         return reply
     try:
         body = json.loads(reply.body)
     except ValueError:
-        return HttpLost(True, f"status {reply.status} without JSON")
+        return HttpFailure(True, f"status {reply.status} without JSON")
     if not isinstance(body, dict):
-        return HttpLost(True, f"status {reply.status} without a JSON object")
+        return HttpFailure(True, f"status {reply.status} without a JSON object")
     return CallerReply(reply.status, body)
--- a/src/masticgate/connection/_http_call.py
+++ b/src/masticgate/connection/_http_connection.py
@@ -22,14 +22,14 @@
 
 
 @dataclass(frozen=True, slots=True)
-class HttpLost:
+class HttpFailure:
     """No complete response came; ``sent`` tells whether a byte may have left."""
 
     sent: bool
     message: str
 
 
-class HttpCall:
+class HttpConnection:
     """Runs one request at a time over its own connection; :meth:`abort` comes from any task.
 
     A request whose body was read is never sent again: libcurl would resend a POST where a
@@ -43,25 +43,25 @@
         self.socket: socket.socket | None = None
         self.lock = Lock()
         self.aborted = False
-        self.unsent = BytesIO()
-        self.received = BytesIO()
-        self._prepare()
+        self.request_body = BytesIO()
+        self.response_body = BytesIO()
+        self._set_options()
 
-    def get(self, path: str, timeout: Millis) -> HttpReply | HttpLost:
+    def get(self, path: str, timeout: Millis) -> HttpReply | HttpFailure:
         """Run a GET request."""
-        self._renew_if_cut()
+        self._reset_if_closed()
         self.curl.setopt(pycurl.HTTPGET, 1)
         return self._perform(path, timeout)
 
-    def post(self, path: str, body: bytes, timeout: Millis) -> HttpReply | HttpLost:
+    def post(self, path: str, body: bytes, timeout: Millis) -> HttpReply | HttpFailure:
         """Run a POST request."""
-        self._renew_if_cut()
+        self._reset_if_closed()
         self.curl.setopt(pycurl.POST, 1)
         self.curl.setopt(pycurl.POSTFIELDSIZE, len(body))
-        self.unsent = BytesIO(body)
+        self.request_body = BytesIO(body)
         return self._perform(path, timeout)
 
-    def post_once(self, path: str, body: bytes, timeout: Millis) -> HttpReply | HttpLost:
+    def post_once(self, path: str, body: bytes, timeout: Millis) -> HttpReply | HttpFailure:
         """Run a POST request on a connection of its own.
 
         A kept-alive connection may close just as the request leaves, and then nobody knows
@@ -76,7 +76,7 @@
     def abort(self) -> None:
         """Cut the connection; the request in progress fails at once.
 
-        Until :meth:`allow` is called no other connection opens.
+        Until :meth:`allow_requests` is called no other connection opens.
         """
         with self.lock:
             self.aborted = True
@@ -84,7 +84,7 @@
                 with suppress(OSError):
                     self.socket.shutdown(socket.SHUT_RDWR)
 
-    def allow(self) -> None:
+    def allow_requests(self) -> None:
         """Allow the next request, over a new connection after an abort."""
         if self.aborted:
             self.reset()
@@ -94,7 +94,7 @@
         """Close the connection; the next request opens a new one."""
         self.close()
         self.curl = pycurl.Curl()
-        self._prepare()
+        self._set_options()
 
     def close(self) -> None:
         """Close the connection for good."""
@@ -102,15 +102,15 @@
         self._close_socket()
         self.path = ""
 
-    def _prepare(self) -> None:
+    def _set_options(self) -> None:
         """Set what stays the same for every request."""
         curl = self.curl
         curl.setopt(pycurl.NOSIGNAL, 1)
         curl.setopt(pycurl.NOPROXY, "*")
         curl.setopt(pycurl.TCP_NODELAY, 1)
         curl.setopt(pycurl.OPENSOCKETFUNCTION, self._open_socket)
-        curl.setopt(pycurl.READFUNCTION, self._read)
-        curl.setopt(pycurl.WRITEFUNCTION, self._collect)
+        curl.setopt(pycurl.READFUNCTION, self._read_request_body)
+        curl.setopt(pycurl.WRITEFUNCTION, self._append_to_response)
         curl.setopt(pycurl.HTTPHEADER, ["Content-Type: application/json", "Expect:"])
 
     def _close_socket(self) -> None:
@@ -120,11 +120,11 @@
                 self.socket.close()
                 self.socket = None
 
-    def _renew_if_cut(self) -> None:
-        if self._was_cut() and not self.aborted:
+    def _reset_if_closed(self) -> None:
+        if self._is_closed_by_server() and not self.aborted:
             self.reset()
 
-    def _was_cut(self) -> bool:
+    def _is_closed_by_server(self) -> bool:
         """Tell whether the server closed the kept connection while it was idle."""
         if self.socket is None:
             return False
@@ -135,13 +135,13 @@
         except OSError:
             return True
 
-    def _read(self, size: int) -> bytes:
-        return self.unsent.read(size)
+    def _read_request_body(self, size: int) -> bytes:
+        return self.request_body.read(size)
 
-    def _collect(self, chunk: bytes) -> int | None:
-        if self.received.tell() + len(chunk) > MAX_BODY_BYTES:
+    def _append_to_response(self, chunk: bytes) -> int | None:
+        if self.response_body.tell() + len(chunk) > MAX_BODY_BYTES:
             return 0
-        self.received.write(chunk)
+        self.response_body.write(chunk)
         return None
 
     def _open_socket(
@@ -155,16 +155,16 @@
             self.socket = socket.socket(family, kind, protocol)
             return self.socket
 
-    def _perform(self, path: str, timeout: Millis) -> HttpReply | HttpLost:
+    def _perform(self, path: str, timeout: Millis) -> HttpReply | HttpFailure:
         if path != self.path:
             self.path = path
             self.curl.setopt(pycurl.URL, f"http://{self.address}{path}")
         self.curl.setopt(pycurl.TIMEOUT_MS, max(1, int(timeout)))
-        self.received = BytesIO()
+        self.response_body = BytesIO()
         try:
             self.curl.perform()
         except pycurl.error as error:
             self._close_socket()
             sent = bool(self.curl.getinfo(pycurl.REQUEST_SIZE))
-            return HttpLost(sent, str(error.args[1]) if len(error.args) > 1 else str(error))
-        return HttpReply(self.curl.getinfo(pycurl.RESPONSE_CODE), self.received.getvalue())
+            return HttpFailure(sent, str(error.args[1]) if len(error.args) > 1 else str(error))
+        return HttpReply(self.curl.getinfo(pycurl.RESPONSE_CODE), self.response_body.getvalue())
--- a/src/masticgate/connection/_platform.py
+++ b/src/masticgate/connection/_platform.py
@@ -8,7 +8,7 @@
 from .._failures import Reason, Step, Unknown
 from .._ids import Address, FailureDomainId, HostId, Millis, Revision
 from ..version import AddressText, Name
-from ._http_call import HttpCall, HttpReply
+from ._http_connection import HttpConnection, HttpReply
 
 READ_TIMEOUT = Millis(1000.0)
 
@@ -60,8 +60,8 @@
 
     def __init__(self, configuration: Address, hosts: Address) -> None:
         self.configuration = configuration
-        self.values = HttpCall(configuration)
-        self.hosts = HttpCall(hosts)
+        self.values = HttpConnection(configuration)
+        self.hosts = HttpConnection(hosts)
 
     def read(self, key: str) -> Value | Unchanged | Unknown:
         """Return the present value of ``key``."""
@@ -91,13 +91,16 @@
             for item in listed.hosts
         )
 
-    def allow(self) -> None:
+    def allow_requests(self) -> None:
         """Allow the next read after an abort; only the reading task calls this."""
-        self.values.allow()
-        self.hosts.allow()
+        self.values.allow_requests()
+        self.hosts.allow_requests()
 
     def abort(self) -> None:
-        """End a read in progress, from another task; no other succeeds until :meth:`allow`."""
+        """Cancel a read in progress; any task may call this.
+
+        No further read succeeds before :meth:`allow_requests` is called.
+        """
         self.values.abort()
         self.hosts.abort()
 
--- a/src/masticgate/connection/_public.py
+++ b/src/masticgate/connection/_public.py
@@ -12,9 +12,9 @@
 from ._frames import Message as Message
 from ._frames import decode_message as decode_message
 from ._frames import encode_message as encode_message
-from ._http_call import HttpCall as HttpCall
-from ._http_call import HttpLost as HttpLost
-from ._http_call import HttpReply as HttpReply
+from ._http_connection import HttpConnection as HttpConnection
+from ._http_connection import HttpFailure as HttpFailure
+from ._http_connection import HttpReply as HttpReply
 from ._peer import LinkState as LinkState
 from ._peer import PeerHandler as PeerHandler
 from ._peer import PeerLink as PeerLink
--- a/src/masticgate/connection/_searcher.py
+++ b/src/masticgate/connection/_searcher.py
@@ -20,7 +20,7 @@
 )
 from ..request import BookingOutcome, Hit, Hits, Ran, ServiceResult, VersionGone
 from ..version import Searcher
-from ._http_call import HttpCall, HttpLost, HttpReply
+from ._http_connection import HttpConnection, HttpFailure, HttpReply
 
 GRACE = Millis(5.0)
 """Added to the deadline before the call is given up, since the searcher keeps it too."""
@@ -71,15 +71,15 @@
     """Serve ``pool`` over one connection to ``searcher`` until it is no longer wanted."""
     wanted = True
     while wanted:
-        call = HttpCall(searcher.address)
+        connection = HttpConnection(searcher.address)
         try:
-            _serve(pool, searcher, call, clock)
+            _serve(pool, searcher, connection, clock)
         finally:
-            call.close()
+            connection.close()
             wanted = pool.record_closed_connection(searcher)
 
 
-def _serve(pool: ServicePool, searcher: Searcher, call: HttpCall, clock: Clock) -> None:
+def _serve(pool: ServicePool, searcher: Searcher, connection: HttpConnection, clock: Clock) -> None:
     while True:
         match pool.wait_for_work(searcher):
             case CloseConnection():
@@ -87,13 +87,13 @@
             case NoWork():
                 continue
             case CheckLoad():
-                call.allow()
-                pool.record_load(searcher, _read_load(call.get("/load", LOAD_TIMEOUT)))
+                connection.allow_requests()
+                pool.record_load(searcher, _read_load(connection.get("/load", LOAD_TIMEOUT)))
             case SearcherAttempt() as attempt:
-                _run_attempt(pool, attempt, call, clock)
+                _run_attempt(pool, attempt, connection, clock)
 
 
-def _read_load(reply: HttpReply | HttpLost) -> LoadReport | None:
+def _read_load(reply: HttpReply | HttpFailure) -> LoadReport | None:
     match reply:
         case HttpReply(status=200, body=body):
             try:
@@ -105,20 +105,22 @@
             return None
 
 
-def _run_attempt(pool: ServicePool, attempt: SearcherAttempt, call: HttpCall, clock: Clock) -> None:
-    call.allow()
-    if not pool.may_send(attempt, call.abort):
+def _run_attempt(
+    pool: ServicePool, attempt: SearcherAttempt, connection: HttpConnection, clock: Clock
+) -> None:
+    connection.allow_requests()
+    if not pool.may_send(attempt, connection.abort):
         pool.abandon(attempt)
         return
     match attempt.entry.work:
         case SearchWork() as work:
-            pool.finish(attempt, _search(call, work, attempt, clock))
+            pool.finish(attempt, _search(connection, work, attempt, clock))
         case BookingWork() as work:
-            pool.finish(attempt, _book(call, work, attempt, clock))
+            pool.finish(attempt, _book(connection, work, attempt, clock))
 
 
 def _search(
-    call: HttpCall, work: SearchWork, attempt: SearcherAttempt, clock: Clock
+    connection: HttpConnection, work: SearchWork, attempt: SearcherAttempt, clock: Clock
 ) -> ServiceResult:
     remaining = Millis(work.deadline - clock.now())
     body = {
@@ -129,7 +131,7 @@
         "remaining_ms": round(remaining, 1),
         "text": work.text,
     }
-    reply = call.post("/search", to_json(body), Millis(remaining + GRACE))
+    reply = connection.post("/search", to_json(body), Millis(remaining + GRACE))
     match reply:
         case HttpReply(status=200, body=answer):
             return _read_hits(answer, work, attempt.searcher)
@@ -163,7 +165,7 @@
 
 
 def _book(
-    call: HttpCall, work: BookingWork, attempt: SearcherAttempt, clock: Clock
+    connection: HttpConnection, work: BookingWork, attempt: SearcherAttempt, clock: Clock
 ) -> BookingOutcome:
     remaining = Millis(work.deadline - clock.now())
     body = {
@@ -173,7 +175,7 @@
         "remaining_ms": round(remaining, 1),
         "payload": work.payload,
     }
-    reply = call.post_once("/book", to_json(body), Millis(remaining + GRACE))
+    reply = connection.post_once("/book", to_json(body), Millis(remaining + GRACE))
     match reply:
         case HttpReply(status=200, body=result):
             return Ran(result.decode("utf-8", errors="replace"))
@@ -181,13 +183,13 @@
             return _read_failure(reply, attempt)
 
 
-def _read_failure(reply: HttpReply | HttpLost, attempt: SearcherAttempt) -> NotRun | Unknown:
+def _read_failure(reply: HttpReply | HttpFailure, attempt: SearcherAttempt) -> NotRun | Unknown:
     """Return ``NotRun`` only where the searcher states it, or where no byte left."""
     searcher = attempt.searcher
     match reply:
-        case HttpLost(sent=False, message=message):
+        case HttpFailure(sent=False, message=message):
             return NotRun(Reason.SEARCHER_REFUSED, Step.CONNECT, searcher, message)
-        case HttpLost(message=message):
+        case HttpFailure(message=message):
             return Unknown(Reason.SEARCHER_LOST, Step.UPSTREAM, searcher, message)
         case HttpReply(status=503 | 409 | 429, body=body):
             return _read_refusal(body, attempt)
--- a/src/masticgate/process/_command_book.py
+++ b/src/masticgate/process/_command_book.py
@@ -8,7 +8,7 @@
 from .._clock import SystemClock
 from .._ids import Address, Millis
 from .._ranks import Rank
-from ..connection import CallerClient, CallerReply, HttpLost
+from ..connection import CallerClient, CallerReply, HttpFailure
 from ._command_query import RANKS
 from ._exit_codes import ExitCode
 
@@ -69,7 +69,7 @@
                 return ticket
             case CallerReply(body=body):
                 problem = str(body.get("message", body))
-            case HttpLost(message=message):
+            case HttpFailure(message=message):
                 problem = message
     click.echo(f"masticgate book: no ticket: {problem}", err=True)
     raise SystemExit(ExitCode.NOT_RUN)
@@ -95,7 +95,7 @@
                 return {"ticket": body["ticket"], **reply.body}
             case CallerReply():
                 last_reply = reply.body
-            case HttpLost(message=message):
+            case HttpFailure(message=message):
                 last_reply = last_reply or {"message": f"unknown: {message}"}
     return {"ticket": body["ticket"], **last_reply, "outcome": "unknown"}
 
--- a/src/masticgate/process/_command_query.py
+++ b/src/masticgate/process/_command_query.py
@@ -7,7 +7,7 @@
 
 from .._ids import Address
 from .._ranks import Rank
-from ..connection import CallerClient, CallerReply, HttpLost
+from ..connection import CallerClient, CallerReply, HttpFailure
 from ._exit_codes import ExitCode
 
 RANKS = click.Choice([rank.label for rank in Rank])
@@ -45,15 +45,15 @@
         "limit": limit,
     }
     reply = _search_first(hosts, body)
-    if isinstance(reply, HttpLost):
+    if isinstance(reply, HttpFailure):
         click.echo(f"masticgate query: no host answered: {reply.message}", err=True)
         raise SystemExit(ExitCode.UNREACHABLE)
     click.echo(json.dumps(reply.body) if as_json else _describe(reply.body))
     raise SystemExit(_exit_code(reply))
 
 
-def _search_first(hosts: tuple[str, ...], body: dict[str, Any]) -> CallerReply | HttpLost:
-    reply: CallerReply | HttpLost = HttpLost(False, "no host")
+def _search_first(hosts: tuple[str, ...], body: dict[str, Any]) -> CallerReply | HttpFailure:
+    reply: CallerReply | HttpFailure = HttpFailure(False, "no host")
     for host in hosts:
         client = CallerClient(Address(host))
         reply = client.search(body)
--- a/src/masticgate/process/_command_status.py
+++ b/src/masticgate/process/_command_status.py
@@ -6,7 +6,7 @@
 import click
 
 from .._ids import Address
-from ..connection import CallerClient, CallerReply, HttpLost
+from ..connection import CallerClient, CallerReply, HttpFailure
 from ._exit_codes import ExitCode
 
 
@@ -26,7 +26,7 @@
         match reply:
             case CallerReply(body=body):
                 click.echo(json.dumps(body) if as_json else _describe(host, body))
-            case HttpLost(message=message):
+            case HttpFailure(message=message):
                 unreachable = True
                 click.echo(f"{host}: no answer: {message}", err=True)
     raise SystemExit(ExitCode.UNREACHABLE if unreachable else ExitCode.DONE)
--- a/src/masticgate/process/_command_timeline.py
+++ b/src/masticgate/process/_command_timeline.py
@@ -10,7 +10,7 @@
 
 from .._clock import MILLIS_PER_SECOND
 from .._ids import Address, HostId, Millis
-from ..connection import CallerClient, CallerReply, HttpLost
+from ..connection import CallerClient, CallerReply, HttpFailure
 from ._exit_codes import ExitCode
 from ._timeline import Event, EventKind
 from ._timeline_merge import event_fields, merge_events
@@ -49,7 +49,7 @@
             case CallerReply():
                 unreachable = True
                 click.echo(f"{host}: no time line", err=True)
-            case HttpLost(message=message):
+            case HttpFailure(message=message):
                 unreachable = True
                 click.echo(f"{host}: no answer: {message}", err=True)
     merged = merge_events(events)
--- a/src/masticgate/process/_watch.py
+++ b/src/masticgate/process/_watch.py
@@ -72,7 +72,7 @@
 
     def run(self) -> None:
         """Watch whenever this host is a watcher, until the process stops."""
-        while self.role.wait_until_watching(self.reader.allow):
+        while self.role.wait_until_watching(self.reader.allow_requests):
             self.role.wait(self.read_once())
         self.reader.close()
 
@@ -122,7 +122,7 @@
 
     def run(self) -> None:
         """Read whenever this host is a watcher; a failed read changes nothing."""
-        while self.role.wait_until_watching(self.reader.allow):
+        while self.role.wait_until_watching(self.reader.allow_requests):
             self.role.wait(self.read_once())
         self.reader.close()
 
--- a/tests/connection/test_calls_without_end.py
+++ b/tests/connection/test_calls_without_end.py
@@ -5,7 +5,7 @@
 import pytest
 
 from masticgate import Millis
-from masticgate.connection._http_call import HttpCall, HttpLost
+from masticgate.connection._http_connection import HttpConnection, HttpFailure
 from tests.gateway.pouring import (
     CHUNKED,
     ENDLESS_BODIES,
@@ -39,10 +39,10 @@
     def post(self, flow: Flow, timeout: Millis, pause_s: float | None = None) -> PouringServer:
         """Return a server that a call was lost to."""
         server = PouringServer(flow, pause_s)
-        call = HttpCall(server.address)
+        call = HttpConnection(server.address)
         reply = call.post("/search", b"{}", timeout)
         server.stop()
-        assert isinstance(reply, HttpLost)
+        assert isinstance(reply, HttpFailure)
         assert reply.sent
         assert server.closed.wait(SOON_S)
         return server
--- a/tests/connection/test_http_call.py
+++ b/tests/connection/test_http_connection.py
@@ -7,7 +7,7 @@
 import pytest
 
 from masticgate import Address, Millis
-from masticgate.connection._http_call import HttpCall, HttpLost, HttpReply
+from masticgate.connection._http_connection import HttpConnection, HttpFailure, HttpReply
 
 TIMEOUT = Millis(5000.0)
 
@@ -78,57 +78,59 @@
 
 
 @pytest.fixture
-def call(server):
-    started = HttpCall(server.address)
+def connection(server):
+    started = HttpConnection(server.address)
     assert isinstance(started.post("/warm", b"{}", TIMEOUT), HttpReply)
     yield started
     started.close()
 
 
 class TestHttpCall:
-    def test_keeps_its_connection_over_requests(self, server, call):
-        assert call.post("/a", b"{}", TIMEOUT) == HttpReply(200, b"ok")
-        assert call.get("/b", TIMEOUT) == HttpReply(200, b"ok")
-        assert call.post("/c", b"{}", TIMEOUT) == HttpReply(200, b"ok")
+    def test_keeps_its_connection_over_requests(self, server, connection):
+        assert connection.post("/a", b"{}", TIMEOUT) == HttpReply(200, b"ok")
+        assert connection.get("/b", TIMEOUT) == HttpReply(200, b"ok")
+        assert connection.post("/c", b"{}", TIMEOUT) == HttpReply(200, b"ok")
         assert server.connections == 1
 
     @pytest.mark.parametrize("method", ["post", "post_once"])
     def test_never_resends_what_a_server_read_before_it_cut_the_connection(
-        self, server, call, method
+        self, server, connection, method
     ):
-        reply = getattr(call, method)("/cut", b'{"ticket": "t"}', TIMEOUT)
-        assert isinstance(reply, HttpLost) and reply.sent
-        assert call.post("/after", b"{}", TIMEOUT) == HttpReply(200, b"ok")
+        reply = getattr(connection, method)("/cut", b'{"ticket": "t"}', TIMEOUT)
+        assert isinstance(reply, HttpFailure) and reply.sent
+        assert connection.post("/after", b"{}", TIMEOUT) == HttpReply(200, b"ok")
         assert server.paths == ["/warm", "/cut", "/after"]
 
-    def test_opens_a_new_connection_where_the_kept_one_was_closed_meanwhile(self, server, call):
+    def test_opens_a_new_connection_where_the_kept_one_was_closed_meanwhile(
+        self, server, connection
+    ):
         server.close_connections()
-        assert call.post("/a", b"{}", TIMEOUT) == HttpReply(200, b"ok")
+        assert connection.post("/a", b"{}", TIMEOUT) == HttpReply(200, b"ok")
         assert server.paths == ["/warm", "/a"]
 
-    def test_says_that_nothing_left_where_no_connection_opens(self, server, call):
+    def test_says_that_nothing_left_where_no_connection_opens(self, server, connection):
         with socket.create_server(("127.0.0.1", 0)) as unused:
             address = Address(f"127.0.0.1:{unused.getsockname()[1]}")
-        reply = HttpCall(address).post_once("/book", b"{}", TIMEOUT)
-        assert isinstance(reply, HttpLost) and not reply.sent
+        reply = HttpConnection(address).post_once("/book", b"{}", TIMEOUT)
+        assert isinstance(reply, HttpFailure) and not reply.sent
 
-    def test_closes_the_connection_of_a_request_that_timed_out(self, server, call):
-        assert isinstance(call.post("/hold", b"{}", Millis(50.0)), HttpLost)
+    def test_closes_the_connection_of_a_request_that_timed_out(self, server, connection):
+        assert isinstance(connection.post("/hold", b"{}", Millis(50.0)), HttpFailure)
         assert server.closed.wait(5.0)
 
 
 class TestAbort:
-    def test_ends_the_request_in_progress_and_does_not_send_it_again(self, server, call):
+    def test_ends_the_request_in_progress_and_does_not_send_it_again(self, server, connection):
         with ThreadPoolExecutor(1) as tasks:
-            running = tasks.submit(call.post, "/hold", b"{}", TIMEOUT)
+            running = tasks.submit(connection.post, "/hold", b"{}", TIMEOUT)
             assert server.held.wait(5.0)
-            call.abort()
-            assert isinstance(running.result(5.0), HttpLost)
+            connection.abort()
+            assert isinstance(running.result(5.0), HttpFailure)
         assert server.paths == ["/warm", "/hold"]
 
-    def test_before_the_request_keeps_it_from_leaving(self, server, call):
-        call.abort()
-        assert isinstance(call.post("/never", b"{}", TIMEOUT), HttpLost)
-        call.allow()
-        assert call.post("/a", b"{}", TIMEOUT) == HttpReply(200, b"ok")
+    def test_before_the_request_keeps_it_from_leaving(self, server, connection):
+        connection.abort()
+        assert isinstance(connection.post("/never", b"{}", TIMEOUT), HttpFailure)
+        connection.allow_requests()
+        assert connection.post("/a", b"{}", TIMEOUT) == HttpReply(200, b"ok")
         assert server.paths == ["/warm", "/a"]
--- a/tests/connection/test_replies.py
+++ b/tests/connection/test_replies.py
@@ -7,7 +7,7 @@
 
 from masticgate import Millis, NotRun, Rank, Revision, SearcherId, SnapshotVersion, Unknown
 from masticgate.connection import (
-    HttpLost,
+    HttpFailure,
     HttpReply,
     PlatformReader,
     Unchanged,
@@ -44,7 +44,7 @@
 )
 REPLIES = st.one_of(
     st.builds(HttpReply, st.sampled_from([200, 204, 404, 409, 410, 429, 500, 503]), BODIES),
-    st.builds(HttpLost, st.booleans(), st.text(max_size=5)),
+    st.builds(HttpFailure, st.booleans(), st.text(max_size=5)),
 )
 FUZZ = settings(derandomize=True, deadline=None, max_examples=200)
 
@@ -90,7 +90,7 @@
             case Ran():
                 assert reply.status == 200
             case NotRun(detail=detail):
-                lost = isinstance(reply, HttpLost)
+                lost = isinstance(reply, HttpFailure)
                 assert not reply.sent if lost else detail in ("draining", "shed", "cold")
             case other:
                 assert isinstance(other, Unknown)
--- a/tests/connection/test_searcher_replies.py
+++ b/tests/connection/test_searcher_replies.py
@@ -5,7 +5,7 @@
 import pytest
 
 from masticgate import NotRun, Unknown
-from masticgate.connection._http_call import HttpLost, HttpReply
+from masticgate.connection._http_connection import HttpFailure, HttpReply
 from masticgate.connection._searcher import _read_failure
 
 SEND = SimpleNamespace(searcher="oa", aborted=False)
@@ -25,11 +25,11 @@
             HttpReply(429, b"<html>"),
             HttpReply(500, b'{"reason": "shed"}'),
             HttpReply(404, b""),
-            HttpLost(True, "cut"),
+            HttpFailure(True, "cut"),
         ],
     )
     def test_takes_any_other_word_as_unknown(self, reply):
         assert isinstance(_read_failure(reply, SEND), Unknown)
 
     def test_knows_that_nothing_ran_where_no_byte_left(self):
-        assert isinstance(_read_failure(HttpLost(False, "refused"), SEND), NotRun)
+        assert isinstance(_read_failure(HttpFailure(False, "refused"), SEND), NotRun)
--- a/tests/process/test_versions.py
+++ b/tests/process/test_versions.py
@@ -275,9 +275,9 @@
         reader = PlatformReader(Address("127.0.0.1:9"), Address("127.0.0.1:9"))
         reader.abort()
         assert role.update(True) and not role.update(True)
-        assert role.wait_until_watching(reader.allow)
+        assert role.wait_until_watching(reader.allow_requests)
         assert not reader.values.aborted and not reader.hosts.aborted
         reader.abort()
         role.stop()
-        assert not role.wait_until_watching(reader.allow)
+        assert not role.wait_until_watching(reader.allow_requests)
         assert reader.values.aborted and reader.hosts.aborted
