--- a/bench/process/counted_host.py
+++ b/bench/process/counted_host.py
@@ -70,7 +70,11 @@
 
 def install(counts: Counts) -> None:
     """Put counters around the functions that do control work."""
-    send, decode, receive = FrameSocket.send, _socket.decode_message, PeerService.receive
+    send, decode, handle_message = (
+        FrameSocket.send,
+        _socket.decode_message,
+        PeerService.handle_message,
+    )
 
     def counted_send(self: FrameSocket, message: Any) -> bool:
         return counts.timed(type(message).__name__, lambda: send(self, message))
@@ -87,13 +91,15 @@
             counts.seconds[type(message).__name__] += time.thread_time() - started
         return message
 
-    def counted_receive(self: PeerService, peer: Any, message: Any, answer: Any) -> None:
-        counts.timed(type(message).__name__, lambda: receive(self, peer, message, answer))
+    def counted_handle_message(self: PeerService, peer: Any, message: Any, send_reply: Any) -> None:
+        counts.timed(
+            type(message).__name__, lambda: handle_message(self, peer, message, send_reply)
+        )
 
     FrameSocket.send = counted_send  # type: ignore[method-assign]
     _socket.encode_message = counted_encode
     _socket.decode_message = counted_decode
-    PeerService.receive = counted_receive  # type: ignore[method-assign]
+    PeerService.handle_message = counted_handle_message  # type: ignore[method-assign]
     for owner, name in (
         (Heartbeats, "beat"),
         (PressureReporter, "run_once"),
--- a/src/masticgate/connection/_peer.py
+++ b/src/masticgate/connection/_peer.py
@@ -19,8 +19,8 @@
 READ_TIMEOUT = Millis(3000.0)
 """A link on which nothing arrives for this long is closed; heartbeats come more often."""
 
-RECONNECT_FIRST = Millis(100.0)
-RECONNECT_LONGEST = Millis(2000.0)
+MIN_RECONNECT_DELAY = Millis(100.0)
+MAX_RECONNECT_DELAY = Millis(2000.0)
 
 
 class LinkState(Enum):
@@ -42,20 +42,22 @@
         """Return a heartbeat that only asks for an answer."""
         ...
 
-    def receive(self, peer: Hello, message: Message, answer: Callable[[Message], bool]) -> None:
-        """Handle one message from ``peer``; ``answer`` sends on the same connection."""
+    def handle_message(
+        self, peer: Hello, message: Message, send_reply: Callable[[Message], bool]
+    ) -> None:
+        """Handle one message from ``peer``; ``send_reply`` sends on the same link."""
         ...
 
-    def link_opened(self, peer: Hello) -> None:
+    def handle_link_opened(self, peer: Hello) -> None:
         """Note that the link to ``peer`` is open."""
         ...
 
-    def link_lost(self, host: HostId) -> None:
+    def handle_link_lost(self, host: HostId) -> None:
         """Note that the link to ``host`` is closed and replies over it will not come."""
         ...
 
 
-def speaks_with(own: Hello, peer: Hello) -> bool:
+def shares_protocol_version(own: Hello, peer: Hello) -> bool:
     """Tell whether two releases share a protocol version."""
     return (
         own.oldest_protocol <= peer.newest_protocol and peer.oldest_protocol <= own.newest_protocol
@@ -72,7 +74,7 @@
         self.clock = clock
         self.state = LinkState.CONNECTING
         self.incarnation = Incarnation(0)
-        self.frames: FrameSocket | None = None
+        self.frame_socket: FrameSocket | None = None
         self.last_received = clock.now()
         self.last_used = clock.now()
         self.unanswered_since: Millis | None = None
@@ -80,72 +82,72 @@
 
     def run(self) -> None:
         """Connect, read replies until the link breaks, wait and connect again."""
-        delay = RECONNECT_FIRST
+        delay = MIN_RECONNECT_DELAY
         while not self.stopping.is_set():
-            if self._run_once():
-                delay = RECONNECT_FIRST
+            if self._connect_and_read():
+                delay = MIN_RECONNECT_DELAY
             self.stopping.wait(delay / MILLIS_PER_SECOND)
-            delay = min(RECONNECT_LONGEST, Millis(delay * 2))
+            delay = min(MAX_RECONNECT_DELAY, Millis(delay * 2))
 
     def send(self, message: Message) -> bool:
         """Send ``message``; ``False`` means that the peer did not receive it whole."""
-        frames = self.frames
-        if self.state is not LinkState.OPEN or frames is None:
+        frame_socket = self.frame_socket
+        if self.state is not LinkState.OPEN or frame_socket is None:
             return False
         if isinstance(message, Heartbeat) and self.unanswered_since is None:
             self.unanswered_since = self.clock.now()
-        return frames.send(message)
+        return frame_socket.send(message)
 
     def stop(self) -> None:
         """Close the link for good."""
         self.stopping.set()
-        frames = self.frames
-        if frames is not None:
-            frames.close()
+        frame_socket = self.frame_socket
+        if frame_socket is not None:
+            frame_socket.close()
 
-    def _run_once(self) -> bool:
+    def _connect_and_read(self) -> bool:
         try:
-            frames = FrameSocket(open_socket(self.address, CONNECT_TIMEOUT))
+            frame_socket = FrameSocket(open_socket(self.address, CONNECT_TIMEOUT))
         except OSError:
             self.state = LinkState.CLOSED
             return False
         opened = False
         try:
-            frames.set_timeout(READ_TIMEOUT)
-            frames.send(self.handler.hello())
-            messages = frames.read_messages()
+            frame_socket.set_timeout(READ_TIMEOUT)
+            frame_socket.send(self.handler.hello())
+            messages = frame_socket.read_messages()
             peer = next(messages, None)
             if not isinstance(peer, Hello) or not self._is_expected(peer):
                 return False
             opened = True
-            self._open(frames, peer)
+            self._set_open(frame_socket, peer)
             for message in messages:
-                self._note_received()
-                self.handler.receive(peer, message, frames.send)
+                self._record_received()
+                self.handler.handle_message(peer, message, frame_socket.send)
         except (OSError, BadFrameError):
             pass
         finally:
             self.state = LinkState.CLOSED
-            frames.release()
+            frame_socket.release()
             if opened:
-                self.handler.link_lost(self.host)
+                self.handler.handle_link_lost(self.host)
         return opened
 
     def _is_expected(self, peer: Hello) -> bool:
-        return peer.host == self.host and speaks_with(self.handler.hello(), peer)
+        return peer.host == self.host and shares_protocol_version(self.handler.hello(), peer)
 
-    def _note_received(self) -> None:
+    def _record_received(self) -> None:
         self.last_received = self.clock.now()
         self.unanswered_since = None
 
-    def _open(self, frames: FrameSocket, peer: Hello) -> None:
-        self.frames = frames
+    def _set_open(self, frame_socket: FrameSocket, peer: Hello) -> None:
+        self.frame_socket = frame_socket
         self.incarnation = peer.incarnation
-        self._note_received()
+        self._record_received()
         self.state = LinkState.OPEN
-        self.handler.link_opened(peer)
+        self.handler.handle_link_opened(peer)
         if self.stopping.is_set():
-            frames.close()
+            frame_socket.close()
 
 
 class PeerServer:
@@ -156,7 +158,7 @@
         self.handler = handler
         self.tasks = tasks
         self.lock = Lock()
-        self.open: set[FrameSocket] = set()
+        self.links: set[FrameSocket] = set()
         self.stopping = False
 
     def run(self) -> None:
@@ -170,25 +172,25 @@
 
     def serve(self, connection: socket.socket) -> None:
         """Serve one link until it closes; a bad frame closes this link only."""
-        frames = FrameSocket(connection)
+        frame_socket = FrameSocket(connection)
         with self.lock:
-            self.open.add(frames)
+            self.links.add(frame_socket)
         try:
-            frames.set_timeout(READ_TIMEOUT)
-            messages = frames.read_messages()
+            frame_socket.set_timeout(READ_TIMEOUT)
+            messages = frame_socket.read_messages()
             peer = next(messages, None)
-            if not isinstance(peer, Hello) or not frames.send(self.handler.hello()):
+            if not isinstance(peer, Hello) or not frame_socket.send(self.handler.hello()):
                 return
-            if not speaks_with(self.handler.hello(), peer):
+            if not shares_protocol_version(self.handler.hello(), peer):
                 return
             for message in messages:
-                self.handler.receive(peer, message, frames.send)
+                self.handler.handle_message(peer, message, frame_socket.send)
         except (OSError, BadFrameError):
             return
         finally:
             with self.lock:
-                self.open.discard(frames)
-            frames.release()
+                self.links.discard(frame_socket)
+            frame_socket.release()
 
     def stop(self) -> None:
         """Stop accepting and close every accepted link."""
@@ -197,6 +199,6 @@
             self.listener.shutdown(socket.SHUT_RDWR)
         self.listener.close()
         with self.lock:
-            accepted = list(self.open)
-        for frames in accepted:
-            frames.close()
+            accepted = list(self.links)
+        for frame_socket in accepted:
+            frame_socket.close()
--- a/src/masticgate/connection/_socket.py
+++ b/src/masticgate/connection/_socket.py
@@ -11,13 +11,13 @@
 from .._ids import Millis
 from ._frames import BadFrameError, Message, decode_message, encode_message
 
-LENGTH = struct.Struct("!I")
+LENGTH_PREFIX = struct.Struct("!I")
 MAX_FRAME_BYTES = 4_000_000
-SEND_WAIT = Millis(50.0)
+SEND_TIMEOUT = Millis(50.0)
 """The longest that a sender waits for room in the socket before the peer counts as stuck."""
 
 SEND_BUFFER_BYTES = 1_000_000
-RECEIVE_BYTES = 65_536
+RECEIVE_BUFFER_BYTES = 65_536
 
 
 class FrameSocket:
@@ -28,7 +28,7 @@
         connection.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, SEND_BUFFER_BYTES)
         connection.settimeout(None)
         self.connection = connection
-        self.received = bytearray()
+        self.unread = bytearray()
         self.timeout: Millis | None = None
         self.lock = Lock()
         self.closed = False
@@ -46,7 +46,7 @@
         with self.lock:
             if self.closed:
                 return False
-            if self._send_all(LENGTH.pack(len(data)) + data):
+            if self._send_all(LENGTH_PREFIX.pack(len(data)) + data):
                 return True
         self.close()
         return False
@@ -58,16 +58,18 @@
         :raises OSError: the connection failed or timed out.
         """
         while True:
-            until = None if self.timeout is None else monotonic() + self.timeout / MILLIS_PER_SECOND
-            head = self._read(LENGTH.size, until)
-            if not head:
+            deadline_s = (
+                None if self.timeout is None else monotonic() + self.timeout / MILLIS_PER_SECOND
+            )
+            prefix = self._read(LENGTH_PREFIX.size, deadline_s)
+            if not prefix:
                 return
-            if len(head) < LENGTH.size:
+            if len(prefix) < LENGTH_PREFIX.size:
                 raise BadFrameError("truncated length")
-            (length,) = LENGTH.unpack(head)
+            (length,) = LENGTH_PREFIX.unpack(prefix)
             if length > MAX_FRAME_BYTES:
                 raise BadFrameError(f"frame of {length} bytes")
-            data = self._read(length, until)
+            data = self._read(length, deadline_s)
             if len(data) < length:
                 raise BadFrameError("truncated frame")
             yield decode_message(data)
@@ -85,22 +87,22 @@
         self.close()
         self.connection.close()
 
-    def _read(self, size: int, until: float | None) -> bytes:
+    def _read(self, size: int, deadline_s: float | None) -> bytes:
         """Return ``size`` bytes, or fewer at the end of the connection."""
-        while len(self.received) < size and (chunk := self._receive(until)):
-            self.received += chunk
-        data = bytes(self.received[:size])
-        del self.received[:size]
+        while len(self.unread) < size and (chunk := self._receive(deadline_s)):
+            self.unread += chunk
+        data = bytes(self.unread[:size])
+        del self.unread[:size]
         return data
 
-    def _receive(self, until: float | None) -> bytes:
+    def _receive(self, deadline_s: float | None) -> bytes:
         """Wait for bytes in a way that leaves sends without a timeout of their own."""
-        left = None if until is None else (until - monotonic()) * MILLIS_PER_SECOND
+        remaining = None if deadline_s is None else (deadline_s - monotonic()) * MILLIS_PER_SECOND
         poller = select.poll()
         poller.register(self.connection, select.POLLIN)
-        if (left is not None and left <= 0) or not poller.poll(left):
+        if (remaining is not None and remaining <= 0) or not poller.poll(remaining):
             raise TimeoutError("no whole message in time")
-        return self.connection.recv(RECEIVE_BYTES)
+        return self.connection.recv(RECEIVE_BUFFER_BYTES)
 
     def _send_all(self, data: bytes) -> bool:
         view = memoryview(data)
@@ -119,4 +121,4 @@
     def _wait_writable(self) -> bool:
         poller = select.poll()
         poller.register(self.connection, select.POLLOUT)
-        return bool(poller.poll(SEND_WAIT))
+        return bool(poller.poll(SEND_TIMEOUT))
--- a/src/masticgate/connection/gateway/_caller.py
+++ b/src/masticgate/connection/gateway/_caller.py
@@ -23,7 +23,7 @@
     parse_number,
 )
 
-RECEIVE_BYTES = 4_096
+RECEIVE_BUFFER_BYTES = 4_096
 """The buffer of one connection; most requests fit in it whole."""
 
 WRITE_TIMEOUT = Millis(5_000.0)
@@ -73,7 +73,7 @@
         limits = settings.limits()
         self.parser = RequestParser(limits.header_bytes, limits.body_bytes)
         self.parse_error: TooLarge | Malformed | None = None
-        self.buffer = memoryview(bytearray(RECEIVE_BYTES))
+        self.buffer = memoryview(bytearray(RECEIVE_BUFFER_BYTES))
         self.wakeable_socket = WakeableSocket(connection, settings.clock)
 
     def run(self) -> None:
--- a/src/masticgate/connection/gateway/_client.py
+++ b/src/masticgate/connection/gateway/_client.py
@@ -14,7 +14,7 @@
 from ._parser import Malformed, parse_number
 from ._response_parser import ResponseParser
 
-RECEIVE_BYTES = 16_384
+RECEIVE_BUFFER_BYTES = 16_384
 KEEP_ALIVE_IDLE_S = 1
 KEEP_ALIVE_INTERVAL_S = 1
 KEEP_ALIVE_PROBES = 2
@@ -122,7 +122,7 @@
     def receive(self, deadline: Millis) -> HttpResponse | NoResponse | InvalidResponse:
         """Receive the response."""
         parser = ResponseParser()
-        buffer = memoryview(bytearray(RECEIVE_BYTES))
+        buffer = memoryview(bytearray(RECEIVE_BUFFER_BYTES))
         while True:
             problem = self._receive_into(parser, buffer, deadline)
             if parser.ready:
--- a/src/masticgate/connection/gateway/_searcher_task.py
+++ b/src/masticgate/connection/gateway/_searcher_task.py
@@ -23,7 +23,7 @@
 CONNECT_TIMEOUT = Millis(300.0)
 """Many times the round trip within a region; a silent host is given up after it."""
 
-RECEIVE_BYTES = 4_096
+RECEIVE_BUFFER_BYTES = 4_096
 """The buffer of one connection; most answers of shards fit in it whole."""
 
 
@@ -214,7 +214,7 @@
         """Read answers until the connection ends; return what that means for an open call."""
         connection = self.client.socket
         assert connection is not None
-        buffer = memoryview(bytearray(RECEIVE_BYTES))
+        buffer = memoryview(bytearray(RECEIVE_BUFFER_BYTES))
         while True:
             try:
                 count = connection.recv_into(buffer)
--- a/src/masticgate/process/_peer_service.py
+++ b/src/masticgate/process/_peer_service.py
@@ -57,7 +57,7 @@
         """Return a heartbeat that only asks for an answer."""
         return Heartbeat(self.timeline.sequence, self.versions.versions(), ())
 
-    def link_opened(self, peer: Hello) -> None:
+    def handle_link_opened(self, peer: Hello) -> None:
         """Note that the link to ``peer`` is open; tell it what was believed of it."""
         self.timeline.add(EventKind.LINK_OPENED, peer.host, f"incarnation {peer.incarnation}")
         corrections = self.members.merge([member_from_hello(peer)])
@@ -70,33 +70,35 @@
         )
         self.links.send(peer.host, beat)
 
-    def link_lost(self, host: HostId) -> None:
+    def handle_link_lost(self, host: HostId) -> None:
         """Fail the requests that wait for ``host``."""
         self.timeline.add(EventKind.LINK_LOST, host)
         self.reply_router.fail_pending(host)
 
-    def receive(self, peer: Hello, message: Message, answer: Callable[[Message], bool]) -> None:
-        """Handle one message from ``peer``; ``answer`` sends on the same connection."""
+    def handle_message(
+        self, peer: Hello, message: Message, send_reply: Callable[[Message], bool]
+    ) -> None:
+        """Handle one message from ``peer``; ``send_reply`` sends on the same link."""
         match message:
             case Ask():
-                self.pressure.record_entry_host(peer.host, answer)
-                self.owner.submit_search(message, answer)
+                self.pressure.record_entry_host(peer.host, send_reply)
+                self.owner.submit_search(message, send_reply)
             case Cancel():
                 self.owner.cancel(message)
             case Book():
-                self.owner.submit_booking(message, answer)
+                self.owner.submit_booking(message, send_reply)
             case Reply() | BookReply() | ForwardReply():
                 self.reply_router.deliver(peer.host, message)
             case Forward():
-                self.run_forward(message, answer)
+                self.run_forward(message, send_reply)
             case Heartbeat():
-                self._handle_heartbeat(peer, message, answer)
+                self._handle_heartbeat(peer, message, send_reply)
             case HeartbeatReply():
-                self._handle_heartbeat_reply(peer, message, answer)
+                self._handle_heartbeat_reply(peer, message, send_reply)
             case FetchVersions(have=have):
-                self.distribution.answer_fetch(have, answer)
+                self.distribution.answer_fetch(have, send_reply)
             case TextPush() | SectionsPush() | CataloguePush():
-                self.distribution.handle_push(message, answer)
+                self.distribution.handle_push(message, send_reply)
             case Demand():
                 self.pressure.handle_demand(message)
             case Pressure(services=services):
@@ -105,25 +107,25 @@
                 return
 
     def _handle_heartbeat(
-        self, peer: Hello, beat: Heartbeat, answer: Callable[[Message], bool]
+        self, peer: Hello, beat: Heartbeat, send_reply: Callable[[Message], bool]
     ) -> None:
         self.timeline.record_sequence(peer.host, beat.events)
         corrections = self.members.merge(beat.members)
-        self.distribution.compare_versions(peer, beat.versions, answer)
+        self.distribution.compare_versions(peer, beat.versions, send_reply)
         missing, differs = self.members.compare_digest(beat.digest)
         digest = tuple(self.members.digest) if differs else ()
         versions = self.versions.versions()
-        answer(HeartbeatReply(self.timeline.sequence, versions, corrections + missing, digest))
+        send_reply(HeartbeatReply(self.timeline.sequence, versions, corrections + missing, digest))
 
     def _handle_heartbeat_reply(
-        self, peer: Hello, reply: HeartbeatReply, answer: Callable[[Message], bool]
+        self, peer: Hello, reply: HeartbeatReply, send_reply: Callable[[Message], bool]
     ) -> None:
         self.timeline.record_sequence(peer.host, reply.events)
         corrections = self.members.merge(reply.members)
-        self.distribution.compare_versions(peer, reply.versions, answer)
+        self.distribution.compare_versions(peer, reply.versions, send_reply)
         missing, _ = self.members.compare_digest(reply.digest)
         if corrections or missing:
-            answer(
+            send_reply(
                 Heartbeat(self.timeline.sequence, self.versions.versions(), corrections + missing)
             )
 
