--- a/src/masticgate/platform/_items.py
+++ b/src/masticgate/platform/_items.py
@@ -74,8 +74,8 @@
 
 def _decode_address(fields: Fields) -> Address:
     text = fields.text("address")
-    number, _, port = text.rpartition(":")
-    IPv4Address(number)
+    host, _, port = text.rpartition(":")
+    IPv4Address(host)
     if not port.isdigit() or not 0 < int(port) < 65_536:
         raise fields.error("address", "a port")
     return Address(text)
--- a/src/masticgate/platform/_node_file.py
+++ b/src/masticgate/platform/_node_file.py
@@ -21,12 +21,12 @@
     """Read the settings file at ``path``; unknown fields are ignored."""
     try:
         fields = Fields.of("settings", tomllib.loads(path.read_text(encoding="utf-8")))
-        return _decode(fields, metrics_port)
+        return _decode_settings(fields, metrics_port)
     except (OSError, UnicodeDecodeError, tomllib.TOMLDecodeError, FieldError) as error:
         return InvalidNodeFile(f"{path}: {error}")
 
 
-def _decode(fields: Fields, metrics_port: int | None) -> GatewaySettings:
+def _decode_settings(fields: Fields, metrics_port: int | None) -> GatewaySettings:
     bounds = fields.table("bounds")
     listen = fields.table("bindAddresses")
     metrics = None
--- a/src/masticgate/platform/_serve.py
+++ b/src/masticgate/platform/_serve.py
@@ -12,7 +12,7 @@
 from ..process.gateway._gateway import Gateway
 from ._names import HEADER_NAMES
 from ._node_file import InvalidNodeFile, read_node_file
-from ._store import Store
+from ._store import PlatformStore
 
 NODE_FILE_VARIABLE = "MASTICGATE_NODE_FILE"
 RELOAD_INTERVAL_S = 5.0
@@ -38,7 +38,7 @@
     for number in (signal.SIGTERM, signal.SIGINT, signal.SIGHUP):
         signal.signal(number, enqueue_signal)
     try:
-        gateway = Gateway(settings, HEADER_NAMES, Store(settings.catalogue, SystemClock()))
+        gateway = Gateway(settings, HEADER_NAMES, PlatformStore(settings.catalogue, SystemClock()))
     except OSError as error:
         print(f"masticgate: cannot listen: {error}", file=sys.stderr)
         raise SystemExit(EXIT_START_FAILED) from error
--- a/src/masticgate/platform/_store.py
+++ b/src/masticgate/platform/_store.py
@@ -27,7 +27,7 @@
 HISTORY_GONE = 410
 
 
-class Store:
+class PlatformStore:
     """One connection to the store; its own task uses it."""
 
     def __init__(self, address: Address, clock: Clock) -> None:
@@ -53,7 +53,7 @@
         Pages are no snapshot: changes are followed from the first page's revision on.
         """
         changes: list[Change] = []
-        first: Revision | None = None
+        first_revision: Revision | None = None
         after = ""
         while True:
             query = {"prefix": ALL_KEYS_PREFIX} | ({"after": after} if after else {})
@@ -62,9 +62,11 @@
                 return _unavailable(page)
             items = page.get("items") or []
             changes += _decode_items(items)
-            first = Revision(page["currentRev"]) if first is None else first
+            first_revision = (
+                Revision(page["currentRev"]) if first_revision is None else first_revision
+            )
             if not page.get("hasMore") or not items:
-                return Contents(tuple(changes), first)
+                return Contents(tuple(changes), first_revision)
             after = items[-1]["key"]
 
     def watch(self, after: Revision, wait: Millis) -> Changes | HistoryGone | Unavailable:
--- a/src/masticgate/process/gateway/_fleet.py
+++ b/src/masticgate/process/gateway/_fleet.py
@@ -190,10 +190,10 @@
         """Log and count bytes that belong to no call of their connection."""
         fields: dict[str, object] = {"searcher": task.searcher, "connection": task.number}
         match violation:
-            case SkippedResponse(response_id=answered, expected_id=expected):
+            case SkippedResponse(response_id=response_id, expected_id=expected):
                 self.metrics.count("answer_skipped")
                 event = LogEvent.ANSWER_SKIPPED
-                fields |= {"answered": answered, "request": expected}
+                fields |= {"answered": response_id, "request": expected}
             case UnrequestedBytes(count=number):
                 self.metrics.count("bytes_unrequested")
                 event = LogEvent.BYTES_UNREQUESTED
@@ -294,10 +294,10 @@
         now = self.clock.now()
         service = call.service
         known = self.services.get(service, {})
-        others = [replica for replica in known.values() if replica.entry.id not in tried]
-        usable = [replica for replica in others if replica.is_usable(now)]
+        untried = [replica for replica in known.values() if replica.entry.id not in tried]
+        usable = [replica for replica in untried if replica.is_usable(now)]
         if not usable and tried and call.repeat is not Repeat.HEDGE:
-            usable = [replica for replica in others if replica.state is ReplicaState.EJECTED]
+            usable = [replica for replica in untried if replica.state is ReplicaState.EJECTED]
         if not usable:
             return NotRun(Reason.NO_SEARCHER, Step.ROUTE, service, f"{len(known)} known")
         free = [replica for replica in usable if replica.has_capacity()]
@@ -306,8 +306,8 @@
         return min(free, key=lambda replica: self._sort_key(replica, now))
 
     def _sort_key(self, replica: Replica, now: Millis) -> tuple[bool, float]:
-        foreign = replica.entry.domain != self.settings.domain
-        cost = replica.cost(now) + (CROSS_DOMAIN_COST if foreign else 0.0)
+        in_other_domain = replica.entry.domain != self.settings.domain
+        cost = replica.cost(now) + (CROSS_DOMAIN_COST if in_other_domain else 0.0)
         return replica.state is ReplicaState.LEAVING, cost
 
     def _open_connection(self, replica: Replica, first: Call | None = None) -> SearcherTask | None:
@@ -320,11 +320,11 @@
         task = SearcherTask(entry.id, entry.address, self, header_names, self.clock, first, number)
         replica.connection_count += 1
         self.tasks[task] = replica
-        refused = self.starter.start(task.run)
-        if refused is None:
+        refusal = self.starter.start(task.run)
+        if refusal is None:
             return task
         self.tasks.pop(task).connection_count -= 1
-        self.log.write(LogEvent.TASK_REFUSED, searcher=entry.id, detail=refused.detail)
+        self.log.write(LogEvent.TASK_REFUSED, searcher=entry.id, detail=refusal.detail)
         return None
 
     def _keep_idle(self, replica: Replica, task: SearcherTask) -> None:
@@ -338,17 +338,17 @@
     def _expire_idle(self, replica: Replica, now: Millis) -> None:
         """Close connections before their searcher would, and renew what is in use."""
         for task in list(replica.idle):
-            kept = (
+            idle_timeout = (
                 DEFAULT_IDLE_TIMEOUT
                 if task.keep_alive_timeout is None
                 else min(MAX_IDLE_TIMEOUT, task.keep_alive_timeout)
             )
-            if now - task.idle_since < kept - IDLE_TIMEOUT_MARGIN:
+            if now - task.idle_since < idle_timeout - IDLE_TIMEOUT_MARGIN:
                 continue
-            recent = now - replica.last_used_at < RENEWAL_WINDOW or self._is_kept_warm(
+            in_use = now - replica.last_used_at < RENEWAL_WINDOW or self._is_kept_warm(
                 replica.entry.service
             )
-            if recent and replica.state is ReplicaState.ACTIVE and replica.connection_count <= 2:
+            if in_use and replica.state is ReplicaState.ACTIVE and replica.connection_count <= 2:
                 self._open_connection(replica)
             replica.idle.remove(task)
             task.close()
@@ -368,8 +368,10 @@
             ):
                 if receive_info.framing is BodyFraming.CLOSE:
                     self.metrics.count("answers_ended_by_close")
-                first = not call.repeat
-                ratio = self.hedge_delays.record(call.route.id, latency, now, first=first)
+                first_attempt = not call.repeat
+                ratio = self.hedge_delays.record(
+                    call.route.id, latency, now, first_attempt=first_attempt
+                )
                 if replica.record_success(ratio, now):
                     self.log.write(LogEvent.SEARCHER_BACK, searcher=replica.entry.id)
             case Declined(reason=Reason.NO_SEARCHER):
@@ -438,12 +440,12 @@
         return replica
 
     def _update(self, replica: Replica, entry: SearcherEntry, now: Millis) -> None:
-        was = replica.entry.phase
+        previous_phase = replica.entry.phase
         replica.entry = entry
         if entry.phase is SearcherPhase.DRAINING:
             self._record_drained(entry)
             self._start_leaving(replica, "draining")
-        elif was is SearcherPhase.READY:
+        elif previous_phase is SearcherPhase.READY:
             replica.restore()
 
     def _record_drained(self, entry: SearcherEntry) -> None:
--- a/src/masticgate/process/gateway/_follower.py
+++ b/src/masticgate/process/gateway/_follower.py
@@ -106,8 +106,8 @@
     def _watch_wait(self) -> Millis:
         if self.recovered_at is None:
             return WATCH_TIMEOUT
-        left = self.recovered_at + RELIST_TIMEOUT - self.clock.now()
-        return Millis(min(WATCH_TIMEOUT, max(50.0, left)))
+        remaining = self.recovered_at + RELIST_TIMEOUT - self.clock.now()
+        return Millis(min(WATCH_TIMEOUT, max(50.0, remaining)))
 
     def _record_contact(self) -> None:
         self.last_contact_at = self.clock.now()
@@ -159,11 +159,11 @@
                     self.fleet.remove_searcher(searcher, "unreadable")
 
     def _apply_table(self, table: RouteTable) -> None:
-        known = self.table
-        if known is not None and table.version <= known.version:
-            if table.version < known.version:
+        current = self.table
+        if current is not None and table.version <= current.version:
+            if table.version < current.version:
                 self.log.write(
-                    LogEvent.CONFIGURATION_IGNORED, version=table.version, newer=known.version
+                    LogEvent.CONFIGURATION_IGNORED, version=table.version, newer=current.version
                 )
             return
         self.catalogue.add(PublishedConfiguration(table))
@@ -173,7 +173,7 @@
         self.log.write(
             LogEvent.CONFIGURATION,
             version=table.version,
-            before=known.version if known is not None else 0,
+            before=current.version if current is not None else 0,
             routes=len(table.routes),
             services=len(table.services),
         )
--- a/src/masticgate/process/gateway/_gateway.py
+++ b/src/masticgate/process/gateway/_gateway.py
@@ -105,17 +105,19 @@
 
     def stop(self) -> None:
         """Finish what callers have sent, then end within the grace."""
-        began = self.clock.now()
+        started_at = self.clock.now()
         self.stopping.set()
         grace = self.settings.grace
         self.log.write(LogEvent.STOPPING, serving=self.callers.count(CallerState.SERVING))
         self.log.wake()
-        self._wait_until(Millis(began + grace * ACCEPT_GRACE_SHARE))
+        self._wait_until(Millis(started_at + grace * ACCEPT_GRACE_SHARE))
         self.callers.stop()
         self.callers.close_idle()
-        self._wait_for_requests(Millis(began + grace * FINISH_GRACE_SHARE))
-        cut = self.callers.count(CallerState.SERVING)
-        self.log.write(LogEvent.STOPPED, cut=cut, took_ms=round(self.clock.now() - began))
+        self._wait_for_requests(Millis(started_at + grace * FINISH_GRACE_SHARE))
+        unfinished = self.callers.count(CallerState.SERVING)
+        self.log.write(
+            LogEvent.STOPPED, cut=unfinished, took_ms=round(self.clock.now() - started_at)
+        )
         self.log.stop()
         self._wait_until(Millis(self.clock.now() + 100.0))
         os._exit(0)
@@ -183,12 +185,12 @@
 
     def _tick(self) -> None:
         """Do what is due regularly, until the process ends."""
-        last = self.clock.now()
+        last_tick_at = self.clock.now()
         while not self.ended.wait(TICK_INTERVAL / MILLIS_PER_SECOND):
             now = self.clock.now()
-            if now - last > PAUSE_THRESHOLD:
-                self.log.write(LogEvent.PAUSED, for_ms=round(now - last))
-            last = now
+            if now - last_tick_at > PAUSE_THRESHOLD:
+                self.log.write(LogEvent.PAUSED, for_ms=round(now - last_tick_at))
+            last_tick_at = now
             self.peers.update_gathering()
             self.fleet.sweep()
             if self._is_ready() != self.was_ready:
--- a/src/masticgate/process/gateway/_hedge_delays.py
+++ b/src/masticgate/process/gateway/_hedge_delays.py
@@ -27,11 +27,11 @@
             return Millis(route.objective * INITIAL_DELAY_SHARE)
         return Millis(min(usual * HEDGE_MARGIN, route.objective * MAX_DELAY_SHARE))
 
-    def record(self, route: RouteId, latency: Millis, now: Millis, *, first: bool) -> float:
+    def record(self, route: RouteId, latency: Millis, now: Millis, *, first_attempt: bool) -> float:
         """Record the latency of a first send; return it over the usual one of its route."""
         window = self.windows.setdefault(route, LatencyWindow())
         usual = window.percentile(TYPICAL_PERCENTILE)
-        if first:
+        if first_attempt:
             window.record(now, latency)
         return latency / usual if usual else 1.0
 
--- a/src/masticgate/process/gateway/_peers.py
+++ b/src/masticgate/process/gateway/_peers.py
@@ -90,7 +90,7 @@
         clock: Clock,
         log: EventLog,
         table: Callable[[], RouteTable | None],
-        ready: Callable[[], bool],
+        is_ready: Callable[[], bool],
         is_platform_reachable: Callable[[], bool],
     ) -> None:
         self.settings = settings
@@ -98,7 +98,7 @@
         self.clock = clock
         self.log = log
         self.table = table
-        self.ready = ready
+        self.is_ready = is_ready
         self.is_platform_reachable = is_platform_reachable
         self.lock = Lock()
         self.started_at = clock.now()
@@ -120,15 +120,19 @@
         now = self.clock.now()
         with self.lock:
             self.last_heartbeats[host] = now
-            old = [known for known, at in self.last_heartbeats.items() if now - at > MEMBER_TTL]
-            for known in old:
+            expired = [
+                known
+                for known, received_at in self.last_heartbeats.items()
+                if now - received_at > MEMBER_TTL
+            ]
+            for known in expired:
                 del self.last_heartbeats[known]
             members = 1 + len(self.last_heartbeats)
         reply = {
             "host": self.settings.host,
             "domain": self.settings.domain,
-            "ready": self.ready(),
-            "relays": self.ready() and self.is_platform_reachable(),
+            "ready": self.is_ready(),
+            "relays": self.is_ready() and self.is_platform_reachable(),
             "members": members,
         }
         return LocalPage(200, json.dumps(reply).encode())
@@ -142,8 +146,8 @@
             if self.settings.is_seed or self.members < MIN_MEMBERS_TO_RELAY:
                 return []
             relay_domains = dict(self.relay_domains)
-        own = self.settings.domain
-        return sorted(relay_domains, key=lambda seed: (relay_domains[seed] != own, seed))
+        own_domain = self.settings.domain
+        return sorted(relay_domains, key=lambda seed: (relay_domains[seed] != own_domain, seed))
 
     def update_gathering(self) -> None:
         """Decide who gathers, from what is known now; due regularly."""
@@ -158,7 +162,7 @@
         accepted = [table.services[name].connections for name in shards if name in table.services]
         connections = min(accepted, default=0)
         chosen = choose_gathering(members, connections, is_seed=self.settings.is_seed)
-        alone = choose_gathering(members, connections, is_seed=False)
+        gathering_of_others = choose_gathering(members, connections, is_seed=False)
         if chosen != self.gathering:
             self.gathering = chosen
             self.log.write(
@@ -167,9 +171,11 @@
                 members=members,
                 connections=connections,
             )
-        gatherers = len(self.settings.seeds) if isinstance(alone, GatherAtPeers) else members
-        warm = self._knows_member_count() and isinstance(chosen, GatherHere)
-        self.fleet.apply_shares(GatewayShares(members, max(1, gatherers), warm))
+        gatherers = (
+            len(self.settings.seeds) if isinstance(gathering_of_others, GatherAtPeers) else members
+        )
+        keeps_warm = self._knows_member_count() and isinstance(chosen, GatherHere)
+        self.fleet.apply_shares(GatewayShares(members, max(1, gatherers), keeps_warm))
 
     def _knows_member_count(self) -> bool:
         """Tell whether the number of gateways is known, or no seed is going to tell it."""
@@ -234,5 +240,5 @@
 def _gatherer_entry(peer: SearcherId, seed: Address, reply: dict[str, object]) -> SearcherEntry:
     """Return a gatherer in the form in which the fleet holds searchers."""
     domain = FailureDomainId(str(reply.get("domain")))
-    ready = SearcherPhase.READY
-    return SearcherEntry(peer, PEER_SERVICE, seed, domain, PEER_SLOTS, ready, Millis(0.0), 0)
+    phase = SearcherPhase.READY
+    return SearcherEntry(peer, PEER_SERVICE, seed, domain, PEER_SLOTS, phase, Millis(0.0), 0)
--- a/src/masticgate/process/gateway/_relay.py
+++ b/src/masticgate/process/gateway/_relay.py
@@ -85,30 +85,30 @@
             self.changes.append((self.number, value))
             self.changed.notify_all()
 
-    def answer(self, request: Request) -> LocalPage:
+    def handle_request(self, request: Request) -> LocalPage:
         """Answer a read, or a watch once something changed or its wait is over."""
         query = parse_qs(request.target.partition(b"?")[2].decode("latin-1"))
         after = query.get("after", [""])[0]
         if self.age() > MAX_PLATFORM_AGE:
             return LocalPage(503, b"the platform was not heard")
         if not after.isdigit():
-            return self._answer_all()
+            return self._reply_with_contents()
         wait = query.get("wait", ["0"])[0]
         if query.get("epoch", [""])[0] != self.epoch or not wait.isdigit():
             return LocalPage(HTTP_GONE, b"another start of this gateway")
-        return self._answer_since(int(after), min(MAX_WATCH_WAIT, Millis(float(wait))))
+        return self._reply_with_changes(int(after), min(MAX_WATCH_WAIT, Millis(float(wait))))
 
-    def _answer_all(self) -> LocalPage:
+    def _reply_with_contents(self) -> LocalPage:
         with self.changed:
             if "table" not in self.state:
                 return LocalPage(503, b"no configuration")
             return self._encode(list(self.state.values()))
 
-    def _answer_since(self, after: int, wait: Millis) -> LocalPage:
+    def _reply_with_changes(self, after: int, wait: Millis) -> LocalPage:
         deadline = monotonic() + wait / MILLIS_PER_SECOND
         with self.changed:
-            while self.number <= after and (left := deadline - monotonic()) > 0:
-                self.changed.wait(left)
+            while self.number <= after and (remaining := deadline - monotonic()) > 0:
+                self.changed.wait(remaining)
             if self.age() > MAX_PLATFORM_AGE:
                 return LocalPage(503, b"the platform was not heard")
             if self.changes and after + 1 < self.changes[0][0]:
@@ -179,9 +179,9 @@
 
         Whether it does is not known until the configuration is there.
         """
-        tries = 0 if self.startup_wait_over else START_ATTEMPTS
+        attempts = 0 if self.startup_wait_over else START_ATTEMPTS
         self.startup_wait_over = True
-        for _ in range(tries):
+        for _ in range(attempts):
             published = self.platform.read_table()
             if (
                 isinstance(published, PublishedConfiguration)
@@ -209,8 +209,8 @@
         if response.status != 200:
             return Unavailable(f"status {response.status}")
         try:
-            news = decode_changes(response.body)
+            update = decode_changes(response.body)
         except InvalidCatalogueError as error:
             return Unavailable(f"unreadable: {error}")
-        self.epoch = news.epoch
-        return news
+        self.epoch = update.epoch
+        return update
--- a/src/masticgate/process/gateway/_replica.py
+++ b/src/masticgate/process/gateway/_replica.py
@@ -91,8 +91,8 @@
         if now < self.cold_until:
             latency_ratio *= COLD_START_FACTOR
         other_requests = self.other_requests if now - self.load_reported_at < LOAD_REPORT_TTL else 0
-        busy = (self.in_flight + other_requests) / self.entry.slots
-        return latency_ratio * (1.0 + busy) + FAILURE_COST * self.current_failure_rate(now)
+        load_per_slot = (self.in_flight + other_requests) / self.entry.slots
+        return latency_ratio * (1.0 + load_per_slot) + FAILURE_COST * self.current_failure_rate(now)
 
     def current_failure_rate(self, now: Millis) -> float:
         """Return the share of failed sends, less the time since it was last observed."""
--- a/src/masticgate/process/gateway/_service.py
+++ b/src/masticgate/process/gateway/_service.py
@@ -111,10 +111,10 @@
         if request.host == HEARTBEAT_HOST:
             return self.peers.handle_heartbeat(request)
         if request.host == CATALOGUE_HOST:
-            return self.catalogue.answer(request)
+            return self.catalogue.handle_request(request)
         version = request.version
         table = None if version is None else self.find_table(version)
-        if table is None or not self.peers.ready():
+        if table is None or not self.peers.is_ready():
             failure = NotRun(Reason.NO_CONFIGURATION, Step.FORWARD, detail=f"version {version}")
             return Refused(503, failure)
         route = table.find(request.host, request.path)
@@ -157,8 +157,10 @@
             case GatherHere():
                 return run_gather(request, route, shards, self.fleet, inbox)
             case GatherAtPeers():
-                asked = replace(request, version=table.version)
-                reply = run_forward(asked, peer_route(route), PEER_SERVICE, self.fleet, inbox)
+                peer_request = replace(request, version=table.version)
+                reply = run_forward(
+                    peer_request, peer_route(route), PEER_SERVICE, self.fleet, inbox
+                )
         match reply:
             case Relayed(answer=answer):
                 return self._read_peer_answer(answer)
@@ -189,11 +191,11 @@
         self, request: Request, view: GatewayView, route: Route | Refused, reply: Reply
     ) -> None:
         """Count the request, and log it unless it is one of many ordinary ones."""
-        took = Millis(self.fleet.now() - request.arrived_at)
+        duration = Millis(self.fleet.now() - request.arrived_at)
         outcome, detail = _describe_reply(reply)
         kind = "none" if isinstance(route, Refused) else f"rank{route.rank}"
-        self.metrics.record_request(kind, outcome, took)
-        late = not isinstance(route, Refused) and took > route.objective
+        self.metrics.record_request(kind, outcome, duration)
+        late = not isinstance(route, Refused) and duration > route.objective
         if outcome == "whole" and not late and _is_ordinary(reply):
             self.ordinary_reply_count += 1
             if self.ordinary_reply_count % LOG_SAMPLE_INTERVAL:
@@ -206,7 +208,7 @@
             route="" if isinstance(route, Refused) else route.id,
             outcome=outcome,
             detail=detail,
-            took_ms=round(took, 1),
+            took_ms=round(duration, 1),
             patience_ms=request.caller_timeout,
             network_ms=round(request.network_time),
             version=version,
--- a/src/masticgate/process/gateway/_task_pool.py
+++ b/src/masticgate/process/gateway/_task_pool.py
@@ -97,12 +97,12 @@
     def _record_failure(self, run: Callable[..., None], error: Exception) -> None:
         """Log an error that would stay in a future that nobody asks."""
         self.metrics.count("tasks_failed")
-        where = traceback.extract_tb(error.__traceback__)[-1]
+        frame = traceback.extract_tb(error.__traceback__)[-1]
         self.log.write(
             LogEvent.TASK_FAILED,
             task=run.__qualname__,
             detail=repr(error),
-            at=f"{basename(where.filename)}:{where.lineno}",
+            at=f"{basename(frame.filename)}:{frame.lineno}",
         )
 
     def _make_executor(self) -> ThreadPoolExecutor:
--- a/tests/gateway/fakes.py
+++ b/tests/gateway/fakes.py
@@ -119,7 +119,7 @@
     )
 
 
-class HeldTasks:
+class UnstartedTasks:
     """Takes tasks and runs none of them."""
 
     def __init__(self) -> None:
@@ -136,7 +136,7 @@
 def make_fleet(clock: ManualClock | None = None, **settings: float) -> Fleet:
     clock = clock or ManualClock()
     log = EventLog(HostId("g1"), clock)
-    return Fleet(make_settings(**settings), HEADER_NAMES, clock, HeldTasks(), log, Metrics())
+    return Fleet(make_settings(**settings), HEADER_NAMES, clock, UnstartedTasks(), log, Metrics())
 
 
 def answered(searcher: SearcherId, body: bytes = b"", status: int = 200, latency: float = 10.0):
@@ -149,14 +149,14 @@
     def __init__(self, call: Call, searcher: SearcherId) -> None:
         self.call = call
         self.searcher = searcher
-        self.cut = False
+        self.cancel_requested = False
 
     def cancel(self) -> None:
         self.call.cancelled = True
-        self.cut = True
+        self.cancel_requested = True
 
 
-class Script:
+class ScriptedUpstream:
     """Senders and inbox in one: each service has a list of (delay, outcome) in order.
 
     An outcome is a body, ``"declined"``, ``"lost"``, ``"unsent"``, ``"silent"`` or a status.
@@ -169,7 +169,7 @@
         self.hedge = Millis(20.0)
         self.events: list[tuple[float, int, Call]] = []
         self.sent_calls: list[ScriptedCall] = []
-        self.leaves_at: float | None = None
+        self.disconnects_at: float | None = None
 
     def now(self):
         return self.clock.now()
@@ -181,12 +181,12 @@
         delay, outcome = plan.pop(0)
         searcher = SearcherId(f"{call.service}-{len(tried)}")
         call.started = outcome != "unsent"
-        sending = ScriptedCall(call, searcher)
-        self.sent_calls.append(sending)
+        sent_call = ScriptedCall(call, searcher)
+        self.sent_calls.append(sent_call)
         call.outcome = self._outcome(searcher, outcome)
         if outcome != "silent":
             self.events.append((self.now() + delay, len(self.sent_calls), call))
-        return sending
+        return sent_call
 
     def hedge_delay(self, route):
         return self.hedge
@@ -206,8 +206,8 @@
     def wait(self, deadline):
         self.events.sort(key=lambda event: event[:2])
         next_at = self.events[0][0] if self.events else float("inf")
-        if self.leaves_at is not None and self.leaves_at <= min(next_at, deadline):
-            self.clock.current = Millis(self.leaves_at)
+        if self.disconnects_at is not None and self.disconnects_at <= min(next_at, deadline):
+            self.clock.current = Millis(self.disconnects_at)
             return CallerDisconnected()
         if next_at > deadline:
             self.clock.current = Millis(max(self.now(), deadline))
--- a/tests/gateway/loopback.py
+++ b/tests/gateway/loopback.py
@@ -20,7 +20,7 @@
 RESET_AT_CLOSE = struct.pack("ii", 1, 0)
 
 
-class End(Enum):
+class ConnectionEnd(Enum):
     """What a searcher does with its connection after an answer."""
 
     OPEN = "open"
@@ -53,7 +53,7 @@
     def __init__(self, answer: Answer) -> None:
         self.answer = answer
         self.heads: list[bytes] = []
-        self.hangs_up = False
+        self.closes_after_answer = False
         self.listener = socket.create_server(("127.0.0.1", 0))
         self.address = Address(f"127.0.0.1:{self.listener.getsockname()[1]}")
         threading.Thread(target=self._accept, daemon=True).start()
@@ -75,7 +75,7 @@
                     return
                 with suppress(OSError):
                     connection.sendall(data)
-                if self.hangs_up:
+                if self.closes_after_answer:
                     return
 
     def _read(self, connection: socket.socket) -> bytes:
@@ -113,20 +113,20 @@
 
     def __init__(self, answer: Answer, *, resets: bool) -> None:
         self.resets = resets
-        self.asked = 0
-        self.broken = 0
+        self.request_count = 0
+        self.broken_count = 0
         super().__init__(answer)
 
     def _serve(self, connection: socket.socket) -> None:
         with connection:
             while head := self._read(connection):
                 answer = self.answer(head) or b""
-                self.asked += 1
-                if self.asked % 2:
+                self.request_count += 1
+                if self.request_count % 2:
                     connection.sendall(answer)
                     continue
-                self.broken += 1
-                connection.sendall(answer[: self.broken * 7 % len(answer)])
+                self.broken_count += 1
+                connection.sendall(answer[: self.broken_count * 7 % len(answer)])
                 if self.resets:
                     connection.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET_AT_CLOSE)
                 return
@@ -136,19 +136,19 @@
     """Never answers, and notes when a connection with a request was closed."""
 
     def __init__(self) -> None:
-        self.asked = Event()
-        self.closed = Event()
+        self.request_received = Event()
+        self.connection_closed = Event()
         super().__init__(lambda head: None)
 
     def _serve(self, connection: socket.socket) -> None:
         with connection:
             if not self._read(connection):
                 return
-            self.asked.set()
+            self.request_received.set()
             connection.settimeout(5)
             with suppress(OSError):
                 connection.recv(1)
-            self.closed.set()
+            self.connection_closed.set()
 
 
 class FixedSource:
--- a/tests/gateway/soak.py
+++ b/tests/gateway/soak.py
@@ -21,7 +21,7 @@
 from pathlib import Path
 from urllib.parse import parse_qs, urlsplit
 
-from .loopback import RESET_AT_CLOSE, End, StandInSearcher, head_value
+from .loopback import RESET_AT_CLOSE, ConnectionEnd, StandInSearcher, head_value
 
 GATEWAYS = 3
 SHARDS = 4
@@ -135,7 +135,7 @@
     data: bytes
     idle: bytes = b""
     late: bytes = b""
-    end: End = End.OPEN
+    end: ConnectionEnd = ConnectionEnd.OPEN
 
 
 class Searcher(StandInSearcher):
@@ -165,9 +165,9 @@
                 if sent.idle:
                     time.sleep(IDLE_S)
                     connection.sendall(sent.idle)
-                if sent.end is End.RESET:
+                if sent.end is ConnectionEnd.RESET:
                     connection.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET_AT_CLOSE)
-                if sent.end is not End.OPEN:
+                if sent.end is not ConnectionEnd.OPEN:
                     return
                 late = sent.late
 
@@ -191,7 +191,7 @@
         )
         if self.source.random() < LOST_ALWAYS + self.trouble / 4:
             self.note_lost(request)
-            return Sent(b"", end=End.ORDERLY)
+            return Sent(b"", end=ConnectionEnd.ORDERLY)
         return self.repeat(answer, request)
 
     def repeat(self, answer: bytes, request: str = "") -> Sent:
@@ -208,10 +208,10 @@
             case Second.UNFRAMED_BEFORE_THE_NEXT:
                 return Sent(answer, late=unframed(answer))
             case Second.UNFRAMED:
-                return Sent(unframed(answer), end=End.ORDERLY)
+                return Sent(unframed(answer), end=ConnectionEnd.ORDERLY)
             case Second.UNFRAMED_RESET if request:
                 self.note_lost(request)
-                return Sent(unframed(answer)[:-RECORD_BYTES], end=End.RESET)
+                return Sent(unframed(answer)[:-RECORD_BYTES], end=ConnectionEnd.RESET)
             case _:
                 return Sent(answer)
 
--- a/tests/gateway/test_answers.py
+++ b/tests/gateway/test_answers.py
@@ -45,7 +45,7 @@
 from .loopback import (
     RESET_AT_CLOSE,
     BreakingSearcher,
-    End,
+    ConnectionEnd,
     RawCaller,
     RepeatingSearcher,
     head_value,
@@ -139,7 +139,7 @@
 
     message: Message
     sent: bytes
-    end: End = End.OPEN
+    end: ConnectionEnd = ConnectionEnd.OPEN
     late: bytes = b""
     split: int = 0
     moment: Moment = Moment.BEFORE_RECEIVE
@@ -218,7 +218,7 @@
         while self._is_given(number):
             exchange, call = self.calls[number]
             yield from self._send(pending + exchange.sent, exchange.cuts)
-            if exchange.end is not End.OPEN:
+            if exchange.end is not ConnectionEnd.OPEN:
                 self._end(exchange.end)
                 yield
             number += 1
@@ -245,9 +245,9 @@
                 self.far.sendall(data[start:stop])
                 yield
 
-    def _end(self, end: End) -> None:
+    def _end(self, end: ConnectionEnd) -> None:
         """Close the connection; a request that was not received would make that a reset."""
-        if end is End.RESET:
+        if end is ConnectionEnd.RESET:
             self.far.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET_AT_CLOSE)
         else:
             self.far.recv(65_536)
@@ -300,7 +300,7 @@
 ]
 KINDS = ["whole"] * 6 + ["interim", "other", "none", "junk"]
 FRAMINGS = [Framing.LENGTH] * 3 + [Framing.CHUNKED, Framing.CLOSE]
-ENDS = [End.OPEN] * 6 + [End.ORDERLY, End.RESET, End.RESET]
+ENDS = [ConnectionEnd.OPEN] * 6 + [ConnectionEnd.ORDERLY, ConnectionEnd.RESET, ConnectionEnd.RESET]
 
 
 @dataclass(frozen=True)
@@ -312,12 +312,12 @@
     missing: int = 0
 
 
-def is_decidable(parts: list[Part], end: End) -> bool:
+def is_decidable(parts: list[Part], end: ConnectionEnd) -> bool:
     """Tell whether a receiver can know the part that is an answer to the call and whole."""
     for place, part in enumerate(parts):
         behind = parts[place + 1 :]
         # An answer without a length ends with its connection, as does what stands behind it.
-        if part.unframed and end is End.ORDERLY and (part.missing or behind):
+        if part.unframed and end is ConnectionEnd.ORDERLY and (part.missing or behind):
             return False
         # Bytes that fill up a cut answer are told from it only if they look like a next one.
         if part.missing and any(other.data in JUNK for other in behind):
@@ -382,7 +382,7 @@
     """Return an exchange; answers are cut on open connections only if ``cut_open``."""
     message = draw(messages(identity, part))
     end = draw(st.sampled_from(ENDS))
-    sent = draw(first_parts(message, 4 if cut_open or end is not End.OPEN else 0))
+    sent = draw(first_parts(message, 4 if cut_open or end is not ConnectionEnd.OPEN else 0))
     copied = cut_open and draw(st.booleans())
     goes_on = cut_open or not sent[-1].missing
     for _ in range(draw(st.sampled_from([0, 0, 0, 1, 2])) if goes_on else 0):
@@ -390,7 +390,7 @@
     late = []
     if draw(st.sampled_from([True] * (3 if cut_open else 1) + [False])):
         late = [draw(parts(message, cut_open and draw(st.booleans())))]
-    assume(is_decidable(sent + (late if end is End.OPEN else []), end))
+    assume(is_decidable(sent + (late if end is ConnectionEnd.OPEN else []), end))
     data, data_late = (b"".join(part.data for part in group) for group in (sent, late))
     split = draw(st.sampled_from([0, 0, 0, len(data_late), len(data_late) // 3]))
     cuts = tuple(draw(st.lists(st.integers(0, 600), max_size=3)))
@@ -498,7 +498,7 @@
         last = own[-1].framing is Framing.CLOSE
         own = [m for m in own[:-1] if m.framing is not Framing.CLOSE] + own[-1:]
         series = [Exchange(message, message.encode(), moment=moment) for message in own]
-        series[-1] = replace(series[-1], end=End.ORDERLY if last else End.OPEN)
+        series[-1] = replace(series[-1], end=ConnectionEnd.ORDERLY if last else ConnectionEnd.OPEN)
         played = Conversation(series).run()
         assert len(played) == len(series)
         for exchange, call in played:
@@ -650,7 +650,7 @@
     def test_an_answer_with_two_ids_or_stamps_is_nobodys(self, field):
         own = Message("q0", 200, records("q0", 1))
         (played,) = Conversation(
-            [Exchange(own, own.encode().replace(b"x-id", field + b"x-id"), End.ORDERLY)]
+            [Exchange(own, own.encode().replace(b"x-id", field + b"x-id"), ConnectionEnd.ORDERLY)]
         ).run()
         assert isinstance(played[1].outcome, Lost)
 
@@ -754,4 +754,4 @@
             assert (status, head_value(head, b"x-missing")) == (200, b"0")
             assert sorted(stamps) == gathered_stamps(identity, by)
             assert body == merged_records(identity, by)
-        assert gatherer.broken >= PEER_QUERIES // 3
+        assert gatherer.broken_count >= PEER_QUERIES // 3
--- a/tests/gateway/test_fleet.py
+++ b/tests/gateway/test_fleet.py
@@ -26,15 +26,15 @@
     return fleet.send(make_call(repeat=repeat), set(tried))
 
 
-def finish(fleet, sending, outcome):
-    sending.call.outcome = outcome
-    fleet.handle_outcome(sending.task, sending.call, None, reusable=True)
+def finish(fleet, dispatched, outcome):
+    dispatched.call.outcome = outcome
+    fleet.handle_outcome(dispatched.task, dispatched.call, None, reusable=True)
 
 
 def send_and_finish(fleet, make_outcome):
-    sending = send(fleet)
-    finish(fleet, sending, make_outcome(sending.searcher))
-    return sending.searcher
+    dispatched = send(fleet)
+    finish(fleet, dispatched, make_outcome(dispatched.searcher))
+    return dispatched.searcher
 
 
 class TestChoice:
@@ -132,9 +132,9 @@
         fleet = make_fleet()
         fleet.apply_listing(make_entry("a"))
         for _ in range(5):
-            sending = send(fleet)
-            sending.call.cancelled = True
-            finish(fleet, sending, Lost(sending.searcher, True, "closed"))
+            dispatched = send(fleet)
+            dispatched.call.cancelled = True
+            finish(fleet, dispatched, Lost(dispatched.searcher, True, "closed"))
         assert send(fleet).searcher == "a"
 
 
@@ -208,7 +208,7 @@
         fleet.apply_table(make_table(make_route()))
         fleet.apply_listing(make_entry("a"))
         sent = [send(fleet) for _ in range(3)]
-        assert len({sending.task for sending in sent}) == 3
+        assert len({dispatched.task for dispatched in sent}) == 3
         assert send(fleet).reason is Reason.OVERLOAD
 
     def test_an_idle_connection_that_was_just_given_work_stays(self):
--- a/tests/gateway/test_forward.py
+++ b/tests/gateway/test_forward.py
@@ -8,11 +8,13 @@
 from masticgate.request.gateway import Abandoned, Failed, Refused, Relayed, run_forward
 from masticgate.version.gateway import Idempotency
 
-from .fakes import Script, make_request, make_route
+from .fakes import ScriptedUpstream, make_request, make_route
 
 
 def forward(
-    script: Script, kind: Idempotency = Idempotency.IDEMPOTENT, caller_timeout: float = 400.0
+    script: ScriptedUpstream,
+    kind: Idempotency = Idempotency.IDEMPOTENT,
+    caller_timeout: float = 400.0,
 ):
     route = make_route(kind=kind)
     return run_forward(
@@ -22,64 +24,64 @@
 
 class TestForward:
     def test_an_answer_is_passed_on_unchanged(self):
-        reply = forward(Script({"orders": [(5, b"order")]}))
+        reply = forward(ScriptedUpstream({"orders": [(5, b"order")]}))
         assert isinstance(reply, Relayed) and reply.answer.body == b"order"
 
     def test_a_failure_of_the_searcher_is_passed_on_after_a_second_try(self):
-        script = Script({"orders": [(5, 500), (5, 500)]})
+        script = ScriptedUpstream({"orders": [(5, 500), (5, 500)]})
         reply = forward(script)
         assert isinstance(reply, Relayed) and reply.answer.status == 500
         assert len(script.sent_calls) == 2
 
     def test_a_lost_answer_is_asked_for_again_where_that_is_harmless(self):
-        reply = forward(Script({"orders": [(5, "lost"), (5, b"again")]}))
+        reply = forward(ScriptedUpstream({"orders": [(5, "lost"), (5, b"again")]}))
         assert isinstance(reply, Relayed) and reply.answer.body == b"again"
 
     def test_the_failure_says_why_no_other_searcher_was_asked(self):
-        reply = forward(Script({"orders": [(5, "lost"), (5, b"again")]}, repeats=0))
+        reply = forward(ScriptedUpstream({"orders": [(5, "lost"), (5, b"again")]}, repeats=0))
         assert isinstance(reply, Failed) and reply.status == 502
         assert "repeat not run: budget" in reply.failure.detail
 
     def test_the_callers_patience_ends_the_wait(self):
-        script = Script({"orders": [(0, "silent"), (0, "silent")]})
+        script = ScriptedUpstream({"orders": [(0, "silent"), (0, "silent")]})
         reply = forward(script, caller_timeout=150.0)
         assert isinstance(reply, Failed) and reply.status == 504
         assert script.now() == 150.0
-        assert all(sending.cut for sending in script.sent_calls)
+        assert all(sent_call.cancel_requested for sent_call in script.sent_calls)
 
     def test_a_caller_that_leaves_cancels_the_send(self):
-        script = Script({"orders": [(50, b"late")]})
-        script.leaves_at = 10.0
+        script = ScriptedUpstream({"orders": [(50, b"late")]})
+        script.disconnects_at = 10.0
         assert isinstance(forward(script), Abandoned)
-        assert script.sent_calls[0].cut
+        assert script.sent_calls[0].cancel_requested
 
 
 class TestAtMostOnce:
     def test_a_lost_answer_is_never_asked_for_again(self):
-        script = Script({"orders": [(5, "lost"), (5, b"again")]})
+        script = ScriptedUpstream({"orders": [(5, "lost"), (5, b"again")]})
         reply = forward(script, Idempotency.NON_IDEMPOTENT)
         assert isinstance(reply, Failed) and reply.status == 502
         assert len(script.sent_calls) == 1
 
     def test_it_is_never_hedged(self):
-        script = Script({"orders": [(200, b"slow"), (5, b"again")]})
+        script = ScriptedUpstream({"orders": [(200, b"slow"), (5, b"again")]})
         forward(script, Idempotency.NON_IDEMPOTENT)
         assert len(script.sent_calls) == 1
 
     @pytest.mark.parametrize("outcome", ["declined", "unsent"])
     def test_what_did_not_run_is_sent_elsewhere(self, outcome):
-        script = Script({"orders": [(5, outcome), (5, b"ran")]})
+        script = ScriptedUpstream({"orders": [(5, outcome), (5, b"ran")]})
         reply = forward(script, Idempotency.NON_IDEMPOTENT)
         assert isinstance(reply, Relayed) and reply.answer.body == b"ran"
 
     def test_refused_everywhere_is_refused_as_not_run(self):
-        script = Script({"orders": [(5, "declined"), (5, "declined")]})
+        script = ScriptedUpstream({"orders": [(5, "declined"), (5, "declined")]})
         reply = forward(script, Idempotency.NON_IDEMPOTENT)
         assert isinstance(reply, Refused) and reply.status == 503
 
     @pytest.mark.parametrize("status", [408, 421, 429, 503])
     def test_a_status_that_promises_not_run_is_not_passed_on(self, status):
-        reply = forward(Script({"orders": [(5, status)]}), Idempotency.NON_IDEMPOTENT)
+        reply = forward(ScriptedUpstream({"orders": [(5, status)]}), Idempotency.NON_IDEMPOTENT)
         assert isinstance(reply, Failed) and reply.status == 502
 
     @settings(deadline=None, max_examples=200)
@@ -94,7 +96,7 @@
         st.integers(0, 3),
     )
     def test_it_runs_once_at_most_and_a_refusal_is_true(self, plan, repeats):
-        script = Script({"orders": list(plan)}, repeats)
+        script = ScriptedUpstream({"orders": list(plan)}, repeats)
         reply = forward(script, Idempotency.NON_IDEMPOTENT)
         may_have_run = [
             outcome
--- a/tests/gateway/test_gather.py
+++ b/tests/gateway/test_gather.py
@@ -10,14 +10,14 @@
 from masticgate.request.gateway._gather import merge_records
 from masticgate.version.gateway import Shards
 
-from .fakes import Script, make_request, make_route
+from .fakes import ScriptedUpstream, make_request, make_route
 
 
 def record(number: int) -> bytes:
     return number.to_bytes(16, "big")
 
 
-def gather(script: Script, least: float = 0.5, attempts: int = 2, network: float = 0.0):
+def gather(script: ScriptedUpstream, least: float = 0.5, attempts: int = 2, network: float = 0.0):
     services = tuple(ServiceId(name) for name in script.plans)
     target = Shards(services, 3, least)
     route = make_route(target, attempts=attempts)
@@ -27,78 +27,78 @@
 
 class TestGather:
     def test_all_shards_in_time_make_a_whole_answer(self):
-        script = Script({"a": [(5, record(1) + record(9))], "b": [(7, record(4))]})
+        script = ScriptedUpstream({"a": [(5, record(1) + record(9))], "b": [(7, record(4))]})
         reply = gather(script)
         assert reply == Merged(("s-a-0", "s-b-0"), 0, record(9) + record(4) + record(1))
 
     def test_a_slow_shard_is_asked_elsewhere_after_the_hedge_delay(self):
-        script = Script({"a": [(5, record(1))], "b": [(300, record(2)), (5, record(2))]})
+        script = ScriptedUpstream({"a": [(5, record(1))], "b": [(300, record(2)), (5, record(2))]})
         reply = gather(script)
         assert isinstance(reply, Merged) and reply.missing == 0
         assert script.now() == 25.0
 
     def test_without_budget_a_straggler_is_left_out_before_the_objective(self):
-        script = Script({"a": [(5, record(1))], "b": [(300, record(2))]}, repeats=0)
+        script = ScriptedUpstream({"a": [(5, record(1))], "b": [(300, record(2))]}, repeats=0)
         reply = gather(script)
         assert isinstance(reply, Merged) and reply.missing == 1
         assert script.now() == 95.0
 
     def test_the_ways_to_and_from_the_caller_are_left_of_the_objective(self):
-        script = Script({"a": [(5, record(1))], "b": [(300, record(2))]}, repeats=0)
+        script = ScriptedUpstream({"a": [(5, record(1))], "b": [(300, record(2))]}, repeats=0)
         reply = gather(script, network=14.0)
         assert isinstance(reply, Merged) and reply.missing == 1
         assert script.now() == 81.0
 
     def test_below_the_least_share_it_waits_past_the_objective(self):
-        script = Script({"a": [(5, record(1))], "b": [(300, record(2))]}, repeats=0)
+        script = ScriptedUpstream({"a": [(5, record(1))], "b": [(300, record(2))]}, repeats=0)
         reply = gather(script, least=1.0)
         assert isinstance(reply, Merged) and reply.missing == 0
         assert script.now() == 300.0
 
     def test_too_few_shards_are_a_failure_that_may_have_run(self):
-        script = Script({"a": [(5, record(1))], "b": [(5, "lost"), (5, "lost")]})
+        script = ScriptedUpstream({"a": [(5, record(1))], "b": [(5, "lost"), (5, "lost")]})
         reply = gather(script, least=1.0)
         assert isinstance(reply, Failed) and reply.status == 502
 
     def test_at_the_deadline_it_answers_at_once(self):
-        script = Script({"a": [(5, record(1))], "b": [(0, "silent"), (0, "silent")]})
+        script = ScriptedUpstream({"a": [(5, record(1))], "b": [(0, "silent"), (0, "silent")]})
         reply = gather(script, least=1.0)
         assert isinstance(reply, Failed) and reply.status == 504
         assert script.now() == 400.0
 
     def test_sends_that_nobody_answered_may_have_run(self):
-        script = Script({"a": [(0, "silent"), (0, "silent")], "b": [(0, "silent")]})
+        script = ScriptedUpstream({"a": [(0, "silent"), (0, "silent")], "b": [(0, "silent")]})
         reply = gather(script)
         assert isinstance(reply, Failed) and reply.status == 504
 
     def test_nothing_sent_is_refused_as_not_run(self):
-        script = Script({"a": [], "b": []})
+        script = ScriptedUpstream({"a": [], "b": []})
         reply = gather(script)
         assert isinstance(reply, Refused) and reply.status == 503
         assert reply.retry_after is not None
 
     def test_a_refused_part_is_asked_elsewhere_at_once(self):
-        script = Script({"a": [(2, "declined"), (3, record(1))], "b": [(4, record(2))]})
+        script = ScriptedUpstream({"a": [(2, "declined"), (3, record(1))], "b": [(4, record(2))]})
         reply = gather(script)
         assert isinstance(reply, Merged) and reply.missing == 0
         assert script.now() == 5.0
 
     def test_no_shard_is_sent_to_more_searchers_than_the_route_allows(self):
-        script = Script({"a": [(2, "lost")] * 5, "b": [(4, record(2))]})
+        script = ScriptedUpstream({"a": [(2, "lost")] * 5, "b": [(4, record(2))]})
         gather(script, attempts=2)
         assert len([s for s in script.sent_calls if s.call.service == "a"]) == 2
 
     def test_a_searcher_failure_is_no_part(self):
-        script = Script({"a": [(2, 500), (2, 500)], "b": [(4, record(2))]})
+        script = ScriptedUpstream({"a": [(2, 500), (2, 500)], "b": [(4, record(2))]})
         reply = gather(script)
         assert isinstance(reply, Merged)
         assert reply.stamps == ("s-b-0",) and reply.missing == 1
 
     def test_a_caller_that_leaves_cancels_every_send(self):
-        script = Script({"a": [(50, record(1))], "b": [(60, record(2))]})
-        script.leaves_at = 10.0
+        script = ScriptedUpstream({"a": [(50, record(1))], "b": [(60, record(2))]})
+        script.disconnects_at = 10.0
         assert isinstance(gather(script), Abandoned)
-        assert all(sending.cut for sending in script.sent_calls)
+        assert all(sent_call.cancel_requested for sent_call in script.sent_calls)
 
     @settings(deadline=None, max_examples=150)
     @given(
@@ -116,7 +116,7 @@
         st.integers(0, 4),
     )
     def test_coverage_is_true_and_no_answer_is_later_than_the_deadline(self, plans, repeats):
-        script = Script({f"s{n}": plan for n, plan in enumerate(plans)}, repeats)
+        script = ScriptedUpstream({f"s{n}": plan for n, plan in enumerate(plans)}, repeats)
         reply = gather(script)
         assert script.now() <= 400.0
         if isinstance(reply, Merged):
@@ -141,7 +141,7 @@
 
 class TestAnswerTime:
     def test_an_objective_shorter_than_the_margin_still_waits_a_little(self):
-        script = Script({"a": [(3, record(1))]})
+        script = ScriptedUpstream({"a": [(3, record(1))]})
         services = Shards((ServiceId("a"),), 3, 0.5)
         route = make_route(services)
         tight = type(route)(
--- a/tests/gateway/test_gathering_at_peers.py
+++ b/tests/gateway/test_gathering_at_peers.py
@@ -91,7 +91,7 @@
         with pair(searchers) as (entry, _):
             entry.fleet.budgets.window(PEER_SERVICE).slack = 1.0
             caller = RawCaller(entry).get()
-            assert searchers["s1"][0].asked.wait(5)
+            assert searchers["s1"][0].request_received.wait(5)
             asked = [t for t in entry.fleet.tasks if t.searcher.startswith(PEER_SERVICE)]
             for task in asked:
                 task.close()
@@ -103,7 +103,7 @@
         with pair(searchers) as (entry, _):
             entry.fleet.budgets.window(PEER_SERVICE).slack = 1.0
             caller = RawCaller(entry).get()
-            assert searchers["s1"][0].asked.wait(5)
+            assert searchers["s1"][0].request_received.wait(5)
             for name in ("s1-0", "s2-0"):
                 entry.fleet.remove_searcher(SearcherId(name), "test", Millis(0.0))
             for task in [t for t in entry.fleet.tasks if t.searcher.startswith(PEER_SERVICE)]:
@@ -115,6 +115,6 @@
         searchers = {"s1": [searcher], "s2": [HangingSearcher()]}
         with pair(searchers) as (entry, _):
             caller = RawCaller(entry).get()
-            assert searcher.asked.wait(5)
+            assert searcher.request_received.wait(5)
             caller.close()
-            assert searcher.closed.wait(0.4)
+            assert searcher.connection_closed.wait(0.4)
--- a/tests/gateway/test_refused_tasks.py
+++ b/tests/gateway/test_refused_tasks.py
@@ -94,7 +94,7 @@
     # Guards against a request that was refused as not run and is sent later all the same.
     def test_a_request_that_was_refused_is_never_sent(self, pool):
         searcher = StandInSearcher(reply_to)
-        searcher.hangs_up = True
+        searcher.closes_after_answer = True
         clock = SystemClock()
         log = EventLog(HostId("g1"), clock)
         fleet = Fleet(make_settings(), HEADER_NAMES, clock, pool.tasks, log, Metrics())
--- a/tests/gateway/test_relay.py
+++ b/tests/gateway/test_relay.py
@@ -36,7 +36,7 @@
 def get(catalogue: CatalogueLog, query: str = ""):
     target = b"/?" + query.encode()
     request = Request(RequestId(""), b"GET", target, "", (), b"", None, Millis(0.0))
-    return catalogue.answer(request)
+    return catalogue.handle_request(request)
 
 
 def since(catalogue: CatalogueLog, after: int, wait: int = 0):
@@ -58,8 +58,8 @@
         catalogue.add(SearcherListed(entry))
         catalogue.add(SearcherListed(make_entry("b")))
         catalogue.add(SearcherUnlisted(SearcherId("b")))
-        news = decode_changes(get(catalogue).body)
-        number, changes = news.number, news.changes
+        update = decode_changes(get(catalogue).body)
+        number, changes = update.number, update.changes
         table = make_table(SHARDS, SPLIT, make_route(prefix="/c/"), version=7)
         assert number == 4
         assert changes == (PublishedConfiguration(table), SearcherListed(entry))
@@ -69,8 +69,8 @@
         unreadable = UnreadableItem("servers/x", "no slots", SearcherId("x"))
         catalogue.add(SearcherUnlisted(SearcherId("b")))
         catalogue.add(unreadable)
-        news = decode_changes(since(catalogue, 1).body)
-        number, changes = news.number, news.changes
+        update = decode_changes(since(catalogue, 1).body)
+        number, changes = update.number, update.changes
         assert (number, changes) == (3, (SearcherUnlisted(SearcherId("b")), unreadable))
         assert decode_changes(since(catalogue, 3).body) == CatalogueUpdate(catalogue.epoch, 3, ())
 
--- a/tests/gateway/test_whole_gateway.py
+++ b/tests/gateway/test_whole_gateway.py
@@ -105,7 +105,7 @@
             return b"HTTP/1.1 200 X\r\nx-id: q1\r\nx-stamp: s\r\n\r\nuntil the end"
 
         searchers, running = gateway_over(unframed)
-        searchers[0].hangs_up = True
+        searchers[0].closes_after_answer = True
         with running as gateway:
             assert RawCaller(gateway).get().read()[2] == b"until the end"
 
@@ -167,9 +167,9 @@
         searcher = HangingSearcher()
         with running_gateway([make_route(ORDERS)], {"orders": [searcher]}) as gateway:
             caller = RawCaller(gateway).get()
-            assert searcher.asked.wait(5)
+            assert searcher.request_received.wait(5)
             caller.close()
-            assert searcher.closed.wait(0.3)
+            assert searcher.connection_closed.wait(0.3)
 
 
 class TestWhatIsRefused:
--- a/tests/platform/test_store.py
+++ b/tests/platform/test_store.py
@@ -5,7 +5,7 @@
 from urllib.parse import parse_qs, urlsplit
 
 from masticgate import Millis, Revision, SystemClock
-from masticgate.platform._store import Store
+from masticgate.platform._store import PlatformStore
 from masticgate.process.gateway import (
     Changes,
     Contents,
@@ -32,9 +32,9 @@
     return {name: values[0] for name, values in parse_qs(urlsplit(target).query).items()}
 
 
-def make_store(answer) -> tuple[StandInSearcher, Store]:
+def make_store(answer) -> tuple[StandInSearcher, PlatformStore]:
     server = StandInSearcher(answer)
-    return server, Store(server.address, SystemClock())
+    return server, PlatformStore(server.address, SystemClock())
 
 
 class TestRead:
