--- a/bench/process/_host_costs.py
+++ b/bench/process/_host_costs.py
@@ -70,7 +70,7 @@
 
     def call() -> object:
         host.admission.hear(HostId("other"), [ServicePressure(last, (0.0, 0.0, 0.0))])
-        result = host.callers.search(request)
+        result = host.caller_service.search(request)
         assert "OVERLOAD" in repr(result), result
         return result
 
@@ -140,7 +140,7 @@
     host = idle_host(scaled_text(1))
     tracemalloc.start()
     host.members.merge(belief(n) for n in range(count))
-    host.runtime.table = {}
+    host.runtime.owner_table = {}
     held = tracemalloc.get_traced_memory()[0]
     tracemalloc.stop()
     return float(held)
--- a/src/masticgate/process/_detector.py
+++ b/src/masticgate/process/_detector.py
@@ -21,7 +21,7 @@
 """How many times longer a host is waited for that refutes what this host suspects."""
 
 
-class Detector:
+class FailureDetector:
     """Watches the neighbours; only the heartbeat task calls it."""
 
     def __init__(
--- a/src/masticgate/process/_distribution.py
+++ b/src/masticgate/process/_distribution.py
@@ -90,7 +90,7 @@
         """Decide anew whether this host watches the platform; a starting host does not yet."""
         if self.versions.starting:
             return
-        usable = set(self.members.usable())
+        usable = set(self.members.list_usable())
         members = [m.host for m in self.members.list_members() if m.failure_domain == self.domain]
         in_domain = [host for host in members if host in usable]
         watching = should_watch(self.own, self.domain, in_domain, _ReachableHosts(self.links))
@@ -200,7 +200,7 @@
         self._handle_offer_result(self.versions.offer_catalogue(value.text))
 
     def _handle_hosts(self, hosts: tuple[ListedHost, ...]) -> None:
-        self.members.merge(self.host_list.read(hosts, self.clock.now()))
+        self.members.merge(self.host_list.to_members(hosts, self.clock.now()))
         self.update_role()
 
 
--- a/src/masticgate/process/_heartbeats.py
+++ b/src/masticgate/process/_heartbeats.py
@@ -5,7 +5,7 @@
 
 from .._clock import MILLIS_PER_SECOND
 from .._ids import HostId, Millis
-from ._detector import Detector
+from ._detector import FailureDetector
 from ._links import Links
 from ._member_rules import choose_neighbours, is_usable
 from ._members import Members
@@ -15,16 +15,16 @@
 
 SHORT_INTERVAL = Millis(500.0)
 LONG_INTERVAL = Millis(1000.0)
-SMALL_FLEET = 16
+MAX_SHORT_INTERVAL_HOSTS = 16
 """Up to this many hosts heartbeats go at the short interval."""
 
-KEEPALIVE_EVERY = 2
+HEARTBEATS_PER_KEEPALIVE = 2
 """Links to hosts that are no neighbours get every second heartbeat, which keeps them open."""
 
-DIGEST_EVERY = 4
+HEARTBEATS_PER_DIGEST = 4
 """A digest goes to one neighbour in turn each this many heartbeats."""
 
-PROBE_EVERY = 4
+HEARTBEATS_PER_PROBE = 4
 """A lost host is tried, one in turn, each this many heartbeats."""
 
 
@@ -36,7 +36,7 @@
         members: Members,
         links: Links,
         versions: VersionStore,
-        detector: Detector,
+        detector: FailureDetector,
         seeds: list[Member],
         timeline: TimeLine,
         on_heartbeat: Callable[[], None],
@@ -49,7 +49,7 @@
         self.timeline = timeline
         self.on_heartbeat = on_heartbeat
         self.sequence = 0
-        self.usable: list[HostId] = []
+        self.usable_hosts: list[HostId] = []
         self.neighbours: list[HostId] = []
 
     def run(self, stopping: Event) -> None:
@@ -60,7 +60,7 @@
 
     def interval(self) -> Millis:
         """Return the time between two heartbeats."""
-        small = len(self.members.usable()) <= SMALL_FLEET
+        small = len(self.members.list_usable()) <= MAX_SHORT_INTERVAL_HOSTS
         return SHORT_INTERVAL if small else LONG_INTERVAL
 
     def beat(self) -> None:
@@ -69,11 +69,11 @@
         self.detector.check(self._watched_members(), self.interval())
         for member in self._watched_members():
             self.links.ensure(member.host, member.address)
-        send_to_all = self.sequence % KEEPALIVE_EVERY == 0
+        send_to_all = self.sequence % HEARTBEATS_PER_KEEPALIVE == 0
         for host in self.links.open_hosts():
             if send_to_all or host in self.neighbours:
                 self._send(host, with_digest=host == self._digest_peer())
-        if self.sequence % PROBE_EVERY == 0:
+        if self.sequence % HEARTBEATS_PER_PROBE == 0:
             self._probe_dead()
         self.links.close_idle(self.neighbours)
         self.members.remove_expired()
@@ -85,19 +85,19 @@
 
     def _watched_members(self) -> list[Member]:
         """Return the neighbours, chosen anew where the usable hosts changed."""
-        usable = self.members.usable()
-        if usable is not self.usable:
-            others = [m for host in usable if (m := self.members.get(host)) is not None]
+        usable_hosts = self.members.list_usable()
+        if usable_hosts is not self.usable_hosts:
+            others = [m for host in usable_hosts if (m := self.members.get(host)) is not None]
             own = self.members.own
             chosen = choose_neighbours(own, [m for m in others if m.host != own.host])
-            self.usable = usable
+            self.usable_hosts = usable_hosts
             self.neighbours = [member.host for member in chosen]
         watched = [self.members.get(host) for host in self.neighbours]
         return [member for member in watched if member is not None and is_usable(member)]
 
     def _digest_peer(self) -> HostId | None:
         """Return the neighbour whose turn it is to compare digests."""
-        turn, rest = divmod(self.sequence, DIGEST_EVERY)
+        turn, rest = divmod(self.sequence, HEARTBEATS_PER_DIGEST)
         if rest or not self.neighbours:
             return None
         return self.neighbours[turn % len(self.neighbours)]
@@ -108,8 +108,8 @@
         if member is not None and member.state is not MemberState.ALIVE and member not in updates:
             updates = (*updates, member)
         digest = tuple(self.members.digest) if with_digest else ()
-        beat = Heartbeat(self.timeline.sequence, self.versions.versions(), updates, digest)
-        self.links.send(host, beat)
+        heartbeat = Heartbeat(self.timeline.sequence, self.versions.versions(), updates, digest)
+        self.links.send(host, heartbeat)
 
     def _probe_dead(self) -> None:
         """Try one host that is believed dead: a split may have healed."""
@@ -119,7 +119,7 @@
             s for s in self.seeds if s.host not in known and not self._is_presumed_alive(s.host)
         ]
         if dead:
-            member = dead[self.sequence // PROBE_EVERY % len(dead)]
+            member = dead[self.sequence // HEARTBEATS_PER_PROBE % len(dead)]
             self.links.ensure(member.host, member.address)
 
     def _is_presumed_alive(self, host: HostId) -> bool:
--- a/src/masticgate/process/_host_list.py
+++ b/src/masticgate/process/_host_list.py
@@ -20,23 +20,27 @@
 
     def __init__(self, get_member: Callable[[HostId], Member | None]) -> None:
         self.get_member = get_member
-        self.since: dict[HostId, tuple[Incarnation, Millis]] = {}
+        self.known_since: dict[HostId, tuple[Incarnation, Millis]] = {}
 
-    def read(self, hosts: Iterable[ListedHost], now: Millis) -> list[Member]:
+    def to_members(self, hosts: Iterable[ListedHost], now: Millis) -> list[Member]:
         """Return the beliefs that ``hosts`` gives rise to."""
         members = [self._to_member(host, now) for host in hosts]
         named = {member.host for member in members}
-        self.since = {host: since for host, since in self.since.items() if host in named}
+        self.known_since = {
+            host: known_since for host, known_since in self.known_since.items() if host in named
+        }
         return members
 
     def _to_member(self, listed: ListedHost, now: Millis) -> Member:
         state = MemberState.LEAVING if listed.leaving else MemberState.ALIVE
-        unknown = Member(listed.host, listed.address, listed.failure_domain, Incarnation(0), state)
-        known = self.get_member(listed.host) or unknown
-        incarnation, since = self.since.get(listed.host, (None, now))
+        listed_member = Member(
+            listed.host, listed.address, listed.failure_domain, Incarnation(0), state
+        )
+        known = self.get_member(listed.host) or listed_member
+        incarnation, known_since = self.known_since.get(listed.host, (None, now))
         if incarnation != known.incarnation:
-            since = now
-            self.since[listed.host] = (known.incarnation, now)
-        if listed.leaving and now - since >= MAX_HOST_LIST_LAG:
+            known_since = now
+            self.known_since[listed.host] = (known.incarnation, now)
+        if listed.leaving and now - known_since >= MAX_HOST_LIST_LAG:
             return replace(known, state=MemberState.LEAVING)
-        return unknown
+        return listed_member
--- a/src/masticgate/process/_host_runtime.py
+++ b/src/masticgate/process/_host_runtime.py
@@ -19,7 +19,7 @@
 from ._tickets import parse_ticket
 from ._versions import VersionStore
 
-LINKED_OWNERS = 2
+LINKED_OWNERS_PER_SERVICE = 2
 """Links to the first hosts of a service's ranking are opened when its work comes."""
 
 
@@ -49,25 +49,25 @@
         self.reply_router = reply_router
         self.owner = owner
         self.admission = admission
-        self.repeats = RepeatBudget()
-        self.table: dict[ServiceId, list[HostId]] = {}
+        self.repeat_budget = RepeatBudget()
+        self.owner_table: dict[ServiceId, list[HostId]] = {}
         self.table_hosts: list[HostId] = []
 
-    def refresh_table(self) -> None:
+    def refresh_owner_table(self) -> None:
         """Work out the owners anew, after a change of the configuration."""
         configuration = self.versions.configuration
         if configuration is not None:
-            self.table_hosts = self.members.usable()
-            self.table = owner_table(configuration, self.table_hosts)
+            self.table_hosts = self.members.list_usable()
+            self.owner_table = owner_table(configuration, self.table_hosts)
 
-    def refresh_hosts(self) -> None:
+    def refresh_if_hosts_changed(self) -> None:
         """Work out the owners anew where the usable hosts changed."""
-        if self.members.usable() is not self.table_hosts:
-            self.refresh_table()
+        if self.members.list_usable() is not self.table_hosts:
+            self.refresh_owner_table()
 
     def owned_services(self) -> set[ServiceId]:
         """Return the services whose owner is this host, by what it knows of the others."""
-        return {service for service, hosts in self.table.items() if hosts[:1] == [self.own]}
+        return {service for service, hosts in self.owner_table.items() if hosts[:1] == [self.own]}
 
     def configuration(self) -> Configuration | None:
         """Return the configuration in force."""
@@ -114,7 +114,7 @@
         if host == self.own and isinstance(message, Forward):
             return NotRun(Reason.MINTER_LOST, Step.FORWARD, peer=host)
         if isinstance(message, Ask):
-            self.repeats.earn(len(message.parts))
+            self.repeat_budget.earn(len(message.parts))
         if inbox is not None and not isinstance(message, Cancel):
             self.reply_router.register(host, message, inbox)
         if host == self.own:
@@ -135,7 +135,7 @@
 
     def allow_repeats(self, parts: int) -> bool:
         """Take ``parts`` from the budget of work that is asked of a second owner meanwhile."""
-        return self.repeats.spend(parts)
+        return self.repeat_budget.spend(parts)
 
     def probe(self, host: HostId) -> None:
         """Ask ``host`` for a reply, by which a slow host is told from a lost one."""
@@ -165,8 +165,8 @@
 
     def _reachable_owners(self, service: ServiceId) -> list[HostId]:
         """Return the owners with an open link, silent ones last, else whoever can be reached."""
-        ranked = self.table.get(service, [])
-        self._open_links(ranked[:LINKED_OWNERS])
+        ranked = self.owner_table.get(service, [])
+        self._open_links(ranked[:LINKED_OWNERS_PER_SERVICE])
         reachable = [host for host in ranked if self._is_reachable(host)]
         return sorted(reachable, key=self.is_silent) or self._any_reachable(service)
 
@@ -180,7 +180,7 @@
         return host == self.own or self.links.is_open(host)
 
     def _any_reachable(self, service: ServiceId) -> list[HostId]:
-        hosts = [host for host in self.members.usable() if self._is_reachable(host)]
+        hosts = [host for host in self.members.list_usable() if self._is_reachable(host)]
         ranked = rank_hosts(f"service:{service}", hosts)
         if ranked or self.owner.stopping:
             return ranked
--- a/src/masticgate/process/_links.py
+++ b/src/masticgate/process/_links.py
@@ -9,13 +9,13 @@
 from ..connection import LinkState, Message, PeerHandler, PeerLink
 from ..request import Ask, Book, Forward
 
-SILENT_AFTER = Millis(60.0)
+SILENCE_TIMEOUT = Millis(60.0)
 """A host that has left a heartbeat unanswered for this long counts as silent."""
 
-PROBE_AFTER = Millis(20.0)
+PROBE_DELAY = Millis(20.0)
 """A host that has sent nothing for this long is asked for a reply with the next work."""
 
-RESPONSIVE_WITHIN = Millis(1000.0)
+RESPONSIVE_WINDOW = Millis(1000.0)
 """A host that has sent something within this time keeps its link, and refutes that it is dead."""
 
 LINK_IDLE_TIMEOUT = Millis(30_000.0)
@@ -74,20 +74,20 @@
     def is_silent(self, host: HostId) -> bool:
         """Tell whether ``host`` has left a heartbeat unanswered for too long."""
         link = self.links.get(host)
-        return link is None or self._unanswered_time(link) > SILENT_AFTER
+        return link is None or self._unanswered_time(link) > SILENCE_TIMEOUT
 
     def probe(self, host: HostId) -> None:
         """Ask ``host`` for a reply unless it gave one lately or was asked already."""
         link = self.links.get(host)
         if link is None or link.unanswered_since is not None:
             return
-        if self.clock.now() - link.last_received > PROBE_AFTER:
+        if self.clock.now() - link.last_received > PROBE_DELAY:
             link.send(self.handler.probe_heartbeat())
 
     def is_responsive(self, host: HostId) -> bool:
         """Tell whether ``host`` sent something lately, whatever others believe of it."""
         link = self.links.get(host)
-        return link is not None and self.clock.now() - link.last_received < RESPONSIVE_WITHIN
+        return link is not None and self.clock.now() - link.last_received < RESPONSIVE_WINDOW
 
     def last_received(self, host: HostId) -> Millis | None:
         """Return when ``host`` last sent something over its link."""
--- a/src/masticgate/process/_member_rules.py
+++ b/src/masticgate/process/_member_rules.py
@@ -66,11 +66,11 @@
     return tuple(buckets)
 
 
-def differing_buckets(own: Sequence[int], theirs: Sequence[int]) -> set[int]:
+def differing_buckets(own: Sequence[int], other: Sequence[int]) -> set[int]:
     """Return the places in which two digests differ; none where there is nothing to compare."""
-    if len(own) != len(theirs):
+    if len(own) != len(other):
         return set()
-    return {place for place, value in enumerate(own) if theirs[place] != value}
+    return {bucket for bucket, value in enumerate(own) if other[bucket] != value}
 
 
 def _precedence(member: Member) -> tuple[int, bool, int, int]:
--- a/src/masticgate/process/_members.py
+++ b/src/masticgate/process/_members.py
@@ -55,7 +55,7 @@
         self.changed_at: dict[HostId, Millis] = {own.host: clock.now()}
         self.remaining_sends: dict[HostId, int] = {}
         self.usable_hosts = SortedSet([own.host])
-        self.usable_list: list[HostId] | None = None
+        self.usable_cache: list[HostId] | None = None
         self.digest = list(digest_of([own]))
 
     def merge(self, members: Iterable[Member]) -> tuple[Member, ...]:
@@ -86,12 +86,12 @@
         with self.lock:
             return sorted(self.members.values(), key=lambda member: member.host)
 
-    def usable(self) -> list[HostId]:
+    def list_usable(self) -> list[HostId]:
         """Return the hosts that may own services; the same list until it changes."""
         with self.lock:
-            if self.usable_list is None:
-                self.usable_list = list(self.usable_hosts)
-            return self.usable_list
+            if self.usable_cache is None:
+                self.usable_cache = list(self.usable_hosts)
+            return self.usable_cache
 
     def next_updates(self) -> tuple[Member, ...]:
         """Return the changed beliefs for one message, and count them as sent once more."""
@@ -177,7 +177,7 @@
             self.digest[bucket_of(member.host)] ^= fingerprint(member)
         if is_usable(member) == (member.host in self.usable_hosts):
             return
-        self.usable_list = None
+        self.usable_cache = None
         if is_usable(member):
             self.usable_hosts.add(member.host)
         else:
--- a/src/masticgate/process/_metrics.py
+++ b/src/masticgate/process/_metrics.py
@@ -24,7 +24,7 @@
         self.totals: Counter[str] = Counter()
         self.unsent: Counter[str] = Counter()
         self.timings: dict[str, list[float]] = {}
-        self.timed: Counter[str] = Counter()
+        self.timing_counts: Counter[str] = Counter()
         self.gauges: dict[str, float] = {}
         self.client: StatsClient | None = None
         if settings.statsd is not None:
@@ -41,7 +41,7 @@
     def time(self, name: str, duration: Millis) -> None:
         """Record a duration."""
         with self.lock:
-            self.timed[name] += 1
+            self.timing_counts[name] += 1
             kept = self.timings.setdefault(name, [])
             if len(kept) < MAX_TIMINGS:
                 kept.append(duration)
@@ -61,7 +61,7 @@
         with self.lock:
             unsent, self.unsent = self.unsent, Counter()
             timings, self.timings = self.timings, {}
-            timed, self.timed = self.timed, Counter()
+            timing_counts, self.timing_counts = self.timing_counts, Counter()
             gauges = dict(self.gauges)
         if self.client is None:
             return
@@ -69,7 +69,7 @@
             for name, number in unsent.items():
                 pipe.incr(name, number)
             for name, durations in timings.items():
-                rate = len(durations) / timed[name]
+                rate = len(durations) / timing_counts[name]
                 for duration in durations:
                     pipe.timing(name, duration, rate)
             for name, value in gauges.items():
--- a/src/masticgate/process/_peer_service.py
+++ b/src/masticgate/process/_peer_service.py
@@ -62,13 +62,13 @@
         self.timeline.add(EventKind.LINK_OPENED, peer.host, f"incarnation {peer.incarnation}")
         corrections = self.members.merge([member_from_hello(peer)])
         digest = tuple(self.members.digest)
-        beat = Heartbeat(
+        heartbeat = Heartbeat(
             self.timeline.sequence,
             self.versions.versions(),
             (self.members.own, *corrections),
             digest,
         )
-        self.links.send(peer.host, beat)
+        self.links.send(peer.host, heartbeat)
 
     def handle_link_lost(self, host: HostId) -> None:
         """Fail the requests that wait for ``host``."""
@@ -107,12 +107,12 @@
                 return
 
     def _handle_heartbeat(
-        self, peer: Hello, beat: Heartbeat, send_reply: Callable[[Message], bool]
+        self, peer: Hello, heartbeat: Heartbeat, send_reply: Callable[[Message], bool]
     ) -> None:
-        self.timeline.record_sequence(peer.host, beat.events)
-        corrections = self.members.merge(beat.members)
-        self.distribution.compare_versions(peer, beat.versions, send_reply)
-        missing, differs = self.members.compare_digest(beat.digest)
+        self.timeline.record_sequence(peer.host, heartbeat.events)
+        corrections = self.members.merge(heartbeat.members)
+        self.distribution.compare_versions(peer, heartbeat.versions, send_reply)
+        missing, differs = self.members.compare_digest(heartbeat.digest)
         digest = tuple(self.members.digest) if differs else ()
         versions = self.versions.versions()
         send_reply(HeartbeatReply(self.timeline.sequence, versions, corrections + missing, digest))
--- a/src/masticgate/process/_server.py
+++ b/src/masticgate/process/_server.py
@@ -18,7 +18,7 @@
 from ..version import Configuration, Searcher
 from ._admission import AdmissionControl
 from ._caller_service import CallerService
-from ._detector import Detector
+from ._detector import FailureDetector
 from ._distribution import Distribution
 from ._heartbeats import Heartbeats
 from ._host_runtime import HostRuntime
@@ -39,10 +39,10 @@
 from ._timeline import EventKind, TimeLine
 from ._versions import VersionStore
 
-PROTOCOL_OLDEST = 1
-PROTOCOL_NEWEST = 1
+OLDEST_PROTOCOL = 1
+NEWEST_PROTOCOL = 1
 MAX_TASKS = 4096
-NOTICE = Millis(1000.0)
+SHUTDOWN_REFUSAL_TIME = Millis(1000.0)
 """How long a stopping host still answers callers, with "not run", before it stops listening."""
 
 
@@ -52,7 +52,7 @@
     def __init__(self, settings: Settings, clock: Clock | None = None) -> None:
         self.settings = settings
         self.clock = clock or SystemClock()
-        self.policy = policy_of(settings)
+        self.policy = choose_policy(settings)
         self.id = HostId(settings.host)
         self.incarnation = Incarnation(time.time_ns())
         self.stopping = Event()
@@ -61,13 +61,15 @@
         self.metrics = Metrics(settings)
         self.tickets = TicketTable(self.id, self.incarnation, self.clock)
         self.reply_router = ReplyRouter(self.tickets.record_late_outcome)
-        self.versions = VersionStore(self.timeline, self._configuration_changed, starting=True)
-        own = self._hello()
+        self.versions = VersionStore(self.timeline, self._handle_configuration, starting=True)
+        own = self._build_hello()
         self.members = Members(
-            member_from_hello(own), self.clock, self.timeline, self._members_changed
+            member_from_hello(own), self.clock, self.timeline, self._handle_member_changes
         )
-        self.peers = PeerService(own, self.members, self.versions, self.timeline, self.reply_router)
-        self.links = Links(self.peers, self.clock, self.start_task)
+        self.peer_service = PeerService(
+            own, self.members, self.versions, self.timeline, self.reply_router
+        )
+        self.links = Links(self.peer_service, self.clock, self.start_task)
         self.distribution = Distribution(
             settings, self.versions, self.members, self.links, self.timeline, self.clock
         )
@@ -78,10 +80,10 @@
             self.id, self.pools, self.admission, self.timeline, self.clock
         )
         self.runtime = self._build_runtime()
-        self.callers = self._build_callers()
-        self._complete_peers()
+        self.caller_service = self._build_caller_service()
+        self._set_peer_dependencies()
         listen_address = Address(settings.peer_listen_address or settings.peer_address)
-        self.peer_server = PeerServer(listen_address, self.peers, self.tasks)
+        self.peer_server = PeerServer(listen_address, self.peer_service, self.tasks)
         self.caller_server = self._build_caller_server()
         self.heartbeats = self._build_heartbeats()
         self.connections: set[Future[None]] = set()
@@ -109,7 +111,9 @@
         self.heartbeats.announce()
         self.owner.stopping = True
         self.caller_server.refuse_new()
-        self.stopping.wait(min(NOTICE, self.settings.shutdown_ms / 4) / MILLIS_PER_SECOND)
+        self.stopping.wait(
+            min(SHUTDOWN_REFUSAL_TIME, self.settings.shutdown_ms / 4) / MILLIS_PER_SECOND
+        )
         self.caller_server.stop()
         self.caller_server.await_closed(Millis(max(0.0, end - self.clock.now())))
         self.pools.stop()
@@ -140,7 +144,7 @@
             self.admission,
         )
 
-    def _build_callers(self) -> CallerService:
+    def _build_caller_service(self) -> CallerService:
         return CallerService(
             self.id,
             self.runtime,
@@ -151,18 +155,18 @@
             self.metrics,
         )
 
-    def _complete_peers(self) -> None:
+    def _set_peer_dependencies(self) -> None:
         """Give the handler of peers the parts that need its links."""
-        self.peers.owner = self.owner
-        self.peers.links = self.links
-        self.peers.pressure = self.pressure
-        self.peers.distribution = self.distribution
-        self.peers.run_forward = self._run_forward
+        self.peer_service.owner = self.owner
+        self.peer_service.links = self.links
+        self.peer_service.pressure = self.pressure
+        self.peer_service.distribution = self.distribution
+        self.peer_service.run_forward = self._run_forward
 
     def _build_caller_server(self) -> CallerServer:
         return CallerServer(
             Address(self.settings.caller_address),
-            CallerApp(self.callers, self.settings.max_body_bytes),
+            CallerApp(self.caller_service, self.settings.max_body_bytes),
             self.tasks,
             self.settings.max_callers,
             Millis(float(self.settings.caller_timeout_ms)),
@@ -173,21 +177,21 @@
             self.members,
             self.links,
             self.versions,
-            Detector(self.members, self.links.last_received, self.clock, self.timeline),
-            seeds_of(self.settings),
+            FailureDetector(self.members, self.links.last_received, self.clock, self.timeline),
+            seed_members(self.settings),
             self.timeline,
             self.after_heartbeat,
         )
 
-    def _hello(self) -> Hello:
+    def _build_hello(self) -> Hello:
         settings = self.settings
         return Hello(
             self.id,
             Address(settings.peer_address),
             FailureDomainId(settings.failure_domain),
             self.incarnation,
-            PROTOCOL_OLDEST,
-            PROTOCOL_NEWEST,
+            OLDEST_PROTOCOL,
+            NEWEST_PROTOCOL,
         )
 
     def after_heartbeat(self) -> None:
@@ -212,15 +216,15 @@
         while not self.stopping.wait(PRESSURE_INTERVAL / MILLIS_PER_SECOND):
             self.pressure.run_once(self.links.send)
 
-    def _configuration_changed(self, configuration: Configuration) -> None:
-        self.runtime.refresh_table()
+    def _handle_configuration(self, configuration: Configuration) -> None:
+        self.runtime.refresh_owner_table()
         self.pools.close_unused(configuration, set())
 
-    def _members_changed(self, members: Sequence[Member]) -> None:
+    def _handle_member_changes(self, members: Sequence[Member]) -> None:
         for member in members:
             if member.state is MemberState.DEAD and not self.links.is_responsive(member.host):
                 self.links.close(member.host)
-        self.runtime.refresh_hosts()
+        self.runtime.refresh_if_hosts_changed()
 
     def _count_hosts(self) -> int:
         return len(self.members.list_members())
@@ -232,12 +236,12 @@
 
     def _run_forward(self, forward: Forward, answer: Callable[[ForwardReply], object]) -> None:
         def run() -> None:
-            answer(ForwardReply(forward.query, self.callers.run_forwarded(forward)))
+            answer(ForwardReply(forward.query, self.caller_service.run_forwarded(forward)))
 
         self.start_task(run)
 
 
-def seeds_of(settings: Settings) -> list[Member]:
+def seed_members(settings: Settings) -> list[Member]:
     """Return the other hosts that the settings name; their incarnations are unknown."""
     return [
         Member(
@@ -251,6 +255,6 @@
     ]
 
 
-def policy_of(settings: Settings) -> Policy:
+def choose_policy(settings: Settings) -> Policy:
     """Return the policy that the settings name."""
     return NAIVE_POLICY if settings.routing == "naive" else OWNER_POLICY
--- a/tests/process/test_departure.py
+++ b/tests/process/test_departure.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from tests.process.test_recovery import SETTLE_SECONDS, await_state, owned
+from tests.process.test_recovery import SETTLE_SECONDS, owned_services, wait_for_state
 from tests.standins.fleet import Fleet
 from tests.standins.load import Load
 from tests.standins.relay import Relay
@@ -67,8 +67,8 @@
         leaving = [{**host, "leaving": index == 0} for index, host in enumerate(fleet.hosts)]
         with Load(fleet, ["desk/1"], callers=1) as load:
             fleet.list_hosts(leaving)
-            await_state(fleet, "h1", "leaving", [0, 1, 2])
-            assert owned(fleet, 0) == set()
+            wait_for_state(fleet, "h1", "leaving", [0, 1, 2])
+            assert owned_services(fleet, 0) == set()
         assert set(load.kinds()) == {"whole"}
         fleet.list_hosts(fleet.hosts)
         assert fleet.status(0)["peers"][0]["state"] == "leaving"
@@ -97,16 +97,16 @@
 class TestSplit:
     def test_both_sides_answer_and_agree_again_once_healed(self, parted):
         fleet, part = parted
-        before = [owned(fleet, index) for index in range(3)]
+        before = [owned_services(fleet, index) for index in range(3)]
         with Load(fleet, ["desk/1"], callers=1) as load:
             part(True)
-            await_state(fleet, "h1", "dead", [1, 2])
-            await_state(fleet, "h2", "dead", [0])
-            await_state(fleet, "h3", "dead", [0])
-            assert owned(fleet, 0) == set().union(*before)
+            wait_for_state(fleet, "h1", "dead", [1, 2])
+            wait_for_state(fleet, "h2", "dead", [0])
+            wait_for_state(fleet, "h3", "dead", [0])
+            assert owned_services(fleet, 0) == set().union(*before)
             part(False)
             fleet.wait_until(fleet.is_ready, SETTLE_SECONDS, "the split did not heal")
             for host in ("h1", "h2", "h3"):
-                await_state(fleet, host, "alive", [0, 1, 2])
-        assert [owned(fleet, index) for index in range(3)] == before
+                wait_for_state(fleet, host, "alive", [0, 1, 2])
+        assert [owned_services(fleet, index) for index in range(3)] == before
         assert set(load.kinds()) == {"whole"}
--- a/tests/process/test_members.py
+++ b/tests/process/test_members.py
@@ -7,7 +7,7 @@
 from masticgate import Address, FailureDomainId, HostId, Incarnation, ManualClock, Millis
 from masticgate.connection import ListedHost
 from masticgate.process import Member, MemberState
-from masticgate.process._detector import Detector
+from masticgate.process._detector import FailureDetector
 from masticgate.process._host_list import MAX_HOST_LIST_LAG, HostList
 from masticgate.process._member_rules import choose_neighbours, digest_of, is_usable, supersedes
 from masticgate.process._members import DEPARTED_MEMBER_TTL, Members
@@ -71,7 +71,7 @@
         known.merge(heard)
         listed = known.list_members()
         assert tuple(known.digest) == digest_of(listed)
-        assert known.usable() == [m.host for m in listed if is_usable(m)]
+        assert known.list_usable() == [m.host for m in listed if is_usable(m)]
 
     def test_a_restarted_host_wins_at_once_over_its_death(self):
         assert supersedes(member("x", incarnation=2), member("x", MemberState.DEAD, counter=9))
@@ -89,7 +89,7 @@
         known.merge([member("a", MemberState.LEAVING)])
         known.merge([member("a", MemberState.DEAD, counter=4)])
         assert known.own.state is MemberState.LEAVING
-        assert known.usable() == []
+        assert known.list_usable() == []
 
 
 class TestForgetting:
@@ -124,13 +124,13 @@
         assert min(watchers.values()) >= 6
 
 
-class TestDetector:
+class TestFailureDetector:
     def setup_method(self):
         self.clock = ManualClock()
         self.known = members_of("a", self.clock, 2)
         self.heard = {HostId("h0"): Millis(0.0), HostId("h1"): Millis(0.0)}
         self.timeline = TimeLine(HostId("a"), self.clock)
-        self.detector = Detector(self.known, self.heard.get, self.clock, self.timeline)
+        self.detector = FailureDetector(self.known, self.heard.get, self.clock, self.timeline)
         self.beat(1, ["h0", "h1"])
 
     def beat(self, times, speaking=()):
@@ -182,7 +182,7 @@
 
     def read(self, leaving, at):
         listed = ListedHost(HostId("h0"), Address("127.0.0.1:7001"), FailureDomainId("n"), leaving)
-        self.known.merge(self.list.read([listed], Millis(at)))
+        self.known.merge(self.list.to_members([listed], Millis(at)))
         return self.known.get("h0").state
 
     def test_its_word_that_a_host_leaves_counts(self):
@@ -227,7 +227,7 @@
             for one in self.hosts:
                 for other in self.hosts:
                     self.exchange(one, other)
-        views = {tuple(host.usable()) for host in self.hosts}
+        views = {tuple(host.list_usable()) for host in self.hosts}
         assert len(views) == 1
         assert {h.own.host for h in self.hosts} - self.left <= set(views.pop())
 
--- a/tests/process/test_recovery.py
+++ b/tests/process/test_recovery.py
@@ -19,19 +19,19 @@
         yield started
 
 
-def believed(fleet, index, host):
+def member_state(fleet, index, host):
     """Return what one host believes of another."""
     peers = {peer["host"]: peer for peer in fleet.status(index)["peers"]}
     return peers.get(host, {"state": "unknown", "incarnation": 0})
 
 
-def owned(fleet, index):
+def owned_services(fleet, index):
     return set(fleet.status(index)["owned"])
 
 
-def await_state(fleet, host, state, observers):
+def wait_for_state(fleet, host, state, observers):
     fleet.wait_until(
-        lambda: all(believed(fleet, index, host)["state"] == state for index in observers),
+        lambda: all(member_state(fleet, index, host)["state"] == state for index in observers),
         SETTLE_SECONDS,
         f"{host} is not {state} for all",
     )
@@ -39,20 +39,22 @@
 
 class TestHostLoss:
     def test_its_services_move_and_return_with_its_new_incarnation(self, fleet):
-        before = [owned(fleet, index) for index in range(3)]
+        before = [owned_services(fleet, index) for index in range(3)]
         lost = max(range(3), key=lambda index: len(before[index]))
         others = [index for index in range(3) if index != lost]
         host = fleet.hosts[lost]["host"]
-        incarnation = believed(fleet, others[0], host)["incarnation"]
+        incarnation = member_state(fleet, others[0], host)["incarnation"]
         fleet.kill(host)
         assert all(fleet.search(index, ["desk/1"]).body["whole"] for index in others)
-        await_state(fleet, host, "dead", others)
-        assert set().union(*(owned(fleet, index) for index in others)) == set().union(*before)
+        wait_for_state(fleet, host, "dead", others)
+        assert set().union(*(owned_services(fleet, index) for index in others)) == set().union(
+            *before
+        )
         fleet.start_host(lost)
         fleet.wait_until(fleet.is_ready, SETTLE_SECONDS, "the host did not come back")
-        await_state(fleet, host, "alive", others)
-        assert believed(fleet, others[0], host)["incarnation"] > incarnation
-        assert [owned(fleet, index) for index in range(3)] == before
+        wait_for_state(fleet, host, "alive", others)
+        assert member_state(fleet, others[0], host)["incarnation"] > incarnation
+        assert [owned_services(fleet, index) for index in range(3)] == before
 
     def test_a_paused_host_costs_no_answer_and_refutes_its_suspicion(self, fleet):
         host = fleet.hosts[0]["host"]
@@ -62,9 +64,9 @@
             assert fleet.search(1, ["desk/1"]).body["whole"]
             assert fleet.search(2, ["desk/1"]).body["whole"]
         fleet.signal(host, signal.SIGCONT)
-        await_state(fleet, host, "alive", [0, 1, 2])
+        wait_for_state(fleet, host, "alive", [0, 1, 2])
         assert "paused" in {event["kind"] for event in events(fleet, 0)["events"]}
-        assert {believed(fleet, 0, h["host"])["state"] for h in fleet.hosts} == {"alive"}
+        assert {member_state(fleet, 0, h["host"])["state"] for h in fleet.hosts} == {"alive"}
 
 
 class TestReplacement:
@@ -84,7 +86,7 @@
     @pytest.mark.parametrize("stopped", ["minter", "owner"])
     def test_a_booking_in_flight_at_shutdown_finishes(self, fleet, stopped):
         fleet.turn(["oa", "ob"], service_ms=1800.0, spread="fixed")
-        owner = next(index for index in range(3) if "orders" in owned(fleet, index))
+        owner = next(index for index in range(3) if "orders" in owned_services(fleet, index))
         minter = (owner + 1) % 3
         index = {"minter": minter, "owner": owner}[stopped]
         process = fleet.processes[fleet.hosts[index]["host"]]
