--- a/bench/process/_roles.py
+++ b/bench/process/_roles.py
@@ -1,6 +1,6 @@
 """What each role of a host holds, sends and computes at the target."""
 
-from masticgate.version import service_connections
+from masticgate.version import connections_per_owner
 from masticgate.version._configuration import Searcher
 
 from . import _target as t
@@ -111,7 +111,7 @@
 def owner_rows(s: t.Slopes) -> list[Row]:
     """Return what a host does for the services that it owns."""
     searcher = Searcher("s", "127.0.0.1:1", "d", SLOTS, t.CONNECTION_LIMIT)  # type: ignore[arg-type]
-    held = service_connections(searcher, t.HOSTS)
+    held = connections_per_owner(searcher, t.HOSTS)
     services = Factor(t.SERVICES_A_HOST, "services")
     connections = Factor(held, "connections")
     searchers = Factor(t.SEARCHERS_A_SERVICE, "searchers")
--- a/bench/process/_target.py
+++ b/bench/process/_target.py
@@ -10,7 +10,7 @@
 from masticgate.process._member_rules import FOREIGN_NEIGHBOURS, NEAR_NEIGHBOURS
 from masticgate.process._members import RETRANSMIT_FACTOR
 from masticgate.version import WATCHERS_PER_DOMAIN
-from masticgate.version._placement import SERVICES_PER_OWNER, group_size
+from masticgate.version._placement import SERVICES_PER_OWNER, department_group_size
 
 HOSTS = 3_300
 SEARCHERS = 22_000
@@ -57,7 +57,7 @@
 TABLES_A_DAY = (FAILURES_A_DAY + REPLACEMENTS_A_DAY) * 2
 DOMAIN_HOSTS = round(HOSTS / DOMAINS)
 REGION_HOSTS = HOSTS // REGIONS
-GROUP = group_size(round(SERVICES / DEPARTMENTS))
+GROUP = department_group_size(round(SERVICES / DEPARTMENTS))
 
 
 class Slopes:
--- a/bench/version/_version_costs.py
+++ b/bench/version/_version_costs.py
@@ -64,7 +64,7 @@
 def _adopt(before, push) -> None:
     sections = before.apply(push)
     assert sections is not None
-    text = sections.join()
+    text = sections.to_text()
     assert text is not None
     split_sections(accepted(text, 2)).digest  # noqa: B018
 
--- a/src/masticgate/connection/_frames.py
+++ b/src/masticgate/connection/_frames.py
@@ -110,8 +110,8 @@
             write_list(frame.init("demand", len(refused)), refused, write_refused)
         case Pressure(services=services):
             write_list(frame.init("pressure", len(services)), services, write_pressure)
-        case FetchVersions(have=have):
-            write_versions(frame.init("fetchVersions"), have)
+        case FetchVersions(current=current):
+            write_versions(frame.init("fetchVersions"), current)
         case TextPush(revision=revision, text=text):
             push = frame.init("textPush")
             push.revision = revision
--- a/src/masticgate/process/_peer_service.py
+++ b/src/masticgate/process/_peer_service.py
@@ -95,8 +95,8 @@
                 self._handle_heartbeat(peer, message, send_reply)
             case HeartbeatReply():
                 self._handle_heartbeat_reply(peer, message, send_reply)
-            case FetchVersions(have=have):
-                self.distribution.answer_fetch(have, send_reply)
+            case FetchVersions(current=current):
+                self.distribution.answer_fetch(current, send_reply)
             case TextPush() | SectionsPush() | CataloguePush():
                 self.distribution.handle_push(message, send_reply)
             case Demand():
--- a/src/masticgate/process/_pools.py
+++ b/src/masticgate/process/_pools.py
@@ -6,7 +6,7 @@
 from .._clock import Clock
 from .._ids import Millis, SearcherId, ServiceId
 from .._ranks import Rank
-from ..version import Configuration, Searcher, Service, service_connections
+from ..version import Configuration, Searcher, Service, connections_per_owner
 from ._policy import Policy
 from ._searcher_health import SearcherState
 from ._service_pool import ServicePool
@@ -90,7 +90,7 @@
         self, pool: ServicePool, configuration: Configuration, service: Service, host_count: int
     ) -> None:
         """Put the shares in force; only connections beyond those still open are started."""
-        shares = [(s, service_connections(s, host_count)) for s in service.searchers]
+        shares = [(s, connections_per_owner(s, host_count)) for s in service.searchers]
         self.configured[service.id] = (service, host_count, configuration.floors)
         for searcher in pool.apply_configuration(shares, configuration.floors):
             self.start_connection(pool, searcher)
--- a/src/masticgate/process/_versions.py
+++ b/src/masticgate/process/_versions.py
@@ -115,7 +115,7 @@
             known = self.digests_by_revision.get(have)
             if known is not None:
                 return self.sections.changes_since(have, known, revision)
-            return TextPush(revision, self.sections.join() or "")
+            return TextPush(revision, self.sections.to_text() or "")
 
     def offer_catalogue(self, text: str) -> bool:
         """Take over a newer snapshot catalogue; tell whether it was newer."""
@@ -137,7 +137,7 @@
         self, services: Sequence[ServiceId], tried: frozenset[SnapshotVersion]
     ) -> Snapshot | None:
         """Return the snapshot to search, none of ``tried``."""
-        return self.catalogue.pin(services, self.gone, tried)
+        return self.catalogue.choose_snapshot(services, self.gone, tried)
 
     def record_version_gone(
         self, service: ServiceId, snapshot: SnapshotVersion, held: Sequence[SnapshotVersion]
@@ -154,7 +154,7 @@
         if push.base != self.versions().revision:
             return OfferResult.OTHER_BASE
         sections = self.sections.apply(push)
-        text = sections.join() if sections else None
+        text = sections.to_text() if sections else None
         if text is None:
             return OfferResult.OTHER_TEXT
         return self._apply_text(text, push.revision)
--- a/src/masticgate/process/gateway/_service.py
+++ b/src/masticgate/process/gateway/_service.py
@@ -117,7 +117,7 @@
         if table is None or not self.peers.is_ready():
             failure = NotRun(Reason.NO_CONFIGURATION, Step.FORWARD, detail=f"version {version}")
             return Refused(503, failure)
-        route = table.find(request.host, request.path)
+        route = table.find_route(request.host, request.path)
         if route is None or not isinstance(route.target, Shards):
             failure = NotRun(Reason.UNKNOWN_SERVICE, Step.FORWARD, detail=f"version {version}")
             return Refused(503, failure)
@@ -133,7 +133,7 @@
         if table is None:
             failure = NotRun(Reason.NO_CONFIGURATION, Step.ROUTE)
             return Refused(503, failure, NO_CONFIGURATION_RETRY_AFTER)
-        route = table.find(request.host, request.path)
+        route = table.find_route(request.host, request.path)
         if route is None:
             failure = NotRun(Reason.UNKNOWN_SERVICE, Step.ROUTE, detail=f"version {table.version}")
             return Refused(404, failure)
--- a/src/masticgate/version/_messages.py
+++ b/src/masticgate/version/_messages.py
@@ -21,7 +21,7 @@
 class FetchVersions:
     """Asks for whatever is newer than ``have``."""
 
-    have: Versions
+    current: Versions
 
 
 @dataclass(frozen=True, slots=True)
--- a/src/masticgate/version/_placement.py
+++ b/src/masticgate/version/_placement.py
@@ -20,7 +20,7 @@
 """At most this many hosts share the connections of one searcher."""
 
 
-def group_size(services: int) -> int:
+def department_group_size(services: int) -> int:
     """Return the number of hosts that own a department of ``services`` services."""
     return max(MIN_GROUP_HOSTS, ceil(services / SERVICES_PER_OWNER))
 
@@ -30,14 +30,14 @@
     return sorted(hosts, key=lambda host: (-_weight(key, host), host))
 
 
-def department_hosts(
+def department_group(
     department: DepartmentId, services: int, hosts: Iterable[HostId]
 ) -> list[HostId]:
     """Return the group of hosts that own the services of ``department``."""
-    return rank_hosts(f"department:{department}", hosts)[: group_size(services)]
+    return rank_hosts(f"department:{department}", hosts)[: department_group_size(services)]
 
 
-def service_connections(searcher: Searcher, listed_hosts: int) -> int:
+def connections_per_owner(searcher: Searcher, listed_hosts: int) -> int:
     """Return the connections that one owner may hold to ``searcher``.
 
     One more than the slots hides the round trip. However many of the candidate owners believe
@@ -59,24 +59,24 @@
     Within a department's group no host owns more than its even share, so that the busiest owner
     does not decide how much a search of the whole department can take.
     """
-    siblings: dict[DepartmentId, list[ServiceId]] = {}
+    department_services: dict[DepartmentId, list[ServiceId]] = {}
     for service in configuration.services.values():
         if service.searchers:
-            siblings.setdefault(service.department, []).append(service.id)
+            department_services.setdefault(service.department, []).append(service.id)
     table: dict[ServiceId, list[HostId]] = {}
-    for department, services in siblings.items():
-        group = department_hosts(department, len(services), hosts)
-        table.update(_share_evenly(services, group))
+    for department, services in department_services.items():
+        group = department_group(department, len(services), hosts)
+        table.update(_assign_evenly(services, group))
     return table
 
 
-def _share_evenly(services: list[ServiceId], group: list[HostId]) -> dict[ServiceId, list[HostId]]:
+def _assign_evenly(services: list[ServiceId], group: list[HostId]) -> dict[ServiceId, list[HostId]]:
     owned = dict.fromkeys(group, 0)
-    most = ceil(len(services) / max(1, len(group)))
+    max_owned = ceil(len(services) / max(1, len(group)))
     table: dict[ServiceId, list[HostId]] = {}
     for service in sorted(services):
         ranked = rank_hosts(f"service:{service}", group)
-        owner = next((host for host in ranked if owned[host] < most), None)
+        owner = next((host for host in ranked if owned[host] < max_owned), None)
         if owner is not None:
             owned[owner] += 1
             ranked.remove(owner)
--- a/src/masticgate/version/_public.py
+++ b/src/masticgate/version/_public.py
@@ -18,13 +18,13 @@
 from ._messages import SectionsPush as SectionsPush
 from ._messages import TextPush as TextPush
 from ._messages import Versions as Versions
+from ._placement import connections_per_owner as connections_per_owner
 from ._placement import owner_table as owner_table
 from ._placement import rank_hosts as rank_hosts
-from ._placement import service_connections as service_connections
 from ._schema import AddressText as AddressText
 from ._schema import Name as Name
 from ._schema import StrictModel as StrictModel
-from ._sections import HEAD as HEAD
+from ._sections import HEAD_SECTION as HEAD_SECTION
 from ._sections import NO_SECTIONS as NO_SECTIONS
 from ._sections import Digest as Digest
 from ._sections import Sections as Sections
--- a/src/masticgate/version/_sections.py
+++ b/src/masticgate/version/_sections.py
@@ -19,7 +19,7 @@
 from ._messages import Section, SectionId, SectionsPush
 from ._schema import SUPPORTED_FORMAT
 
-HEAD = SectionId("")
+HEAD_SECTION = SectionId("")
 """The section of all that belongs to no department; no department has this name."""
 
 Digest = NewType("Digest", int)
@@ -43,16 +43,16 @@
         return _digest("\n".join(f"{id} {self.digests[id]}" for id in sorted(self.digests)))
 
     def changes_since(
-        self, base: Revision, known: Mapping[SectionId, Digest], revision: Revision
+        self, base: Revision, base_digests: Mapping[SectionId, Digest], revision: Revision
     ) -> SectionsPush:
         """Return what changed since ``base``, whose sections had the digests ``known``."""
-        changed = [id for id, digest in self.digests.items() if known.get(id) != digest]
+        changed = [id for id, digest in self.digests.items() if base_digests.get(id) != digest]
         return SectionsPush(
             base,
             revision,
             self.digest,
             tuple(Section(id, self.texts[id]) for id in sorted(changed)),
-            tuple(sorted(set(known) - set(self.digests))),
+            tuple(sorted(set(base_digests) - set(self.digests))),
         )
 
     def apply(self, push: SectionsPush) -> "Sections | None":
@@ -62,13 +62,13 @@
         result = Sections({**kept, **changed})
         return result if result.digest == push.digest else None
 
-    def join(self) -> str | None:
+    def to_text(self) -> str | None:
         """Return the whole text that the sections came from, ``None`` where one is no section."""
         try:
             parts = {id: json.loads(text) for id, text in self.texts.items()}
-            whole = dict(parts.pop(HEAD))
+            whole = dict(parts.pop(HEAD_SECTION))
             whole["departments"] = {id: part["department"] for id, part in parts.items()}
-            whole["services"] = _merge(part["services"] for part in parts.values())
+            whole["services"] = _merge_services(part["services"] for part in parts.values())
         except (AttributeError, KeyError, RecursionError, TypeError, ValueError):
             return None
         return _canonical(whole)
@@ -82,7 +82,7 @@
     services: dict[DepartmentId, dict[str, Any]] = {id: {} for id in configuration.departments}
     for service in configuration.services.values():
         services[service.department][service.id] = _service_fields(service)
-    texts = {HEAD: _canonical(_head_fields(configuration))}
+    texts = {HEAD_SECTION: _canonical(_head_fields(configuration))}
     for department in configuration.departments.values():
         fields = {
             "department": _department_fields(department),
@@ -92,7 +92,7 @@
     return Sections(texts)
 
 
-def _merge(parts: Iterable[Mapping[str, Any]]) -> dict[str, Any]:
+def _merge_services(parts: Iterable[Mapping[str, Any]]) -> dict[str, Any]:
     return {name: service for part in parts for name, service in part.items()}
 
 
--- a/src/masticgate/version/_snapshot.py
+++ b/src/masticgate/version/_snapshot.py
@@ -51,10 +51,10 @@
         """The newest published version, 0 where there is none."""
         return self.snapshots[0].version if self.snapshots else SnapshotVersion(0)
 
-    def pin(
+    def choose_snapshot(
         self,
         services: Iterable[ServiceId],
-        gone: Mapping[ServiceId, frozenset[SnapshotVersion]],
+        unavailable: Mapping[ServiceId, frozenset[SnapshotVersion]],
         tried: frozenset[SnapshotVersion],
     ) -> Snapshot | None:
         """Return the newest untried snapshot that no needed service is known to lack.
@@ -64,7 +64,7 @@
         needed = tuple(services)
         untried = [snapshot for snapshot in self.snapshots if snapshot.version not in tried]
         for snapshot in untried:
-            if not any(snapshot.version in gone.get(service, ()) for service in needed):
+            if not any(snapshot.version in unavailable.get(service, ()) for service in needed):
                 return snapshot
         return untried[0] if untried else None
 
--- a/src/masticgate/version/_watchers.py
+++ b/src/masticgate/version/_watchers.py
@@ -9,7 +9,7 @@
 
 
 def should_watch(
-    own: HostId,
+    own_host: HostId,
     domain: FailureDomainId,
     usable: Sequence[HostId],
     reachable: Container[HostId],
@@ -22,9 +22,9 @@
     """
     ranked = rank_hosts(f"watchers:{domain}", usable)
     watchers = ranked[:WATCHERS_PER_DOMAIN]
-    if own in watchers:
+    if own_host in watchers:
         return True
     if any(host in reachable for host in watchers):
         return False
-    stand_ins = [host for host in ranked if host == own or host in reachable]
-    return own in stand_ins[:WATCHERS_PER_DOMAIN]
+    substitutes = [host for host in ranked if host == own_host or host in reachable]
+    return own_host in substitutes[:WATCHERS_PER_DOMAIN]
--- a/src/masticgate/version/gateway/_routes.py
+++ b/src/masticgate/version/gateway/_routes.py
@@ -108,7 +108,7 @@
         frozen = {host: tuple(routes) for host, routes in by_host.items()}
         object.__setattr__(self, "by_host", frozen)
 
-    def find(self, host: str, path: str) -> Route | None:
+    def find_route(self, host: str, path: str) -> Route | None:
         """Return the route with the longest prefix of ``path``, ``None`` where none matches."""
         for route in self.by_host.get(host.lower(), ()):
             if path.startswith(route.prefix):
--- a/tests/platform/test_items.py
+++ b/tests/platform/test_items.py
@@ -147,10 +147,10 @@
 
     def test_the_longest_prefix_wins(self):
         table = decode_item(item("op/config", CONFIG)).table
-        assert table.find("A.example", "/x/y/z").id == "r2"
-        assert table.find("a.example", "/x/z").id == "r1"
-        assert table.find("a.example", "/x") is None
-        assert table.find("b.example", "/x/") is None
+        assert table.find_route("A.example", "/x/y/z").id == "r2"
+        assert table.find_route("a.example", "/x/z").id == "r1"
+        assert table.find_route("a.example", "/x") is None
+        assert table.find_route("b.example", "/x/") is None
 
     @pytest.mark.parametrize("name", ["version", "routes", "services", "limits"])
     def test_a_missing_part_changes_nothing(self, name):
--- a/tests/request/scripted_runtime.py
+++ b/tests/request/scripted_runtime.py
@@ -66,7 +66,7 @@
         return self.accepted
 
     def pin_snapshot(self, services, tried):
-        return self.catalogue.pin(services, self.gone, tried)
+        return self.catalogue.choose_snapshot(services, self.gone, tried)
 
     def record_version_gone(self, service, snapshot, held):
         published = {s.version for s in self.catalogue.snapshots}
--- a/tests/version/test_placement.py
+++ b/tests/version/test_placement.py
@@ -5,7 +5,7 @@
 import pytest
 
 from masticgate import HostId, Revision
-from masticgate.version import Accepted, Searcher, accept_text, owner_table, service_connections
+from masticgate.version import Accepted, Searcher, accept_text, connections_per_owner, owner_table
 from masticgate.version._placement import MAX_OWNER_CANDIDATES
 from tests.texts import example
 
@@ -53,12 +53,12 @@
     @pytest.mark.parametrize(("slots", "limit"), [(2, 25), (2, 100), (3, 40)])
     def test_all_candidate_owners_together_stay_within_the_limit(self, listed, slots, limit):
         searcher = Searcher("s", "127.0.0.1:1", "north", slots, limit)
-        assert listed * service_connections(searcher, listed) <= limit
+        assert listed * connections_per_owner(searcher, listed) <= limit
 
     @pytest.mark.parametrize(("slots", "limit"), [(2, 25), (2, 100), (3, 40)])
     def test_owners_that_count_hosts_differently_stay_within_the_limits_of_today(
         self, slots, limit
     ):
         searcher = Searcher("s", "127.0.0.1:1", "north", slots, limit)
-        largest = max(service_connections(searcher, listed) for listed in range(1, 20))
+        largest = max(connections_per_owner(searcher, listed) for listed in range(1, 20))
         assert MAX_OWNER_CANDIDATES * largest <= limit
--- a/tests/version/test_sections.py
+++ b/tests/version/test_sections.py
@@ -9,7 +9,7 @@
 from masticgate import FailureDomainId, HostId, Revision
 from masticgate.connection import decode_message, encode_message
 from masticgate.version import (
-    HEAD,
+    HEAD_SECTION,
     NO_SECTIONS,
     Section,
     Sections,
@@ -40,7 +40,7 @@
     def test_make_the_same_configuration_again(self, text):
         configuration = configuration_of(text)
         sections = split_sections(configuration)
-        rebuilt = configuration_of(sections.join())
+        rebuilt = configuration_of(sections.to_text())
         assert rebuilt == configuration
         assert split_sections(rebuilt) == sections
 
@@ -76,9 +76,13 @@
         assert before.apply(damaged) is None
 
     @settings(derandomize=True)
-    @given(st.dictionaries(st.sampled_from([HEAD, "a"]), st.sampled_from(["{", "[]", "{}", "1"])))
+    @given(
+        st.dictionaries(
+            st.sampled_from([HEAD_SECTION, "a"]), st.sampled_from(["{", "[]", "{}", "1"])
+        )
+    )
     def test_that_are_none_join_to_nothing(self, texts):
-        assert Sections(texts).join() in (None, '{"departments":{},"services":{}}')
+        assert Sections(texts).to_text() in (None, '{"departments":{},"services":{}}')
 
 
 class TestWatchers:
