--- a/src/masticgate/process/_admission.py
+++ b/src/masticgate/process/_admission.py
@@ -68,7 +68,11 @@
         with self.lock:
             refused, self.refused = self.refused, {}
             oldest = self.clock.now() - PRESSURE_TTL
-            self.limits = {s: x for s, x in self.limits.items() if x.reported_at >= oldest}
+            self.limits = {
+                service: limit
+                for service, limit in self.limits.items()
+                if limit.reported_at >= oldest
+            }
             by_owner: dict[HostId, list[RefusedCount]] = {}
             for (service, rank), count in refused.items():
                 limit = self.limits.get(service)
--- a/src/masticgate/process/_command_explain.py
+++ b/src/masticgate/process/_command_explain.py
@@ -69,12 +69,12 @@
     request's lines name too. Lines of a host are in its own order, hosts by their first line.
     """
     request_lines = [line for line in lines if line.fields.get("request") == request]
-    ends = {line.host: line.wall for line in request_lines}
+    last_times = {line.host: line.wall for line in request_lines}
     named_tokens = {token for line in request_lines for token in line.tokens} - {request}
     selected = []
     for line in lines:
-        end = ends.get(line.host)
-        if end is None or not end - before_ms <= line.wall <= end:
+        last_time = last_times.get(line.host)
+        if last_time is None or not last_time - before_ms <= line.wall <= last_time:
             continue
         subject = {str(line.fields.get(key)) for key in ("searcher", "service")}
         if line in request_lines or line.event in HOST_EVENTS or subject & named_tokens:
--- a/src/masticgate/process/_dispatcher.py
+++ b/src/masticgate/process/_dispatcher.py
@@ -33,7 +33,7 @@
         self.budget = HedgeBudget(policy.hedging)
         self.searchers = SearcherGroup(service, listener)
         self.searchers.apply_shares(searchers)
-        self.candidates = HedgeCandidates()
+        self.hedge_candidates = HedgeCandidates()
         self.idle_connections = IdleConnections()
         self.next_expiry = Millis(0.0)
 
@@ -41,7 +41,7 @@
         """Hand out all work that may be sent now; return the entries found expired."""
         expired = self._find_expired(now)
         if self.idle_connections:
-            delay = self.budget.hedge_delay() if self.candidates.entries else None
+            delay = self.budget.hedge_delay() if self.hedge_candidates.entries else None
             if delay is not None:
                 self._send_hedges(now, delay, self.pending.first_rank())
             while self.pending.size and self._send_next(now, expired):
@@ -54,21 +54,21 @@
 
     def needs_timer(self) -> bool:
         """Tell whether something may fall due while nobody calls :meth:`run`."""
-        return bool(self.candidates.entries) or self.pending.size > 0
+        return bool(self.hedge_candidates.entries) or self.pending.size > 0
 
     def should_keep_timer(self) -> bool:
         """Tell whether the timer has to wait on, since work came after it last asked.
 
         While work comes, one wake-up an interval is cheaper than to arm the timer at each send.
         """
-        return self.candidates.pop_added() or self.needs_timer()
+        return self.hedge_candidates.pop_added() or self.needs_timer()
 
     def next_wake_up(self, now: Millis, latest: Millis) -> Millis:
         """Return when there may be a hedge to send or a searcher to try again."""
         times = [latest]
         delay = self.budget.hedge_delay()
         if delay is not None:
-            times.append(self.candidates.next_due(now, delay))
+            times.append(self.hedge_candidates.next_due(now, delay))
         eligible = self.searchers.next_eligible(now) if self.pending.size else None
         if eligible is not None:
             times.append(eligible)
@@ -76,7 +76,7 @@
 
     def requeue(self, entry: QueueEntry, failed_searcher: SearcherHealth) -> None:
         """Put an entry back after a send failed."""
-        self.candidates.discard(entry)
+        self.hedge_candidates.discard(entry)
         entry.retries += 1
         entry.failed_searcher = failed_searcher
         entry.state = WorkState.PENDING
@@ -86,7 +86,7 @@
         """Take an entry out, wherever it stands."""
         entry.state = WorkState.DONE
         self.pending.remove(entry)
-        self.candidates.discard(entry)
+        self.hedge_candidates.discard(entry)
 
     def _find_expired(self, now: Millis) -> list[QueueEntry]:
         if now < self.next_expiry or not self.pending.size:
@@ -119,7 +119,7 @@
 
     def _send_hedges(self, now: Millis, delay: Millis, lowest_rank: Rank | None) -> None:
         """Send the hedges that are due, but none of a rank below ``first``."""
-        for entry in self.candidates.list_due(now, delay):
+        for entry in self.hedge_candidates.list_due(now, delay):
             if lowest_rank is not None and entry.work.rank > lowest_rank:
                 return
             sent_to = [attempt.health for attempt in entry.attempts]
@@ -136,11 +136,11 @@
         attempt = SearcherAttempt(entry, health, now, hedge)
         entry.attempts.append(attempt)
         if hedge:
-            self.candidates.discard(entry)
+            self.hedge_candidates.discard(entry)
         else:
             entry.state = WorkState.SENT
             entry.sent_at = now
-            self.candidates.add(entry)
+            self.hedge_candidates.add(entry)
             if entry.retries == 0:
                 self.budget.earn()
         health.in_flight += 1
--- a/src/masticgate/process/_pools.py
+++ b/src/masticgate/process/_pools.py
@@ -90,7 +90,10 @@
         self, pool: ServicePool, configuration: Configuration, service: Service, host_count: int
     ) -> None:
         """Put the shares in force; only connections beyond those still open are started."""
-        shares = [(s, connections_per_owner(s, host_count)) for s in service.searchers]
+        shares = [
+            (searcher, connections_per_owner(searcher, host_count))
+            for searcher in service.searchers
+        ]
         self.configured[service.id] = (service, host_count, configuration.floors)
         for searcher in pool.apply_configuration(shares, configuration.floors):
             self.start_connection(pool, searcher)
@@ -98,7 +101,9 @@
     def _close(self, name: ServiceId) -> None:
         pool = self.pools.pop(name)
         pool.stop()
-        self.closing = {n: p for n, p in self.closing.items() if p.open_connections()}
+        self.closing = {
+            name: pool for name, pool in self.closing.items() if pool.open_connections()
+        }
         self.closing[name] = pool
         self.configured.pop(name)
         self.timeline.add(EventKind.POOL_CLOSED, name)
--- a/src/masticgate/process/_rank_queue.py
+++ b/src/masticgate/process/_rank_queue.py
@@ -75,8 +75,8 @@
         match self.order:
             case ArrivalOrder():
                 entry = self._oldest_entry()
-            case RankOrder(shared_order_after=limit):
-                entry = self._next_entry(self._next_rank(), now, limit)
+            case RankOrder(shared_order_after=shared_order_after):
+                entry = self._next_entry(self._next_rank(), now, shared_order_after)
         self.remove(entry)
         return entry
 
@@ -104,8 +104,8 @@
         owed = [rank for rank in waiting if self.credit[rank] >= 1.0]
         return (owed or waiting)[0]
 
-    def _next_entry(self, rank: Rank, now: Millis, limit: Millis) -> QueueEntry:
-        if self.oldest_wait(rank, now) > limit:
+    def _next_entry(self, rank: Rank, now: Millis, shared_order_after: Millis) -> QueueEntry:
+        if self.oldest_wait(rank, now) > shared_order_after:
             first: QueueEntry = self.by_admission_number[rank][0]
             return first
         return next(iter(self.by_arrival[rank].values()))
--- a/src/masticgate/process/_searcher_health.py
+++ b/src/masticgate/process/_searcher_health.py
@@ -123,8 +123,10 @@
         stale = self.in_flight == 0 and now - self.last_success_at > LATENCY_TTL
         if probe or stale or self.latency <= 0.0:
             return 0.0, self.reported_load
-        step = round(log(self.latency) / log(LATENCY_STEP))
-        return (self.in_flight + 1) / self.searcher.slots * LATENCY_STEP**step, self.reported_load
+        latency_step = round(log(self.latency) / log(LATENCY_STEP))
+        return (
+            self.in_flight + 1
+        ) / self.searcher.slots * LATENCY_STEP**latency_step, self.reported_load
 
     def record_success(self, latency: Millis, now: Millis) -> None:
         """Count a success; an ejected searcher starts to warm up again."""
@@ -164,8 +166,8 @@
 
     def is_slow(self, fastest: Millis) -> bool:
         """Tell whether this searcher is an outlier beside its ``fastest`` sibling."""
-        known = self.samples >= SLOW_MIN_SAMPLES and fastest > 0
-        return known and self.latency > SLOW_FACTOR * fastest
+        comparable = self.samples >= SLOW_MIN_SAMPLES and fastest > 0
+        return comparable and self.latency > SLOW_FACTOR * fastest
 
     def eject(self, now: Millis) -> None:
         """Give it nothing until the ejection ends, then one request as a probe."""
--- a/src/masticgate/process/_service_load.py
+++ b/src/masticgate/process/_service_load.py
@@ -141,20 +141,20 @@
         """
         if self.admitted_rate is None or not sample.slots:
             return
-        used = min(1.0, sample.in_flight / sample.slots)
-        self.utilisation += SAMPLE_WEIGHT * (used - self.utilisation)
+        used_share = min(1.0, sample.in_flight / sample.slots)
+        self.utilisation += SAMPLE_WEIGHT * (used_share - self.utilisation)
         self.backlog += SAMPLE_WEIGHT * (sample.pending / self.admitted_rate - self.backlog)
         excess = max(0.0, min(1.0, self.backlog / TARGET_BACKLOG - 1.0))
-        limits = self.last_update == self.limited_at
-        growth = MAX_GROWTH * (1.0 - self.utilisation) if limits else 0.0
+        is_limiting = self.last_update == self.limited_at
+        growth = MAX_GROWTH * (1.0 - self.utilisation) if is_limiting else 0.0
         self.admitted_rate *= 1.0 + growth - MAX_DECREASE * excess
 
     def _update_demand(self, rank: Rank, elapsed: float, weight: float) -> None:
-        known = self.demand[rank]
+        average = self.demand[rank]
         count = self.arrived[rank]
         rate = count / elapsed
-        jumped = count >= DEMAND_JUMP_COUNT and rate > known * DEMAND_JUMP_FACTOR
-        self.demand[rank] = rate if jumped else known + weight * (rate - known)
+        jumped = count >= DEMAND_JUMP_COUNT and rate > average * DEMAND_JUMP_FACTOR
+        self.demand[rank] = rate if jumped else average + weight * (rate - average)
         self.arrived[rank] = 0
 
 
--- a/src/masticgate/process/_service_pool.py
+++ b/src/masticgate/process/_service_pool.py
@@ -152,10 +152,10 @@
         with self.lock:
             connection = IdleConnection(self.lock, self.searchers.find(searcher))
             self.idle_connections.add(connection)
-        end = Millis(self.clock.now() + MAX_IDLE_WAIT)
+        deadline = Millis(self.clock.now() + MAX_IDLE_WAIT)
         while True:
             with self.delivery_lock:
-                outcome = self._wait_once(connection, end)
+                outcome = self._wait_once(connection, deadline)
                 if outcome is not None:
                     return outcome
 
@@ -225,7 +225,7 @@
         return None
 
     def _wait_once(
-        self, connection: IdleConnection, end: Millis
+        self, connection: IdleConnection, deadline: Millis
     ) -> SearcherAttempt | CheckLoad | NoWork | CloseConnection | None:
         """Return what ``connection`` has to do, or ``None`` after one wait for it."""
         if connection.attempt is None and self.dispatcher.needs_timer():
@@ -237,11 +237,11 @@
             self._remove_idle(connection)
             return CloseConnection()
         now = self.clock.now()
-        if now >= end:
+        if now >= deadline:
             self._remove_idle(connection)
             return self._handle_wait_timeout(connection.health, now)
         if not self.delivery_lock.undelivered:
-            self._wait(connection, end, now)
+            self._wait(connection, deadline, now)
         return None
 
     def _remove_idle(self, connection: IdleConnection) -> None:
@@ -249,13 +249,13 @@
         if self.dispatcher.needs_timer():
             self.idle_connections.ensure_timer()
 
-    def _wait(self, connection: IdleConnection, end: Millis, now: Millis) -> None:
+    def _wait(self, connection: IdleConnection, deadline: Millis, now: Millis) -> None:
         if self.idle_connections.timer is connection:
             if self.dispatcher.should_keep_timer():
-                end = self.dispatcher.next_wake_up(now, end)
+                deadline = self.dispatcher.next_wake_up(now, deadline)
             else:
                 self.idle_connections.timer = None
-        connection.ready.wait((end - now) / MILLIS_PER_SECOND)
+        connection.ready.wait((deadline - now) / MILLIS_PER_SECOND)
 
     def _handle_wait_timeout(self, health: SearcherHealth, now: Millis) -> CheckLoad | NoWork:
         if now < health.load_check_at:
--- a/src/masticgate/process/_tickets.py
+++ b/src/masticgate/process/_tickets.py
@@ -35,7 +35,7 @@
 class _Record:
     """One ticket; ``requests`` holds what each request was or will be told."""
 
-    expires: Millis
+    expires_at: Millis
     state: TicketState = TicketState.MINTED
     attempt: int = 0
     outcome: "Future[BookingOutcome]" = field(default_factory=Future)
@@ -82,8 +82,8 @@
             self.sequence += 1
             parts = (self.host, str(self.incarnation), str(self.sequence), secrets.token_hex(8))
             ticket = TicketId(SEPARATOR.join(parts))
-            expires = Millis(self.clock.now() + TICKET_LIFETIME)
-            self.records[ticket] = _Record(expires)
+            expires_at = Millis(self.clock.now() + TICKET_LIFETIME)
+            self.records[ticket] = _Record(expires_at)
             return ticket
 
     def begin(self, booking: Booking) -> "Attempt | Future[BookingOutcome] | NotRun | Unknown":
@@ -106,7 +106,7 @@
             if record.state is TicketState.RUNNING:
                 record.requests[booking.id] = record.outcome
                 return record.outcome
-            if self.clock.now() >= record.expires:
+            if self.clock.now() >= record.expires_at:
                 return NotRun(Reason.TICKET_EXPIRED, Step.TICKET, peer=self.host)
             record.content = content
             record.state = TicketState.RUNNING
@@ -166,7 +166,7 @@
         """Drop the oldest records once their outcome is no longer kept."""
         limit = self.clock.now() - TICKET_LIFETIME
         for ticket, record in list(islice(self.records.items(), MAX_REMOVED_AT_ONCE)):
-            if record.expires > limit:
+            if record.expires_at > limit:
                 return
             if record.state is not TicketState.RUNNING:
                 self.unresolved.pop(record.query, None)
--- a/tests/process/fake_connections.py
+++ b/tests/process/fake_connections.py
@@ -30,12 +30,12 @@
 LOST = Unknown(Reason.SEARCHER_LOST, Step.UPSTREAM)
 
 
-def searcher(name):
+def make_searcher(name):
     address = Address(f"127.0.0.1:{ord(name)}")
     return Searcher(SearcherId(name), address, FailureDomainId("d"), 2, 25)
 
 
-SEARCHERS = {name: searcher(name) for name in "ab"}
+SEARCHERS = {name: make_searcher(name) for name in "ab"}
 SHARES = [(s, SHARE) for s in SEARCHERS.values()]
 
 
@@ -61,11 +61,11 @@
         self.attempts = []
         self.aborted = []
         self.bookings = BookingLog(self.clock)
-        self.counter = 0
+        self.query_count = 0
 
     def search(self, rank=Rank.URGENT, remaining=1000.0):
-        self.counter += 1
-        query = QueryId(f"q{self.counter}")
+        self.query_count += 1
+        query = QueryId(f"q{self.query_count}")
         self.results[query] = []
         work = SearchWork(
             query,
@@ -81,8 +81,8 @@
         return query, self.pool.submit(work)
 
     def book(self, ticket, attempt=1):
-        self.counter += 1
-        query = QueryId(f"b{self.counter}")
+        self.query_count += 1
+        query = QueryId(f"b{self.query_count}")
         self.results[query] = []
         deadline = Millis(self.clock.now() + 1000.0)
         deliver = self.results[query].append
@@ -95,21 +95,21 @@
     def add_idle(self, name):
         health = self.pool.searchers.find(SEARCHERS[name])
         self.idle_connections.append(add_idle_connection(self.pool, health))
-        return self.collect()
+        return self.start_assigned()
 
     def add_all_idle(self):
         for name in self.names:
             for _ in range(SHARE):
                 self.add_idle(name)
 
-    def wake(self):
+    def dispatch_and_start(self):
         with self.pool.delivery_lock:
             self.pool.dispatch()
-        return self.collect()
+        return self.start_assigned()
 
-    def collect(self):
+    def start_assigned(self):
         """Take up the sends that were given to idle connections."""
-        given = [
+        assigned = [
             connection.attempt
             for connection in self.idle_connections
             if connection.attempt is not None
@@ -117,21 +117,21 @@
         self.idle_connections = [
             connection for connection in self.idle_connections if connection.attempt is None
         ]
-        for attempt in given:
+        for attempt in assigned:
             assert self.pool.may_send(attempt, lambda s=attempt: self.aborted.append(s))
-        self.attempts += given
-        return given
+        self.attempts += assigned
+        return assigned
 
     def finish(self, attempt, result):
         self.attempts.remove(attempt)
         self.pool.finish(attempt, result)
-        return self.collect()
+        return self.start_assigned()
 
-    def answer_all(self, rounds, result=HITS, latency=20.0):
+    def run_searches(self, rounds, result=HITS, latency=20.0):
         """Run searches one after another, so that latencies and health are known."""
         for _ in range(rounds):
             self.search()
-            self.collect()
+            self.start_assigned()
             self.clock.advance(Millis(latency))
             for attempt in list(self.attempts):
                 self.finish(attempt, result)
--- a/tests/process/test_admission.py
+++ b/tests/process/test_admission.py
@@ -99,7 +99,7 @@
 
 
 class TestAdmittedRate:
-    def loaded(self) -> ServiceLoad:
+    def overloaded_load(self) -> ServiceLoad:
         """Return a load of five times its capacity of 0.1/ms in bulk demand, at 20 s."""
         load = ServiceLoad(Millis(0.0))
         for n in range(100):
@@ -116,32 +116,35 @@
         load.update(PoolSample(Millis(now), slots, in_flight, pending, Millis(wait)))
         return load.shares(FLOORS)[Rank.BULK]
 
-    def engaged(self) -> ServiceLoad:
-        load = self.loaded()
+    def refusing_load(self) -> ServiceLoad:
+        load = self.overloaded_load()
         assert 0.15 < self.bulk_share(load, 20_200.0, pending=3, wait=MIN_REFUSAL_WAIT) < 0.2
         return load
 
     def test_nothing_is_refused_until_work_has_waited_long(self):
-        assert self.bulk_share(self.loaded(), 20_200.0, pending=3, wait=MIN_REFUSAL_WAIT - 1) == 1.0
+        assert (
+            self.bulk_share(self.overloaded_load(), 20_200.0, pending=3, wait=MIN_REFUSAL_WAIT - 1)
+            == 1.0
+        )
 
     def test_idle_slots_raise_it_quickly(self):
-        load = self.engaged()
+        load = self.refusing_load()
         shares = [self.bulk_share(load, 20_400.0 + 200.0 * n, in_flight=1) for n in range(15)]
         assert shares[-1] > 2 * shares[0]
 
     def test_a_backlog_lowers_it(self):
-        load = self.engaged()
+        load = self.refusing_load()
         shares = [self.bulk_share(load, 20_400.0 + 200.0 * n, pending=20) for n in range(10)]
         assert shares[-1] < 0.7 * shares[0]
 
     def test_a_lost_searcher_halves_it_at_once(self):
-        load = self.engaged()
+        load = self.refusing_load()
         before = load.admitted_rate
         self.bulk_share(load, 20_400.0, in_flight=2, slots=2)
         assert abs(load.admitted_rate - before / 2) < 0.02 * before
 
     def test_it_does_not_grow_while_all_demand_fits(self):
-        load = self.engaged()
+        load = self.refusing_load()
         for n in range(200):
             load.update(PoolSample(Millis(20_400.0 + 200.0 * n), 4, 0, 0, Millis(0.0)))
             if min(load.shares(FLOORS).values()) == 1.0:
@@ -151,14 +154,14 @@
         assert load.admitted_rate == rate
 
     def test_refusing_ends_once_all_demand_has_fitted_for_a_while(self):
-        load = self.engaged()
+        load = self.refusing_load()
         for n in range(100):
             load.update(PoolSample(Millis(20_400.0 + 200.0 * n), 4, 0, 0, Millis(0.0)))
             load.shares(FLOORS)
         assert load.admitted_rate is None
 
     def test_a_flood_is_noticed_in_one_tick(self):
-        load = self.loaded()
+        load = self.overloaded_load()
         load.record_arrivals(Rank.URGENT, 100)
         load.update(PoolSample(Millis(20_200.0), 4, 4, 20, Millis(120.0)))
         assert abs(load.demand[Rank.URGENT] - 0.5) < 0.01
--- a/tests/process/test_bookings.py
+++ b/tests/process/test_bookings.py
@@ -15,12 +15,12 @@
         yield started
 
 
-def runs_of(fleet, ticket):
+def count_runs(fleet, ticket):
     booked = [b for s in fleet.searchers().values() for b in s["bookings"]]
     return sum(b["ticket"] == ticket for b in booked)
 
 
-def owner_of(fleet, service):
+def find_owner(fleet, service):
     """Return the index of the host that owns ``service``."""
     owners = [n for n in range(len(fleet.hosts)) if service in fleet.status(n)["owned"]]
     assert len(owners) == 1
@@ -31,11 +31,13 @@
     return fleet.book(index, ticket, "orders", **fields).body["outcome"]
 
 
-def await_arrival(fleet, before):
-    fleet.wait_until(lambda: received(fleet) > before, 5, "no booking reached a searcher")
+def wait_for_booking_request(fleet, before):
+    fleet.wait_until(
+        lambda: count_booking_requests(fleet) > before, 5, "no booking reached a searcher"
+    )
 
 
-def received(fleet):
+def count_booking_requests(fleet):
     logs = fleet.searchers()
     return sum(logs[name]["counts"].get("started", 0) for name in ("oa", "ob"))
 
@@ -47,31 +49,31 @@
         with ThreadPoolExecutor() as callers:
             first = callers.submit(outcome, fleet, 0, ticket)
             retries = [callers.submit(outcome, fleet, n, ticket) for n in (1, 2, 1)]
-            found = [call.result() for call in (first, *retries)]
+            outcomes = [call.result() for call in (first, *retries)]
         fleet.turn([], service_ms=5.0)
-        assert found == ["ran"] * 4
-        assert runs_of(fleet, ticket) == 1
+        assert outcomes == ["ran"] * 4
+        assert count_runs(fleet, ticket) == 1
 
     def test_searcher_that_books_and_cuts_leaves_it_unknown_and_run_once(self, fleet):
         fleet.turn(["oa", "ob"], book_then_cut=True)
         ticket = fleet.mint(0)
-        found = [outcome(fleet, n, ticket) for n in (0, 1)]
+        outcomes = [outcome(fleet, n, ticket) for n in (0, 1)]
         fleet.turn(["oa", "ob"], book_then_cut=False)
-        found.append(outcome(fleet, 2, ticket))
-        assert found == ["unknown"] * 3
-        assert runs_of(fleet, ticket) == 1
+        outcomes.append(outcome(fleet, 2, ticket))
+        assert outcomes == ["unknown"] * 3
+        assert count_runs(fleet, ticket) == 1
 
     def test_refusal_by_the_searcher_did_not_run_and_may_be_retried(self, fleet):
         fleet.turn(["oa", "ob"], shed_above=0)
         ticket = fleet.mint(0)
         assert outcome(fleet, 1, ticket) == "not_run"
-        assert runs_of(fleet, ticket) == 0
+        assert count_runs(fleet, ticket) == 0
         fleet.turn(["oa", "ob"], shed_above=1000)
         assert outcome(fleet, 2, ticket) == "ran"
-        assert runs_of(fleet, ticket) == 1
+        assert count_runs(fleet, ticket) == 1
 
     def test_paused_owner_leaves_it_unknown_and_a_later_retry_learns_the_truth(self, fleet):
-        owner = owner_of(fleet, "orders")
+        owner = find_owner(fleet, "orders")
         minter = (owner + 1) % 3
         ticket = fleet.mint(minter)
         name = fleet.hosts[owner]["host"]
@@ -80,21 +82,21 @@
         fleet.signal(name, signal.SIGCONT)
         fleet.wait_until(lambda: outcome(fleet, minter, ticket) == "ran", 5, "still unknown")
         assert first == "unknown"
-        assert runs_of(fleet, ticket) == 1
+        assert count_runs(fleet, ticket) == 1
 
     def test_killed_owner_leaves_it_unknown_and_run_at_most_once(self, fleet):
-        owner = owner_of(fleet, "orders")
+        owner = find_owner(fleet, "orders")
         minter = (owner + 1) % 3
         fleet.turn(["oa", "ob"], service_ms=400.0, spread="fixed")
-        ticket, before = fleet.mint(minter), received(fleet)
+        ticket, before = fleet.mint(minter), count_booking_requests(fleet)
         with ThreadPoolExecutor() as callers:
             call = callers.submit(outcome, fleet, minter, ticket)
-            await_arrival(fleet, before)
+            wait_for_booking_request(fleet, before)
             fleet.kill(fleet.hosts[owner]["host"])
             assert call.result() == "unknown"
         fleet.turn(["oa", "ob"], service_ms=5.0)
         assert outcome(fleet, (owner + 2) % 3, ticket) == "unknown"
-        assert runs_of(fleet, ticket) <= 1
+        assert count_runs(fleet, ticket) <= 1
         fleet.start_host(owner)
         fleet.wait_until(fleet.is_ready, 20, "the host did not come back")
 
@@ -106,5 +108,5 @@
         fleet.start_host(0)
         fleet.wait_until(fleet.is_ready, 20, "the host did not come back")
         assert [outcome(fleet, n, used) for n in (0, 1)] == ["unknown"] * 2
-        assert runs_of(fleet, used) == 1
-        assert runs_of(fleet, unused) == 0
+        assert count_runs(fleet, used) == 1
+        assert count_runs(fleet, unused) == 0
--- a/tests/process/test_commands.py
+++ b/tests/process/test_commands.py
@@ -83,8 +83,8 @@
         ticket = json.loads(first.output)["ticket"]
         again = run("book", fleet.callers[2], "--service", "orders", "--ticket", ticket)
         assert again.exit_code == 0
-        booked = [b["ticket"] for s in fleet.searchers().values() for b in s["bookings"]]
-        assert booked.count(ticket) == 1
+        booked_tickets = [b["ticket"] for s in fleet.searchers().values() for b in s["bookings"]]
+        assert booked_tickets.count(ticket) == 1
 
 
 class TestOperators:
@@ -132,7 +132,7 @@
         )
         result = run("timeline", *fleet.callers, "--json")
         events = [json.loads(line) for line in result.output.splitlines()]
-        place = {(e["host"], e["sequence"]): index for index, e in enumerate(events)}
-        heard = [(e, seen) for e in events for seen in e["seen"].items()]
-        assert heard
-        assert all(place[seen] < place[e["host"], e["sequence"]] for e, seen in heard)
+        position = {(e["host"], e["sequence"]): index for index, e in enumerate(events)}
+        known_events = [(e, seen) for e in events for seen in e["seen"].items()]
+        assert known_events
+        assert all(position[seen] < position[e["host"], e["sequence"]] for e, seen in known_events)
--- a/tests/process/test_owner_bookings.py
+++ b/tests/process/test_owner_bookings.py
@@ -22,7 +22,7 @@
 from tests.texts import SMALL
 
 
-class Bench:
+class OwnerSetup:
     def __init__(self):
         self.clock = ManualClock()
         timeline = TimeLine(HostId("h1"), self.clock)
@@ -40,7 +40,7 @@
     def pool(self):
         return self.pools.list_pools()[0]
 
-    def take_send(self):
+    def next_attempt(self):
         """Take the next work as an idle connection would."""
         pool = self.pool()
         return add_idle_connection(pool, pool.health[SearcherId("oa")]).attempt
@@ -51,56 +51,56 @@
 
 class TestOwnerBooking:
     def test_second_copy_is_neither_run_nor_refused(self):
-        bench = Bench()
-        bench.book()
-        bench.book()
-        attempt = bench.take_send()
-        assert bench.pool().may_send(attempt, lambda: None)
-        bench.book()
-        bench.pool().finish(attempt, Ran("1"))
-        bench.book()
-        assert bench.outcomes() == [Ran("1")]
-        assert bench.take_send() is None
+        setup = OwnerSetup()
+        setup.book()
+        setup.book()
+        attempt = setup.next_attempt()
+        assert setup.pool().may_send(attempt, lambda: None)
+        setup.book()
+        setup.pool().finish(attempt, Ran("1"))
+        setup.book()
+        assert setup.outcomes() == [Ran("1")]
+        assert setup.next_attempt() is None
 
     def test_second_copy_is_dropped_after_a_refusal_and_by_a_newly_opened_pool(self):
-        bench = Bench()
-        bench.book(remaining=0.0)
-        bench.hosts = 4
-        bench.book(remaining=100.0)
-        assert [outcome.reason for outcome in bench.outcomes()] == [Reason.DEADLINE]
-        assert bench.take_send() is None
+        setup = OwnerSetup()
+        setup.book(remaining=0.0)
+        setup.hosts = 4
+        setup.book(remaining=100.0)
+        assert [outcome.reason for outcome in setup.outcomes()] == [Reason.DEADLINE]
+        assert setup.next_attempt() is None
 
     def test_cancelled_while_queued_never_runs(self):
-        bench = Bench()
-        bench.book()
-        bench.owner.cancel(Cancel(QueryId("q1")))
-        bench.book()
-        assert bench.take_send() is None
-        assert [o.reason for o in bench.outcomes()] == [Reason.CANCELLED]
+        setup = OwnerSetup()
+        setup.book()
+        setup.owner.cancel(Cancel(QueryId("q1")))
+        setup.book()
+        assert setup.next_attempt() is None
+        assert [o.reason for o in setup.outcomes()] == [Reason.CANCELLED]
 
     def test_cancel_of_what_was_sent_or_never_came_says_nothing(self):
-        bench = Bench()
-        bench.owner.cancel(Cancel(QueryId("q1")))
-        bench.book()
-        attempt = bench.take_send()
-        bench.owner.cancel(Cancel(QueryId("q1")))
-        assert bench.outcomes() == []
-        assert bench.pool().may_send(attempt, lambda: None)
+        setup = OwnerSetup()
+        setup.owner.cancel(Cancel(QueryId("q1")))
+        setup.book()
+        attempt = setup.next_attempt()
+        setup.owner.cancel(Cancel(QueryId("q1")))
+        assert setup.outcomes() == []
+        assert setup.pool().may_send(attempt, lambda: None)
 
     def test_deadline_is_checked_again_after_a_pause(self):
-        bench = Bench()
-        bench.book()
-        attempt = bench.take_send()
-        bench.clock.advance(Millis(200))
-        assert not bench.pool().may_send(attempt, lambda: None)
-        bench.pool().abandon(attempt)
-        (outcome,) = bench.outcomes()
+        setup = OwnerSetup()
+        setup.book()
+        attempt = setup.next_attempt()
+        setup.clock.advance(Millis(200))
+        assert not setup.pool().may_send(attempt, lambda: None)
+        setup.pool().abandon(attempt)
+        (outcome,) = setup.outcomes()
         assert isinstance(outcome, NotRun) and outcome.reason is Reason.DEADLINE
 
 
-class TestMailboxes:
+class TestReplyRouter:
     def test_tells_the_tickets_of_a_booking_nobody_waits_for(self):
-        learned = []
-        reply_router = ReplyRouter(lambda query, outcome: learned.append((query, outcome)))
+        recorded = []
+        reply_router = ReplyRouter(lambda query, outcome: recorded.append((query, outcome)))
         reply_router.deliver(HostId("h2"), BookReply(QueryId("q1"), Ran("1")))
-        assert learned == [("q1", Ran("1"))]
+        assert recorded == [("q1", Ran("1"))]
--- a/tests/process/test_owner_faults.py
+++ b/tests/process/test_owner_faults.py
@@ -20,10 +20,10 @@
         self.stopping = Event()
         self.replies = []
         self.tasks = ThreadPoolExecutor(tasks)
-        self.number = tasks
+        self.task_count = tasks
 
     def __enter__(self):
-        for task in range(self.number):
+        for task in range(self.task_count):
             self.tasks.submit(self.run, task)
         return self
 
@@ -51,13 +51,13 @@
         yield started
 
 
-def owner_of(fleet, service):
+def find_owner(fleet, service):
     return next(i for i in range(3) if service in fleet.status(i)["owned"])
 
 
 class TestSearcherLimits:
     def test_hold_in_sum_while_owners_pause_die_and_change(self, fleet):
-        owner = owner_of(fleet, "desk/1")
+        owner = find_owner(fleet, "desk/1")
         name = fleet.hosts[owner]["host"]
         with Load(fleet):
             time.sleep(1.0)
@@ -78,9 +78,9 @@
             for service in fleet.configuration.services.values()
             for searcher in service.searchers
         }
-        opened = {n: s["counts"].get("most_open", 0) for n, s in fleet.searchers().items()}
-        assert opened["d1a"] and opened["d1b"]
-        assert all(opened[searcher] <= limits[searcher] for searcher in limits), opened
+        most_open = {n: s["counts"].get("most_open", 0) for n, s in fleet.searchers().items()}
+        assert most_open["d1a"] and most_open["d1b"]
+        assert all(most_open[searcher] <= limits[searcher] for searcher in limits), most_open
 
 
 class TestShareOfOneOwner:
@@ -94,24 +94,24 @@
                     lambda r=revision: fleet.status(0)["revision"] == r, 10.0, "no new revision"
                 )
                 time.sleep(0.3)
-            opened = {n: s["counts"].get("most_open", 0) for n, s in fleet.searchers().items()}
-        assert (opened["d1a"], opened["d1b"]) == (3, 3)
+            most_open = {n: s["counts"].get("most_open", 0) for n, s in fleet.searchers().items()}
+        assert (most_open["d1a"], most_open["d1b"]) == (3, 3)
 
 
 class TestRestartedSearcher:
     def test_gets_no_work_while_it_drains_and_work_again_as_a_new_incarnation(self, fleet):
-        def received():
+        def completed_count():
             return fleet.searchers()["d1a"]["counts"].get("completed", 0)
 
-        with Load(fleet, [owner_of(fleet, "desk/1")], tasks=3):
+        with Load(fleet, [find_owner(fleet, "desk/1")], tasks=3):
             fleet.turn(["d1a"], draining=True, incarnation="1")
             time.sleep(0.5)
             fleet.turn(["d1a"], draining=False)
-            before = received()
+            before = completed_count()
             time.sleep(1.0)
-            assert received() == before
+            assert completed_count() == before
             fleet.turn(["d1a"], incarnation="2")
-            fleet.wait_until(lambda: received() > before, 20.0, "d1a got no work again")
+            fleet.wait_until(lambda: completed_count() > before, 20.0, "d1a got no work again")
 
 
 class TestCutBooking:
--- a/tests/process/test_pool_faults.py
+++ b/tests/process/test_pool_faults.py
@@ -27,31 +27,31 @@
 
     def __init__(self):
         super().__init__()
-        self.fleet = FakeConnections()
+        self.connections = FakeConnections()
         self.booked = set()
         self.sent = Counter()
-        self.charged = 0
+        self.spent_tokens = 0
         self.refused = set()
 
-    def count_sends(self, attempts):
+    def count_attempts(self, attempts):
         for attempt in attempts:
             entry = attempt.entry
             self.sent[entry.work.query] += 1
             free = entry.failure is not None and entry.failure.reason in FREE_RETRY_REASONS
             if self.sent[entry.work.query] > 1 and (attempt.hedge or not free):
-                self.charged += 1
+                self.spent_tokens += 1
 
     @rule(rank=st.sampled_from(list(Rank)), remaining=st.sampled_from([30.0, 200.0, 2000.0]))
     def search(self, rank, remaining):
-        query, refusal = self.fleet.search(rank, remaining)
-        self.count_sends(self.fleet.collect())
+        query, refusal = self.connections.search(rank, remaining)
+        self.count_attempts(self.connections.start_assigned())
         if refusal is not None:
             self.refused.add(query)
 
     @rule()
     def book(self):
-        query, refusal = self.fleet.book("t")
-        self.count_sends(self.fleet.collect())
+        query, refusal = self.connections.book("t")
+        self.count_attempts(self.connections.start_assigned())
         if refusal is None:
             self.booked.add(query)
         else:
@@ -59,54 +59,54 @@
 
     @rule(name=st.sampled_from("ab"))
     def add_idle(self, name):
-        busy = sum(s.searcher == name for s in self.fleet.attempts)
-        idle = sum(s.health.searcher.id == name for s in self.fleet.idle_connections)
-        if busy + idle < SHARE and not self.fleet.pool.stopping:
-            self.count_sends(self.fleet.add_idle(name))
+        busy = sum(s.searcher == name for s in self.connections.attempts)
+        idle = sum(s.health.searcher.id == name for s in self.connections.idle_connections)
+        if busy + idle < SHARE and not self.connections.pool.stopping:
+            self.count_attempts(self.connections.add_idle(name))
 
-    @precondition(lambda self: self.fleet.attempts)
+    @precondition(lambda self: self.connections.attempts)
     @rule(data=st.data(), result=st.sampled_from([HITS, DRAINING, SHED, LOST]))
     def finish(self, data, result):
-        attempt = data.draw(st.sampled_from(self.fleet.attempts))
+        attempt = data.draw(st.sampled_from(self.connections.attempts))
         if isinstance(attempt.entry.work, BookingWork) and result is HITS:
             result = Ran("{}")
-        self.count_sends(self.fleet.finish(attempt, result))
+        self.count_attempts(self.connections.finish(attempt, result))
 
     @rule(duration=st.sampled_from([5.0, 60.0, 600.0]))
     def advance(self, duration):
-        self.fleet.clock.advance(Millis(duration))
-        self.count_sends(self.fleet.wake())
+        self.connections.clock.advance(Millis(duration))
+        self.count_attempts(self.connections.dispatch_and_start())
 
-    def take_up(self):
-        self.count_sends(self.fleet.collect())
+    def start_assigned(self):
+        self.count_attempts(self.connections.start_assigned())
 
-    @precondition(lambda self: self.fleet.results)
+    @precondition(lambda self: self.connections.results)
     @rule(data=st.data())
     def cancel(self, data):
-        self.fleet.pool.cancel(data.draw(st.sampled_from(sorted(self.fleet.results))))
-        self.take_up()
+        self.connections.pool.cancel(data.draw(st.sampled_from(sorted(self.connections.results))))
+        self.start_assigned()
 
     @rule(name=st.sampled_from("ab"), draining=st.booleans(), incarnation=st.sampled_from("12"))
     def record_load(self, name, draining, incarnation):
-        self.fleet.pool.record_load(SEARCHERS[name], LoadReport(0, draining, incarnation))
-        self.take_up()
+        self.connections.pool.record_load(SEARCHERS[name], LoadReport(0, draining, incarnation))
+        self.start_assigned()
 
-    @precondition(lambda self: not self.fleet.idle_connections)
+    @precondition(lambda self: not self.connections.idle_connections)
     @rule()
     def stop_and_change(self):
-        self.fleet.pool.stop()
-        assert not len(self.fleet.pool.pending)
-        self.fleet.pool.apply_configuration(SHARES, {})
+        self.connections.pool.stop()
+        assert not len(self.connections.pool.pending)
+        self.connections.pool.apply_configuration(SHARES, {})
 
     @invariant()
     def delivers_at_most_once(self):
-        assert all(len(results) <= 1 for results in self.fleet.results.values())
-        assert not any(self.fleet.results[query] for query in self.refused)
+        assert all(len(results) <= 1 for results in self.connections.results.values())
+        assert not any(self.connections.results[query] for query in self.refused)
 
     @invariant()
     def counts_what_is_in_flight(self):
-        for name, health in self.fleet.pool.health.items():
-            assert health.in_flight == sum(s.searcher == name for s in self.fleet.attempts)
+        for name, health in self.connections.pool.health.items():
+            assert health.in_flight == sum(s.searcher == name for s in self.connections.attempts)
             assert 0 <= health.in_flight <= health.connections
 
     @invariant()
@@ -115,14 +115,14 @@
 
     @invariant()
     def keeps_to_the_budget(self):
-        assert self.fleet.pool.budget.tokens >= 0.0
-        assert self.charged <= 1 + 0.05 * len(self.sent)
+        assert self.connections.pool.budget.tokens >= 0.0
+        assert self.spent_tokens <= 1 + 0.05 * len(self.sent)
 
     @invariant()
     def loses_no_work(self):
-        pool = self.fleet.pool
+        pool = self.connections.pool
         for query, entry in pool.entries.items():
-            in_flight = any(s.entry is entry for s in self.fleet.attempts)
+            in_flight = any(s.entry is entry for s in self.connections.attempts)
             pending = any(e is entry for e in pool.pending.entries())
             assert in_flight != pending, query
 
--- a/tests/process/test_rank_queue.py
+++ b/tests/process/test_rank_queue.py
@@ -9,10 +9,10 @@
 from masticgate.process._work import QueueEntry, SearchWork
 
 FLOORS = {Rank.STANDARD: 0.15, Rank.BULK: 0.1}
-PATIENCE = Millis(150.0)
+SHARED_ORDER_AFTER = Millis(150.0)
 
 
-def entry(number, rank, share=0.5, queued_at=0.0):
+def make_entry(number, rank, admission_number=0.5, queued_at=0.0):
     work = SearchWork(
         QueryId(f"q{number}"),
         ServiceId("s"),
@@ -20,7 +20,7 @@
         SnapshotVersion(1),
         rank,
         Millis(1e6),
-        share,
+        admission_number,
         "",
         lambda result: None,
     )
@@ -37,11 +37,11 @@
     @settings(derandomize=True, max_examples=50, deadline=None)
     @given(flood=st.sampled_from(list(Rank)), served=st.integers(40, 400))
     def test_keeps_the_floors_and_starves_no_rank_in_any_flood(self, flood, served):
-        queue = RankQueue(RankOrder(PATIENCE), FLOORS)
+        queue = RankQueue(RankOrder(SHARED_ORDER_AFTER), FLOORS)
         for number in range(served):
             for rank in Rank:
-                queue.add(entry(f"{number}.{rank}", rank))
-            queue.add(entry(f"{number}.flood", flood))
+                queue.add(make_entry(f"{number}.{rank}", rank))
+            queue.add(make_entry(f"{number}.flood", flood))
         ranks = [serve(queue).work.rank for _ in range(served)]
         for rank, floor in FLOORS.items():
             assert ranks.count(rank) >= int(floor * served) - 1
@@ -50,27 +50,37 @@
     @settings(derandomize=True, max_examples=50, deadline=None)
     @given(ranks=st.lists(st.sampled_from(list(Rank)), min_size=1, max_size=8))
     def test_serves_urgent_before_the_rest_until_a_floor_is_owed(self, ranks):
-        queue = RankQueue(RankOrder(PATIENCE), {})
+        queue = RankQueue(RankOrder(SHARED_ORDER_AFTER), {})
         for number, rank in enumerate(ranks):
-            queue.add(entry(number, rank))
+            queue.add(make_entry(number, rank))
         assert [serve(queue).work.rank for _ in ranks] == sorted(ranks)
 
     @settings(derandomize=True, max_examples=50, deadline=None)
-    @given(shares=st.lists(st.floats(0, 1), min_size=2, max_size=20, unique=True), data=st.data())
-    def test_serves_an_overloaded_rank_in_the_same_order_on_every_owner(self, shares, data):
+    @given(
+        admission_numbers=st.lists(st.floats(0, 1), min_size=2, max_size=20, unique=True),
+        data=st.data(),
+    )
+    def test_serves_an_overloaded_rank_in_the_same_order_on_every_owner(
+        self, admission_numbers, data
+    ):
         orders = []
-        for arrivals in (shares, data.draw(st.permutations(shares))):
-            queue = RankQueue(RankOrder(PATIENCE), FLOORS)
-            for share in arrivals:
-                queue.add(entry(share, Rank.BULK, share))
-            orders.append([serve(queue, PATIENCE + 1).work.admission_number for _ in shares])
-        assert orders[0] == orders[1] == sorted(shares)
+        for arrivals in (admission_numbers, data.draw(st.permutations(admission_numbers))):
+            queue = RankQueue(RankOrder(SHARED_ORDER_AFTER), FLOORS)
+            for admission_number in arrivals:
+                queue.add(make_entry(admission_number, Rank.BULK, admission_number))
+            orders.append(
+                [
+                    serve(queue, SHARED_ORDER_AFTER + 1).work.admission_number
+                    for _ in admission_numbers
+                ]
+            )
+        assert orders[0] == orders[1] == sorted(admission_numbers)
 
     def test_takes_work_that_expired_off_no_floor(self):
-        queue = RankQueue(RankOrder(PATIENCE), {Rank.BULK: 0.5})
+        queue = RankQueue(RankOrder(SHARED_ORDER_AFTER), {Rank.BULK: 0.5})
         for number in range(9):
-            queue.add(entry(f"u{number}", Rank.URGENT))
-            queue.add(entry(f"b{number}", Rank.BULK))
+            queue.add(make_entry(f"u{number}", Rank.URGENT))
+            queue.add(make_entry(f"b{number}", Rank.BULK))
         serve(queue)
         serve(queue)
         assert queue.pop(Millis(0.0)).work.rank is Rank.BULK
