--- a/src/masticgate/connection/_address.py
+++ b/src/masticgate/connection/_address.py
@@ -8,7 +8,7 @@
 from .._clock import MILLIS_PER_SECOND
 from .._ids import Address, Millis
 
-ACCEPT_RETRY_S = 0.05
+ACCEPT_RETRY_DELAY_S = 0.05
 """After a failed accept, which is for want of a descriptor: until some connection ended."""
 
 
@@ -40,6 +40,6 @@
             accepted = accept()
         except OSError:
             if not stopped():
-                sleep(ACCEPT_RETRY_S)
+                sleep(ACCEPT_RETRY_DELAY_S)
             continue
         yield accepted
--- a/src/masticgate/connection/_caller_app.py
+++ b/src/masticgate/connection/_caller_app.py
@@ -16,10 +16,10 @@
 from .._ranks import Rank
 from ..request import Answer, BookingOutcome, Ran
 
-LONGEST_DEADLINE = Millis(60_000.0)
+MAX_REMAINING_MS = Millis(60_000.0)
 RETRY_AFTER_SECONDS = 1
 MAX_SERVICES = 1000
-MAX_TEXT = 4000
+MAX_TEXT_CHARACTERS = 4000
 MAX_LIMIT = 1000
 
 
@@ -34,9 +34,9 @@
     """The JSON body of a search."""
 
     services: list[str] = Field(min_length=1, max_length=MAX_SERVICES)
-    text: str = Field(max_length=MAX_TEXT)
+    text: str = Field(max_length=MAX_TEXT_CHARACTERS)
     rank: str = "standard"
-    remaining_ms: float = Field(gt=0, le=LONGEST_DEADLINE, allow_inf_nan=False)
+    remaining_ms: float = Field(gt=0, le=MAX_REMAINING_MS, allow_inf_nan=False)
     minimum_coverage: float = Field(default=0.0, ge=0, le=1)
     limit: int = Field(default=10, ge=1, le=MAX_LIMIT)
 
@@ -48,7 +48,7 @@
     service: str
     payload: dict[str, Any]
     rank: str = "standard"
-    remaining_ms: float = Field(gt=0, le=LONGEST_DEADLINE, allow_inf_nan=False)
+    remaining_ms: float = Field(gt=0, le=MAX_REMAINING_MS, allow_inf_nan=False)
 
 
 @dataclass(frozen=True, slots=True)
@@ -97,7 +97,7 @@
         ...
 
 
-STATUS_OF_REASON = {
+STATUS_BY_REASON = {
     Reason.BAD_REQUEST: 400,
     Reason.UNKNOWN_SERVICE: 404,
     Reason.TOO_LARGE: 413,
@@ -108,8 +108,8 @@
     Reason.DEPARTMENT_LEFT: 410,
 }
 UNKNOWN_STATUS = 504
-NOT_RUN_STATUS = 503
-RETRY_STATUSES = frozenset({429, 503})
+DEFAULT_NOT_RUN_STATUS = 503
+STATUSES_TO_RETRY = frozenset({429, 503})
 
 URLS = Map(
     [
@@ -155,7 +155,7 @@
             case "search":
                 return self._search(request)
             case "mint":
-                return self._mint()
+                return self._mint_ticket()
             case "book":
                 return self._book(request)
             case "status":
@@ -181,7 +181,7 @@
             case Answer():
                 return _answer_response(result, body.minimum_coverage)
 
-    def _mint(self) -> Response:
+    def _mint_ticket(self) -> Response:
         ticket = self.handler.mint_ticket()
         if isinstance(ticket, NotRun):
             return failure_response(ticket)
@@ -205,7 +205,9 @@
         )
         match outcome:
             case Ran(result=result):
-                return _json_response(200, {"outcome": "ran", "result": _parse_or_text(result)})
+                return _json_response(
+                    200, {"outcome": "ran", "result": _parse_json_or_text(result)}
+                )
             case _:
                 return failure_response(outcome)
 
@@ -213,13 +215,13 @@
 def failure_response(failure: Failure) -> Response:
     """Return the response that says what did not happen, and whether it is certain."""
     if isinstance(failure, NotRun):
-        status = STATUS_OF_REASON.get(failure.reason, NOT_RUN_STATUS)
+        status = STATUS_BY_REASON.get(failure.reason, DEFAULT_NOT_RUN_STATUS)
         outcome = "not_run"
     else:
         status, outcome = UNKNOWN_STATUS, "unknown"
     body = {"outcome": outcome, **failure_fields(failure)}
     response = _json_response(status, body)
-    if status in RETRY_STATUSES:
+    if status in STATUSES_TO_RETRY:
         response.headers["Retry-After"] = str(RETRY_AFTER_SECONDS)
     return response
 
@@ -250,7 +252,7 @@
                 "id": hit.id,
                 "score": hit.score,
                 "shard": hit.shard,
-                "document": _parse_or_text(hit.document),
+                "document": _parse_json_or_text(hit.document),
             }
             for hit in answer.hits
         ],
@@ -285,7 +287,7 @@
         return NotRun(Reason.BAD_REQUEST, Step.READ, detail=f"no rank {label!r}")
 
 
-def _parse_or_text(text: str) -> Any:
+def _parse_json_or_text(text: str) -> Any:
     try:
         return json.loads(text)
     except ValueError:
--- a/src/masticgate/connection/_caller_client.py
+++ b/src/masticgate/connection/_caller_client.py
@@ -7,10 +7,10 @@
 from .._ids import Address, Millis
 from ._http_connection import HttpConnection, HttpFailure, HttpReply
 
-ANSWER_MARGIN = Millis(500.0)
+RESPONSE_MARGIN = Millis(500.0)
 """Waited beyond the request's own deadline for the answer to arrive."""
 
-PLAIN_TIMEOUT = Millis(5000.0)
+DEFAULT_TIMEOUT = Millis(5000.0)
 
 
 @dataclass(frozen=True, slots=True)
@@ -30,25 +30,25 @@
 
     def search(self, body: dict[str, Any]) -> CallerReply | HttpFailure:
         """Run a search; it is idempotent."""
-        timeout = Millis(float(body["remaining_ms"]) + ANSWER_MARGIN)
+        timeout = Millis(float(body["remaining_ms"]) + RESPONSE_MARGIN)
         return _read(self.connection.post("/v1/search", json.dumps(body).encode(), timeout))
 
     def mint_ticket(self) -> CallerReply | HttpFailure:
         """Ask for a ticket for one booking."""
-        return _read(self.connection.post("/v1/tickets", b"", PLAIN_TIMEOUT))
+        return _read(self.connection.post("/v1/tickets", b"", DEFAULT_TIMEOUT))
 
     def book(self, body: dict[str, Any]) -> CallerReply | HttpFailure:
         """Submit a booking; with the same ticket this may be repeated through any host."""
-        timeout = Millis(float(body["remaining_ms"]) + ANSWER_MARGIN)
+        timeout = Millis(float(body["remaining_ms"]) + RESPONSE_MARGIN)
         return _read(self.connection.post("/v1/bookings", json.dumps(body).encode(), timeout))
 
     def status(self) -> CallerReply | HttpFailure:
         """Return the host's status."""
-        return _read(self.connection.get("/v1/status", PLAIN_TIMEOUT))
+        return _read(self.connection.get("/v1/status", DEFAULT_TIMEOUT))
 
     def events(self) -> CallerReply | HttpFailure:
         """Return the events of the host's time line."""
-        return _read(self.connection.get("/v1/events", PLAIN_TIMEOUT))
+        return _read(self.connection.get("/v1/events", DEFAULT_TIMEOUT))
 
     def close(self) -> None:
         """Close the connection."""
--- a/src/masticgate/connection/_caller_server.py
+++ b/src/masticgate/connection/_caller_server.py
@@ -39,7 +39,7 @@
     def parse_request(self) -> bool:
         """Parse a request whose first line came; from now on it is in progress."""
         with self.server.lock:
-            self.server.idle.discard(self.connection)
+            self.server.idle_connections.discard(self.connection)
         return super().parse_request()
 
     def do_GET(self) -> None:  # noqa: N802
@@ -55,18 +55,22 @@
         if length is None or "Transfer-Encoding" in self.headers:
             self.close_connection = True
             detail = "a Content-Length is needed"
-            self._write(failure_response(NotRun(Reason.BAD_REQUEST, Step.READ, detail=detail)))
+            self._send_response(
+                failure_response(NotRun(Reason.BAD_REQUEST, Step.READ, detail=detail))
+            )
             return
         if length > self.server.app.max_body_bytes:
             self.close_connection = True
-            self._write(failure_response(NotRun(Reason.TOO_LARGE, Step.READ, detail="body")))
+            self._send_response(
+                failure_response(NotRun(Reason.TOO_LARGE, Step.READ, detail="body"))
+            )
             self._discard(min(length, MAX_DISCARDED_BYTES))
             return
         body = self.rfile.read(length)
         if len(body) < length:
             self.close_connection = True
             return
-        with self.server.busy(self.connection):
+        with self.server.mark_busy(self.connection):
             self._respond(body)
 
     def _respond(self, body: bytes) -> None:
@@ -76,11 +80,11 @@
             status.extend((line, headers))
 
         chunks = list(self.server.app(self._environ(body), start_response))
-        if self.server.refusing:
+        if self.server.closing:
             self.close_connection = True
         self._send(status[0], status[1], b"".join(chunks))
 
-    def _write(self, response: Response) -> None:
+    def _send_response(self, response: Response) -> None:
         headers = [(name, value) for name, value in response.headers]
         self._send(response.status, headers, response.get_data())
 
@@ -139,26 +143,26 @@
         self.close_connection = True
         response = failure_response(NotRun(Reason.BAD_REQUEST, Step.READ, detail=message or ""))
         response.status_code = code
-        self._write(response)
+        self._send_response(response)
 
     def log_message(self, format: str, *args: Any) -> None:
         """Log nothing: requests are counted, not logged."""
 
 
-class _Busy:
+class _BusyConnection:
     def __init__(self, server: "CallerServer", connection: socket.socket) -> None:
         self.server = server
         self.connection = connection
 
     def __enter__(self) -> None:
         with self.server.lock:
-            self.server.idle.discard(self.connection)
+            self.server.idle_connections.discard(self.connection)
 
     def __exit__(self, *_: object) -> None:
         with self.server.lock:
-            self.server.idle.add(self.connection)
+            self.server.idle_connections.add(self.connection)
             if self.server.stopping:
-                _end_reading(self.connection)
+                _shut_down_reading(self.connection)
 
 
 class CallerServer:
@@ -178,9 +182,9 @@
         self.max_callers = max_callers
         self.timeout = timeout
         self.lock = Condition()
-        self.open: set[socket.socket] = set()
-        self.idle: set[socket.socket] = set()
-        self.refusing = False
+        self.open_connections: set[socket.socket] = set()
+        self.idle_connections: set[socket.socket] = set()
+        self.closing = False
         self.stopping = False
 
     def run(self) -> None:
@@ -188,12 +192,12 @@
         accepted = accept_connections(lambda: self.listener.accept(), lambda: self.stopping)
         for connection, peer in accepted:
             with self.lock:
-                full = len(self.open) >= self.max_callers
+                full = len(self.open_connections) >= self.max_callers
                 if not full:
-                    self.open.add(connection)
-                    self.idle.add(connection)
+                    self.open_connections.add(connection)
+                    self.idle_connections.add(connection)
             if full:
-                _refuse(connection)
+                _refuse_connection(connection)
             else:
                 self._start(connection, peer)
 
@@ -202,9 +206,9 @@
             self.tasks.submit(self.serve, connection, peer)
         except RuntimeError:
             with self.lock:
-                self.open.discard(connection)
-                self.idle.discard(connection)
-            _refuse(connection)
+                self.open_connections.discard(connection)
+                self.idle_connections.discard(connection)
+            _refuse_connection(connection)
 
     def serve(self, connection: socket.socket, peer: Any) -> None:
         """Serve one connection until the caller closes it or falls silent."""
@@ -214,35 +218,35 @@
             return
         finally:
             with self.lock:
-                self.open.discard(connection)
-                self.idle.discard(connection)
+                self.open_connections.discard(connection)
+                self.idle_connections.discard(connection)
                 self.lock.notify_all()
             connection.close()
 
-    def busy(self, connection: socket.socket) -> _Busy:
+    def mark_busy(self, connection: socket.socket) -> _BusyConnection:
         """Return a context in which ``connection`` is not closed by :meth:`stop`."""
-        return _Busy(self, connection)
+        return _BusyConnection(self, connection)
 
-    def refuse_new(self) -> None:
+    def close_after_response(self) -> None:
         """Close each connection after its next response, so that callers go elsewhere."""
-        self.refusing = True
+        self.closing = True
 
     def stop(self) -> None:
         """Stop accepting and let idle connections end; requests in progress go on."""
-        self.refusing = True
+        self.closing = True
         self.stopping = True
         with suppress(OSError):
             self.listener.shutdown(socket.SHUT_RDWR)
         self.listener.close()
         with self.lock:
-            idle = list(self.idle)
+            idle = list(self.idle_connections)
         for connection in idle:
-            _end_reading(connection)
+            _shut_down_reading(connection)
 
     def abort(self) -> None:
         """Close the connections that are still open, whatever runs on them."""
         with self.lock:
-            connections = list(self.open)
+            connections = list(self.open_connections)
         for connection in connections:
             with suppress(OSError):
                 connection.shutdown(socket.SHUT_RDWR)
@@ -250,16 +254,18 @@
     def await_closed(self, timeout: Millis) -> bool:
         """Wait until every connection has ended; return ``False`` where some did not in time."""
         with self.lock:
-            return self.lock.wait_for(lambda: not self.open, timeout / MILLIS_PER_SECOND)
+            return self.lock.wait_for(
+                lambda: not self.open_connections, timeout / MILLIS_PER_SECOND
+            )
 
 
-def _end_reading(connection: socket.socket) -> None:
+def _shut_down_reading(connection: socket.socket) -> None:
     """Let the connection's task see the end once it has read what came."""
     with suppress(OSError):
         connection.shutdown(socket.SHUT_RD)
 
 
-def _refuse(connection: socket.socket) -> None:
+def _refuse_connection(connection: socket.socket) -> None:
     """Say "not run" to a caller beyond the limit and close."""
     response = failure_response(NotRun(Reason.OVERLOAD, Step.READ, detail="too many callers"))
     body = response.get_data()
--- a/src/masticgate/connection/gateway/_caller.py
+++ b/src/masticgate/connection/gateway/_caller.py
@@ -47,7 +47,7 @@
     clock: Clock
     limits: Callable[[], Limits]
     is_closing: Callable[[], bool]
-    between_gateways: bool = False
+    callers_are_gateways: bool = False
     transit_time: Millis = Millis(0.0)
 
 
@@ -68,8 +68,8 @@
         self.clock = settings.clock
         self.connection = connection
         self.state = CallerState.IDLE
-        self.fresh = True
-        self.state_since = settings.clock.now()
+        self.is_first_request = True
+        self.state_changed_at = settings.clock.now()
         limits = settings.limits()
         self.parser = RequestParser(limits.header_bytes, limits.body_bytes)
         self.parse_error: TooLarge | Malformed | None = None
@@ -93,7 +93,7 @@
 
     def _set_state(self, state: CallerState) -> None:
         self.state = state
-        self.state_since = self.clock.now()
+        self.state_changed_at = self.clock.now()
 
     def _serve(self, parsed: ParsedRequest) -> bool:
         """Answer one request; return ``False`` where the connection has to end."""
@@ -102,17 +102,20 @@
         if isinstance(request, Refused):
             self._send_reply(request, close=True)
             return False
-        if not self.settings.between_gateways:
+        if not self.settings.callers_are_gateways:
             request = replace(
-                request, is_first_on_connection=self.fresh, network_time=Millis(0.0), version=None
+                request,
+                is_first_on_connection=self.is_first_request,
+                network_time=Millis(0.0),
+                version=None,
             )
-            self.fresh = False
+            self.is_first_request = False
         reply = self.settings.handler(request, RequestInbox(self.wakeable_socket))
         if isinstance(reply, Abandoned):
             return False
         close = not parsed.keep_alive or self.settings.is_closing()
         header_names = self.settings.header_names
-        if self.settings.between_gateways:
+        if self.settings.callers_are_gateways:
             data = encode_peer_reply(reply, header_names, request, close=close)
         else:
             data = encode_reply(reply, header_names, close=close)
@@ -134,15 +137,15 @@
         idle_limit = self.settings.limits().idle_timeout
         while not self.parser.ready:
             if self.parse_error is not None:
-                self._reject_bytes(self.parse_error)
+                self._send_parse_error(self.parse_error)
                 return None
             if self.parser.idle:
                 idle_limit = max(idle_limit, self.settings.limits().idle_timeout)
-                deadline = Millis(self.state_since + idle_limit)
+                deadline = Millis(self.state_changed_at + idle_limit)
             else:
                 if self.state is CallerState.IDLE:
                     self._set_state(CallerState.READING)
-                deadline = Millis(self.state_since + self.settings.limits().header_timeout)
+                deadline = Millis(self.state_changed_at + self.settings.limits().header_timeout)
             remaining = deadline - self.clock.now()
             if remaining <= 0:
                 self._handle_timeout()
@@ -170,7 +173,7 @@
         self.parse_error = self.parser.feed(data)
         return self.parse_error is not None or self._send_continue()
 
-    def _reject_bytes(self, parse_error: TooLarge | Malformed) -> None:
+    def _send_parse_error(self, parse_error: TooLarge | Malformed) -> None:
         match parse_error:
             case TooLarge(status=status):
                 self._send_reply(_refusal(status, Reason.TOO_LARGE, ""), close=True)
--- a/src/masticgate/connection/gateway/_catalogue_codec.py
+++ b/src/masticgate/connection/gateway/_catalogue_codec.py
@@ -87,8 +87,8 @@
 
 def _encode_route(route: Route) -> Any:
     names = ("id", "host", "prefix", "attempts", "timeout", "objective", "rank")
-    plain = {name: getattr(route, name) for name in names}
-    return plain | {"kind": route.kind.value, "target": _encode_target(route.target)}
+    fields = {name: getattr(route, name) for name in names}
+    return fields | {"kind": route.kind.value, "target": _encode_target(route.target)}
 
 
 def _encode_target(target: Target) -> Any:
@@ -97,8 +97,8 @@
             return {"service": service}
         case Split(parts=parts):
             return {"split": [[part.service, part.weight] for part in parts]}
-        case Shards(services=services, top=top, min_shard_ratio=least):
-            return {"shards": list(services), "top": top, "least": least}
+        case Shards(services=services, top=top, min_shard_ratio=min_shard_ratio):
+            return {"shards": list(services), "top": top, "least": min_shard_ratio}
 
 
 def _decode_change(item: dict[str, Any]) -> Change:
@@ -167,7 +167,9 @@
             return OneService(ServiceId(service))
         case {"split": parts}:
             return Split(tuple(WeightedService(ServiceId(n), float(w)) for n, w in parts))
-        case {"shards": services, "top": top, "least": least}:
-            return Shards(tuple(ServiceId(name) for name in services), int(top), float(least))
+        case {"shards": services, "top": top, "least": min_shard_ratio}:
+            return Shards(
+                tuple(ServiceId(name) for name in services), int(top), float(min_shard_ratio)
+            )
         case _:
             raise ValueError("an unknown kind of target")
--- a/src/masticgate/connection/gateway/_encoding.py
+++ b/src/masticgate/connection/gateway/_encoding.py
@@ -34,11 +34,11 @@
     reply: Reply, header_names: HeaderNames, request: Request, *, close: bool
 ) -> bytes:
     """Return the bytes of ``reply`` to another gateway, which needs the request's id in it."""
-    head, _, rest = encode_reply(reply, header_names, close=close).partition(b"\r\n")
-    added = b"%s: %s\r\n" % (header_names.request_id, request.id.encode("latin-1"))
+    status_line, _, rest = encode_reply(reply, header_names, close=close).partition(b"\r\n")
+    extra_headers = b"%s: %s\r\n" % (header_names.request_id, request.id.encode("latin-1"))
     if isinstance(reply, Refused):
-        added += b"%s: 1\r\n" % header_names.not_run
-    return b"%s\r\n%s%s" % (head, added, rest)
+        extra_headers += b"%s: 1\r\n" % header_names.not_run
+    return b"%s\r\n%s%s" % (status_line, extra_headers, rest)
 
 
 def encode_reply(reply: Reply, header_names: HeaderNames, *, close: bool) -> bytes:
--- a/src/masticgate/connection/gateway/_inbox.py
+++ b/src/masticgate/connection/gateway/_inbox.py
@@ -102,18 +102,18 @@
     def __init__(self, wakeable_socket: WakeableSocket) -> None:
         self.wakeable_socket = wakeable_socket
         self.finished: deque[Call] = deque()
-        self.expected = 1
+        self.batch_size = 1
         wakeable_socket.watch_for_close()
 
     def put(self, call: Call) -> None:
         """Hand over a finished call; any task may call this."""
         self.finished.append(call)
-        if len(self.finished) >= self.expected or not _is_success(call):
+        if len(self.finished) >= self.batch_size or not _is_success(call):
             self.wakeable_socket.wake()
 
     def set_batch_size(self, number: int) -> None:
         """Let a wait go on until so many calls finished, or one of them without success."""
-        self.expected = number
+        self.batch_size = number
 
     def wait(self, deadline: Millis) -> Call | CallerDisconnected | None:
         """Return the next finished call, or ``None`` at ``until``."""
--- a/src/masticgate/connection/gateway/_listener.py
+++ b/src/masticgate/connection/gateway/_listener.py
@@ -29,7 +29,7 @@
         """Accept connections until :meth:`stop`."""
         accepted = accept_connections(lambda: self.socket.accept(), lambda: self.stopped)
         for connection, _ in accepted:
-            self._admit(connection)
+            self._add_connection(connection)
 
     def stop(self) -> None:
         """Accept no more connections; the open ones stay."""
@@ -50,7 +50,7 @@
         for caller in idle:
             caller.stop_reading()
 
-    def _admit(self, connection: socket.socket) -> None:
+    def _add_connection(self, connection: socket.socket) -> None:
         try:
             caller = CallerConnection(connection, self.settings)
         except OSError:
@@ -89,8 +89,8 @@
                 if caller is not newest and caller.state is not CallerState.SERVING
             ]
         if waiting:
-            min(waiting, key=_state_since).stop_reading()
+            min(waiting, key=_state_changed_at).stop_reading()
 
 
-def _state_since(caller: CallerConnection) -> Millis:
-    return caller.state_since
+def _state_changed_at(caller: CallerConnection) -> Millis:
+    return caller.state_changed_at
--- a/src/masticgate/process/_server.py
+++ b/src/masticgate/process/_server.py
@@ -110,7 +110,7 @@
         self.members.leave()
         self.heartbeats.announce()
         self.owner.stopping = True
-        self.caller_server.refuse_new()
+        self.caller_server.close_after_response()
         self.stopping.wait(
             min(SHUTDOWN_REFUSAL_TIME, self.settings.shutdown_ms / 4) / MILLIS_PER_SECOND
         )
@@ -206,7 +206,7 @@
             for rank in Rank:
                 queued = sum(pool.pending.depth(rank) for pool in self.pools.list_pools())
                 self.metrics.set_gauge(f"queue.{rank.label}", queued)
-            self.metrics.set_gauge("callers", len(self.caller_server.open))
+            self.metrics.set_gauge("callers", len(self.caller_server.open_connections))
             self.metrics.set_gauge("pools", len(self.pools.list_pools()))
             self.metrics.set_gauge("revision", self.versions.versions().revision)
             self.metrics.set_gauge("snapshot", self.versions.versions().catalogue)
--- a/src/masticgate/process/gateway/_gateway.py
+++ b/src/masticgate/process/gateway/_gateway.py
@@ -152,7 +152,7 @@
             self.clock,
             Limits,
             self.stopping.is_set,
-            between_gateways=True,
+            callers_are_gateways=True,
             transit_time=PEER_TRANSIT_TIME,
         )
         return Listener(address, settings, self.pool, MAX_CALLERS)
