--- a/src/masticgate/process/_distribution.py
+++ b/src/masticgate/process/_distribution.py
@@ -30,7 +30,7 @@
 from ._watch import HostListWatch, KeyWatch
 from ._watch_role import WatchRole
 
-Answer = Callable[[Message], bool]
+SendReply = Callable[[Message], bool]
 FETCH_TIMEOUT = Millis(1000.0)
 """How long one peer is given to send a newer version before another is asked."""
 
@@ -97,22 +97,24 @@
         if self.role.update(watching) and not watching:
             self._abort_reads()
 
-    def compare_versions(self, peer: Hello, peer_versions: Versions, answer: Answer) -> None:
+    def compare_versions(self, peer: Hello, peer_versions: Versions, send_reply: SendReply) -> None:
         """Ask ``peer`` for what it has newer, unless another was just asked for as much."""
         if self.versions.starting:
             self.startup.record_peer(peer.host, peer.failure_domain, peer_versions)
         if self._should_fetch(peer_versions):
-            answer(FetchVersions(self.versions.versions()))
+            send_reply(FetchVersions(self.versions.versions()))
 
-    def answer_fetch(self, have: Versions, answer: Answer) -> None:
+    def answer_fetch(self, have: Versions, send_reply: SendReply) -> None:
         """Send what is newer here than ``have``."""
         push = self.versions.build_push(have.revision)
         if push is not None:
-            answer(push)
+            send_reply(push)
         if self.versions.catalogue.newest > have.catalogue:
-            answer(CataloguePush(self.versions.catalogue_text))
+            send_reply(CataloguePush(self.versions.catalogue_text))
 
-    def handle_push(self, push: TextPush | SectionsPush | CataloguePush, answer: Answer) -> None:
+    def handle_push(
+        self, push: TextPush | SectionsPush | CataloguePush, send_reply: SendReply
+    ) -> None:
         """Take over what a peer sent; ask it again where its changes do not fit."""
         match push:
             case TextPush(revision=revision, text=text):
@@ -120,20 +122,20 @@
             case CataloguePush(text=text):
                 self._handle_offer_result(self.versions.offer_catalogue(text))
             case SectionsPush():
-                self._handle_sections(push, answer)
+                self._handle_sections(push, send_reply)
 
     def announce(self) -> None:
         """Tell the peers at once; the next heartbeat would tell them a little later."""
         self.links.broadcast(Heartbeat(self.timeline.sequence, self.versions.versions(), ()))
 
-    def _handle_sections(self, push: SectionsPush, answer: Answer) -> None:
+    def _handle_sections(self, push: SectionsPush, send_reply: SendReply) -> None:
         match self.versions.offer_sections(push):
             case OfferResult.IN_FORCE:
                 self._handle_offer_result(True)
             case OfferResult.OTHER_BASE:
-                answer(FetchVersions(self.versions.versions()))
+                send_reply(FetchVersions(self.versions.versions()))
             case OfferResult.OTHER_TEXT:
-                answer(FetchVersions(Versions(Revision(0), self.versions.catalogue.newest)))
+                send_reply(FetchVersions(Versions(Revision(0), self.versions.catalogue.newest)))
             case OfferResult.NOT_NEWER | OfferResult.REFUSED:
                 self._handle_offer_result(False)
 
--- a/src/masticgate/process/_server.py
+++ b/src/masticgate/process/_server.py
@@ -234,9 +234,9 @@
         self.connections.add(task)
         task.add_done_callback(self.connections.discard)
 
-    def _run_forward(self, forward: Forward, answer: Callable[[ForwardReply], object]) -> None:
+    def _run_forward(self, forward: Forward, send_reply: Callable[[ForwardReply], object]) -> None:
         def run() -> None:
-            answer(ForwardReply(forward.query, self.caller_service.run_forwarded(forward)))
+            send_reply(ForwardReply(forward.query, self.caller_service.run_forwarded(forward)))
 
         self.start_task(run)
 
--- a/tests/process/faults.py
+++ b/tests/process/faults.py
@@ -22,7 +22,7 @@
 
 
 @dataclass(frozen=True)
-class SearcherTurned:
+class SearcherKnobSet:
     """Knobs of one searcher, and their values without the fault."""
 
     searcher: str
@@ -49,26 +49,26 @@
     pass
 
 
-Fault = HostKilled | HostPaused | SearcherTurned | SnapshotPublished | TextEdited | PlatformDown
+Fault = HostKilled | HostPaused | SearcherKnobSet | SnapshotPublished | TextEdited | PlatformDown
 
 
 @dataclass(frozen=True)
-class Step:
+class FaultStep:
     """One or two faults at once, for a while, and a while without."""
 
     faults: tuple[Fault, ...]
-    seconds: float
-    calm: float
+    fault_seconds: float
+    recovery_seconds: float
 
 
-def plan_step(source: random.Random, hosts: int) -> Step:
+def plan_step(source: random.Random, hosts: int) -> FaultStep:
     kinds = source.sample(range(6), source.choice((1, 2)))
     faults = tuple(plan_fault(source, kind, hosts) for kind in kinds)
-    return Step(faults, source.uniform(0.3, 1.5), source.uniform(0.2, 0.8))
+    return FaultStep(faults, source.uniform(0.3, 1.5), source.uniform(0.2, 0.8))
 
 
 def plan_fault(source: random.Random, kind: int, hosts: int) -> Fault:
-    turns = [
+    knob_faults = [
         ("draining", True, False),
         ("loss_share", 0.5, 0.0),
         ("error_share", 0.5, 0.0),
@@ -82,21 +82,21 @@
     return (
         lambda: HostKilled(source.randrange(hosts)),
         lambda: HostPaused(source.randrange(hosts)),
-        lambda: SearcherTurned(source.choice(SEARCHERS), *source.choice(turns)),
+        lambda: SearcherKnobSet(source.choice(SEARCHERS), *source.choice(knob_faults)),
         lambda: SnapshotPublished(source.randint(1, 3)),
         lambda: TextEdited(*source.choice((leaving, floors))),
         PlatformDown,
     )[kind]()
 
 
-def begin(fleet: Fleet, fault: Fault) -> None:
+def inject(fleet: Fleet, fault: Fault) -> None:
     match fault:
         case HostKilled(host=host):
             fleet.kill(fleet.hosts[host]["host"])
         case HostPaused(host=host):
             if fleet.is_running(fleet.hosts[host]["host"]):
                 fleet.signal(fleet.hosts[host]["host"], signal.SIGSTOP)
-        case SearcherTurned(searcher=searcher, knob=knob, value=value):
+        case SearcherKnobSet(searcher=searcher, knob=knob, value=value):
             fleet.turn([searcher], **{knob: value})
         case SnapshotPublished(shards=count):
             version = fleet.snapshots[-1]["version"] + 1
@@ -113,14 +113,14 @@
             fleet.platform("down", down=True)
 
 
-def end(fleet: Fleet, fault: Fault) -> None:
+def remove(fleet: Fleet, fault: Fault) -> None:
     match fault:
         case HostKilled(host=host):
             fleet.start_host(host)
         case HostPaused(host=host):
             if fleet.is_running(fleet.hosts[host]["host"]):
                 fleet.signal(fleet.hosts[host]["host"], signal.SIGCONT)
-        case SearcherTurned(searcher=searcher, knob=knob, normal=normal):
+        case SearcherKnobSet(searcher=searcher, knob=knob, normal=normal):
             fleet.turn([searcher], **{knob: normal})
         case SnapshotPublished():
             fleet.turn([], held=[fleet.snapshots[-1]["version"]])
--- a/tests/process/test_against_naive.py
+++ b/tests/process/test_against_naive.py
@@ -21,7 +21,7 @@
         yield owner, naive
 
 
-def contents(reply):
+def routing_independent_fields(reply):
     """What must not depend on the routing."""
     body = reply.body
     return body["snapshot"], body["coverage"], body["hits"], body["missing"]
@@ -33,7 +33,7 @@
     for index, text, scope in itertools.product(range(3), TEXTS, SCOPES):
         replies = [fleet.search(index, scope, text=text) for fleet in fleets]
         if all(reply.status == 200 and reply.body["whole"] for reply in replies):
-            assert contents(replies[0]) == contents(replies[1])
+            assert routing_independent_fields(replies[0]) == routing_independent_fields(replies[1])
             compared += 1
     assert compared >= minimum
 
--- a/tests/process/test_departure.py
+++ b/tests/process/test_departure.py
@@ -75,7 +75,7 @@
 
 
 @pytest.fixture(scope="class")
-def parted():
+def partitionable():
     """Yield a fleet, and a function that parts the first host from the others or heals."""
     fleet = Fleet(SMALL, knobs={"service_ms": 5.0})
     ports = [host["address"].rpartition(":") for host in fleet.hosts]
@@ -83,28 +83,28 @@
     relays = [Relay(h["address"], b) for h, b in zip(fleet.hosts, behind, strict=True)]
     fleet.host_settings = {n: {"peer_listen_address": b} for n, b in enumerate(behind)}
 
-    def part(split):
-        relays[0].cut({"h2", "h3"} if split else set())
+    def set_partition(partitioned):
+        relays[0].cut({"h2", "h3"} if partitioned else set())
         for relay in relays[1:]:
-            relay.cut({"h1"} if split else set())
+            relay.cut({"h1"} if partitioned else set())
 
     with fleet:
-        yield fleet, part
+        yield fleet, set_partition
     for relay in relays:
         relay.stop()
 
 
 class TestSplit:
-    def test_both_sides_answer_and_agree_again_once_healed(self, parted):
-        fleet, part = parted
+    def test_both_sides_answer_and_agree_again_once_healed(self, partitionable):
+        fleet, set_partition = partitionable
         before = [owned_services(fleet, index) for index in range(3)]
         with Load(fleet, ["desk/1"], callers=1) as load:
-            part(True)
+            set_partition(True)
             wait_for_state(fleet, "h1", "dead", [1, 2])
             wait_for_state(fleet, "h2", "dead", [0])
             wait_for_state(fleet, "h3", "dead", [0])
             assert owned_services(fleet, 0) == set().union(*before)
-            part(False)
+            set_partition(False)
             fleet.wait_until(fleet.is_ready, SETTLE_SECONDS, "the split did not heal")
             for host in ("h1", "h2", "h3"):
                 wait_for_state(fleet, host, "alive", [0, 1, 2])
--- a/tests/process/test_fetches.py
+++ b/tests/process/test_fetches.py
@@ -26,7 +26,7 @@
     return SMALL.replace('"slots": 2', f'"slots": {number}', 1)
 
 
-class NoLinks:
+class RecordingLinks:
     """Links that keep what is sent to all peers."""
 
     def __init__(self) -> None:
@@ -36,7 +36,7 @@
         self.sent.append(message)
 
 
-class Node:
+class DistributionHost:
     """One host's distribution, with no platform and no links."""
 
     def __init__(self, name: str) -> None:
@@ -50,7 +50,7 @@
         self.clock = ManualClock()
         timeline = TimeLine(HostId(name), self.clock)
         self.versions = VersionStore(timeline, lambda configuration: None)
-        self.links = NoLinks()
+        self.links = RecordingLinks()
         self.hello = Hello(
             HostId(name), Address(NOWHERE), FailureDomainId("north"), Incarnation(1), 1, 1
         )
@@ -59,86 +59,93 @@
         self.distribution = Distribution(
             settings, self.versions, members, self.links, timeline, self.clock
         )
-        self.answers: list[object] = []
+        self.replies: list[object] = []
 
-    def hears(self, other: "Node", revision: int, catalogue: int = 0) -> list[object]:
+    def compare_versions(
+        self, other: "DistributionHost", revision: int, catalogue: int = 0
+    ) -> list[object]:
         """Return what this node asks after ``other`` named its versions."""
-        self.answers.clear()
+        self.replies.clear()
         versions = Versions(Revision(revision), SnapshotVersion(catalogue))
-        self.distribution.compare_versions(other.hello, versions, self.answer)
-        return list(self.answers)
+        self.distribution.compare_versions(other.hello, versions, self.send_reply)
+        return list(self.replies)
 
-    def sends(self, have: int) -> list[object]:
+    def answer_fetch(self, have: int) -> list[object]:
         """Return what this node sends a peer at revision ``have``."""
-        self.answers.clear()
+        self.replies.clear()
         versions = Versions(Revision(have), SnapshotVersion(0))
-        self.distribution.answer_fetch(versions, self.answer)
-        return list(self.answers)
+        self.distribution.answer_fetch(versions, self.send_reply)
+        return list(self.replies)
 
-    def takes(self, push) -> list[object]:
+    def handle_push(self, push) -> list[object]:
         """Return what this node asks after it got ``push``."""
-        self.answers.clear()
-        self.distribution.handle_push(push, self.answer)
-        return list(self.answers)
+        self.replies.clear()
+        self.distribution.handle_push(push, self.send_reply)
+        return list(self.replies)
 
-    def answer(self, message) -> bool:
-        self.answers.append(message)
+    def send_reply(self, message) -> bool:
+        self.replies.append(message)
         return True
 
 
 class TestFetch:
     def test_asks_one_peer_at_a_time_for_one_revision(self):
-        node, first, second = Node("h1"), Node("h2"), Node("h3")
+        host, first, second = DistributionHost("h1"), DistributionHost("h2"), DistributionHost("h3")
         asked = [FetchVersions(Versions(Revision(0), SnapshotVersion(0)))]
-        assert node.hears(first, 5) == asked
-        assert node.hears(second, 5) == []
-        assert node.hears(second, 6) == asked
-        node.clock.advance(Millis(FETCH_TIMEOUT + 1))
-        assert node.hears(first, 6) == asked
+        assert host.compare_versions(first, 5) == asked
+        assert host.compare_versions(second, 5) == []
+        assert host.compare_versions(second, 6) == asked
+        host.clock.advance(Millis(FETCH_TIMEOUT + 1))
+        assert host.compare_versions(first, 6) == asked
 
     def test_asks_for_nothing_that_it_has_or_refused(self):
-        node, peer = Node("h1"), Node("h2")
-        node.versions.offer_text(SMALL, Revision(5))
-        node.versions.offer_text("{", Revision(7))
-        assert node.hears(peer, 5) == node.hears(peer, 7) == node.hears(peer, 4) == []
-        assert node.hears(peer, 6) != []
+        host, peer = DistributionHost("h1"), DistributionHost("h2")
+        host.versions.offer_text(SMALL, Revision(5))
+        host.versions.offer_text("{", Revision(7))
+        assert (
+            host.compare_versions(peer, 5)
+            == host.compare_versions(peer, 7)
+            == host.compare_versions(peer, 4)
+            == []
+        )
+        assert host.compare_versions(peer, 6) != []
 
     def test_asks_for_a_newer_catalogue_while_a_text_is_awaited(self):
-        node, peer = Node("h1"), Node("h2")
-        assert node.hears(peer, 5) != []
-        assert node.hears(peer, 0, catalogue=2) != []
+        host, peer = DistributionHost("h1"), DistributionHost("h2")
+        assert host.compare_versions(peer, 5) != []
+        assert host.compare_versions(peer, 0, catalogue=2) != []
 
 
 class TestPush:
     def test_brings_a_peer_forward_by_sections_and_tells_the_others(self):
-        node, peer = Node("h1"), Node("h2")
+        host, peer = DistributionHost("h1"), DistributionHost("h2")
         for revision in (1, 2):
-            node.versions.offer_text(edit(revision), Revision(revision))
+            host.versions.offer_text(edit(revision), Revision(revision))
         peer.versions.offer_text(edit(1), Revision(1))
-        (push,) = node.sends(1)
+        (push,) = host.answer_fetch(1)
         assert isinstance(push, SectionsPush)
-        assert peer.takes(push) == []
-        assert peer.versions.configuration == node.versions.configuration
+        assert peer.handle_push(push) == []
+        assert peer.versions.configuration == host.versions.configuration
         assert [message.versions.revision for message in peer.links.sent] == [2]
-        assert peer.takes(push) == [] and len(peer.links.sent) == 1
+        assert peer.handle_push(push) == [] and len(peer.links.sent) == 1
 
     def test_against_another_revision_or_text_is_asked_for_again(self):
-        node, peer = Node("h1"), Node("h2")
+        host, peer = DistributionHost("h1"), DistributionHost("h2")
         for revision in (1, 2, 3):
-            node.versions.offer_text(edit(revision), Revision(revision))
+            host.versions.offer_text(edit(revision), Revision(revision))
         peer.versions.offer_text(edit(9), Revision(1))
-        assert [fetch.have.revision for fetch in peer.takes(node.sends(2)[0])] == [1]
+        assert [fetch.have.revision for fetch in peer.handle_push(host.answer_fetch(2)[0])] == [1]
         other = edit(9).replace('"orders": {}', '"orders": {"leaving": true}')
         peer.versions.offer_text(other, Revision(2))
-        assert [fetch.have.revision for fetch in peer.takes(node.sends(2)[0])] == [0]
-        (whole,) = node.sends(0)
-        assert isinstance(whole, TextPush) and peer.takes(whole) == []
-        assert peer.versions.configuration == node.versions.configuration
+        assert [fetch.have.revision for fetch in peer.handle_push(host.answer_fetch(2)[0])] == [0]
+        (whole,) = host.answer_fetch(0)
+        assert isinstance(whole, TextPush) and peer.handle_push(whole) == []
+        assert peer.versions.configuration == host.versions.configuration
 
     def test_sends_a_newer_catalogue_as_published(self):
-        node, peer = Node("h1"), Node("h2")
+        host, peer = DistributionHost("h1"), DistributionHost("h2")
         text = '{"versions": [{"version": 4, "shards": {"desk/1": {"a": 1.0}}}]}'
-        node.versions.offer_catalogue(text)
-        assert node.sends(0) == [CataloguePush(text)]
-        peer.takes(CataloguePush(text))
+        host.versions.offer_catalogue(text)
+        assert host.answer_fetch(0) == [CataloguePush(text)]
+        peer.handle_push(CataloguePush(text))
         assert peer.versions.versions().catalogue == 4
--- a/tests/process/test_members.py
+++ b/tests/process/test_members.py
@@ -25,12 +25,12 @@
 def members_of(name, clock=None, count=0):
     clock = clock or ManualClock()
     own = member(name)
-    known = Members(own, clock, TimeLine(own.host, clock), lambda changed: None)
-    known.merge([member(f"h{n}") for n in range(count)])
-    return known
+    view = Members(own, clock, TimeLine(own.host, clock), lambda changed: None)
+    view.merge([member(f"h{n}") for n in range(count)])
+    return view
 
 
-beliefs = st.builds(
+member_updates = st.builds(
     member,
     st.sampled_from(["x", "y"]),
     st.sampled_from(MemberState),
@@ -41,37 +41,37 @@
 
 class TestMerge:
     @settings(derandomize=True)
-    @given(st.lists(beliefs, max_size=8), st.randoms(use_true_random=False))
-    def test_ends_the_same_in_any_order_and_repeated(self, heard, random):
+    @given(st.lists(member_updates, max_size=8), st.randoms(use_true_random=False))
+    def test_ends_the_same_in_any_order_and_repeated(self, updates, random):
         one, other = members_of("a"), members_of("b")
-        shuffled = heard * 2
+        shuffled = updates * 2
         random.shuffle(shuffled)
-        one.merge(heard)
+        one.merge(updates)
         other.merge(shuffled)
         assert one.get("x") == other.get("x")
         assert one.get("y") == other.get("y")
 
     @settings(derandomize=True)
-    @given(st.lists(beliefs, max_size=12))
-    def test_leaving_is_sticky_for_its_incarnation(self, heard):
-        known = members_of("a")
+    @given(st.lists(member_updates, max_size=12))
+    def test_leaving_is_sticky_for_its_incarnation(self, updates):
+        view = members_of("a")
         left = 0
-        for belief in heard:
-            known.merge([belief])
-            if belief.host == "x" and belief.state is MemberState.LEAVING:
-                left = max(left, belief.incarnation)
-            now = known.get("x")
+        for update in updates:
+            view.merge([update])
+            if update.host == "x" and update.state is MemberState.LEAVING:
+                left = max(left, update.incarnation)
+            now = view.get("x")
             assert now is None or now.incarnation >= left
             assert now is None or now.incarnation > left or now.state is MemberState.LEAVING
 
     @settings(derandomize=True)
-    @given(st.lists(beliefs, max_size=12))
-    def test_digest_and_usable_hosts_follow_the_beliefs(self, heard):
-        known = members_of("a")
-        known.merge(heard)
-        listed = known.list_members()
-        assert tuple(known.digest) == digest_of(listed)
-        assert known.list_usable() == [m.host for m in listed if is_usable(m)]
+    @given(st.lists(member_updates, max_size=12))
+    def test_digest_and_usable_hosts_follow_the_beliefs(self, updates):
+        view = members_of("a")
+        view.merge(updates)
+        listed = view.list_members()
+        assert tuple(view.digest) == digest_of(listed)
+        assert view.list_usable() == [m.host for m in listed if is_usable(m)]
 
     def test_a_restarted_host_wins_at_once_over_its_death(self):
         assert supersedes(member("x", incarnation=2), member("x", MemberState.DEAD, counter=9))
@@ -79,32 +79,32 @@
 
 class TestRefutation:
     def test_a_host_called_dead_raises_its_counter(self):
-        known = members_of("a")
-        told = known.merge([member("a", MemberState.DEAD, counter=4)])
-        assert told == (member("a", counter=5),)
-        assert supersedes(told[0], member("a", MemberState.DEAD, counter=4))
+        view = members_of("a")
+        corrections = view.merge([member("a", MemberState.DEAD, counter=4)])
+        assert corrections == (member("a", counter=5),)
+        assert supersedes(corrections[0], member("a", MemberState.DEAD, counter=4))
 
     def test_a_host_called_leaving_leaves(self):
-        known = members_of("a")
-        known.merge([member("a", MemberState.LEAVING)])
-        known.merge([member("a", MemberState.DEAD, counter=4)])
-        assert known.own.state is MemberState.LEAVING
-        assert known.list_usable() == []
+        view = members_of("a")
+        view.merge([member("a", MemberState.LEAVING)])
+        view.merge([member("a", MemberState.DEAD, counter=4)])
+        assert view.own.state is MemberState.LEAVING
+        assert view.list_usable() == []
 
 
 class TestForgetting:
     def test_a_forgotten_host_does_not_return_from_old_gossip(self):
         clock = ManualClock()
-        known = members_of("a", clock)
-        known.merge([member("x", MemberState.DEAD, counter=2)])
+        view = members_of("a", clock)
+        view.merge([member("x", MemberState.DEAD, counter=2)])
         clock.advance(Millis(DEPARTED_MEMBER_TTL + 1))
-        known.remove_expired()
-        assert known.get("x") is None
+        view.remove_expired()
+        assert view.get("x") is None
         dead = member("x", MemberState.DEAD, counter=2)
-        assert known.merge([member("x", counter=2)]) == (dead,)
-        assert known.get("x") is None
-        known.merge([member("x", incarnation=2)])
-        assert known.get("x") == member("x", incarnation=2)
+        assert view.merge([member("x", counter=2)]) == (dead,)
+        assert view.get("x") is None
+        view.merge([member("x", incarnation=2)])
+        assert view.get("x") == member("x", incarnation=2)
 
 
 class TestNeighbours:
@@ -127,63 +127,65 @@
 class TestFailureDetector:
     def setup_method(self):
         self.clock = ManualClock()
-        self.known = members_of("a", self.clock, 2)
-        self.heard = {HostId("h0"): Millis(0.0), HostId("h1"): Millis(0.0)}
+        self.view = members_of("a", self.clock, 2)
+        self.last_received = {HostId("h0"): Millis(0.0), HostId("h1"): Millis(0.0)}
         self.timeline = TimeLine(HostId("a"), self.clock)
-        self.detector = FailureDetector(self.known, self.heard.get, self.clock, self.timeline)
-        self.beat(1, ["h0", "h1"])
+        self.detector = FailureDetector(
+            self.view, self.last_received.get, self.clock, self.timeline
+        )
+        self.run_intervals(1, ["h0", "h1"])
 
-    def beat(self, times, speaking=()):
+    def run_intervals(self, times, responsive=()):
         for _ in range(times):
             self.clock.advance(INTERVAL)
-            for host in speaking:
-                self.heard[host] = self.clock.now()
-            watched = [self.known.get(h) for h in ("h0", "h1")]
+            for host in responsive:
+                self.last_received[host] = self.clock.now()
+            watched = [self.view.get(h) for h in ("h0", "h1")]
             self.detector.check([m for m in watched if is_usable(m)], INTERVAL)
 
     def state(self, host):
-        return self.known.get(host).state
+        return self.view.get(host).state
 
     def test_a_silent_host_becomes_suspect_then_dead(self):
-        self.beat(3, ["h0"])
+        self.run_intervals(3, ["h0"])
         assert self.state("h1") is MemberState.ALIVE
-        self.beat(1, ["h0"])
+        self.run_intervals(1, ["h0"])
         assert self.state("h1") is MemberState.SUSPECT
-        self.beat(5, ["h0"])
+        self.run_intervals(5, ["h0"])
         assert (self.state("h0"), self.state("h1")) == (MemberState.ALIVE, MemberState.DEAD)
 
     def test_a_suspect_that_refutes_stays_usable_and_is_waited_for_longer(self):
-        self.beat(4, ["h0"])
-        self.known.merge([member("h1", counter=1)])
-        self.beat(2, ["h0"])
+        self.run_intervals(4, ["h0"])
+        self.view.merge([member("h1", counter=1)])
+        self.run_intervals(2, ["h0"])
         assert self.state("h1") is MemberState.ALIVE
 
     def test_a_host_is_not_suspect_for_the_time_without_a_link(self):
-        del self.heard["h1"]
-        self.beat(9, ["h0"])
-        self.heard["h1"] = self.clock.now()
-        self.beat(3, ["h0"])
+        del self.last_received["h1"]
+        self.run_intervals(9, ["h0"])
+        self.last_received["h1"] = self.clock.now()
+        self.run_intervals(3, ["h0"])
         assert self.state("h1") is MemberState.ALIVE
 
     def test_after_a_pause_everyone_gets_a_fresh_interval(self):
-        self.beat(2, ["h0", "h1"])
+        self.run_intervals(2, ["h0", "h1"])
         self.clock.advance(Millis(60_000.0))
-        self.beat(1)
+        self.run_intervals(1)
         assert {self.state("h0"), self.state("h1")} == {MemberState.ALIVE}
         assert [e.kind for e in self.timeline.list_events()] == [EventKind.PAUSED]
-        self.beat(4)
+        self.run_intervals(4)
         assert self.state("h0") is MemberState.SUSPECT
 
 
 class TestHostList:
     def setup_method(self):
-        self.known = members_of("a", count=1)
-        self.list = HostList(self.known.get)
+        self.view = members_of("a", count=1)
+        self.list = HostList(self.view.get)
 
     def read(self, leaving, at):
         listed = ListedHost(HostId("h0"), Address("127.0.0.1:7001"), FailureDomainId("n"), leaving)
-        self.known.merge(self.list.to_members([listed], Millis(at)))
-        return self.known.get("h0").state
+        self.view.merge(self.list.to_members([listed], Millis(at)))
+        return self.view.get("h0").state
 
     def test_its_word_that_a_host_leaves_counts(self):
         assert self.read(False, 0.0) is MemberState.ALIVE
@@ -192,18 +194,18 @@
 
     def test_a_late_word_does_not_stop_the_restarted_host(self):
         self.read(False, 0.0)
-        self.known.merge([member("h0", incarnation=2)])
+        self.view.merge([member("h0", incarnation=2)])
         assert self.read(True, MAX_HOST_LIST_LAG) is MemberState.ALIVE
         assert self.read(False, 2 * MAX_HOST_LIST_LAG) is MemberState.ALIVE
 
 
-class Gossip(RuleBasedStateMachine):
+class MembershipMachine(RuleBasedStateMachine):
     """Three hosts tell each other beliefs; whatever was lost, digests bring them together."""
 
     def __init__(self):
         super().__init__()
         self.hosts = [members_of(name) for name in ("a", "b", "c")]
-        self.left: set[str] = set()
+        self.hosts_that_left: set[str] = set()
 
     @rule(sender=st.integers(0, 2), receiver=st.integers(0, 2), lost=st.booleans())
     def send_updates(self, sender, receiver, lost):
@@ -212,14 +214,14 @@
             self.hosts[receiver].merge(updates)
 
     @rule(sender=st.integers(0, 2), about=st.sampled_from("abcxy"), state=st.sampled_from([1, 3]))
-    def accuse(self, sender, about, state):
-        known = self.hosts[sender].get(HostId(about)) or member(about)
-        self.hosts[sender].declare(known, MemberState(state))
+    def declare_state(self, sender, about, state):
+        target = self.hosts[sender].get(HostId(about)) or member(about)
+        self.hosts[sender].declare(target, MemberState(state))
 
     @rule(host=st.integers(0, 2))
     def leave(self, host):
         self.hosts[host].leave()
-        self.left.add(self.hosts[host].own.host)
+        self.hosts_that_left.add(self.hosts[host].own.host)
 
     @rule()
     def compare_digests(self):
@@ -229,7 +231,7 @@
                     self.exchange(one, other)
         views = {tuple(host.list_usable()) for host in self.hosts}
         assert len(views) == 1
-        assert {h.own.host for h in self.hosts} - self.left <= set(views.pop())
+        assert {h.own.host for h in self.hosts} - self.hosts_that_left <= set(views.pop())
 
     def exchange(self, one, other):
         other.merge([one.own])
@@ -239,12 +241,14 @@
         one.merge(other.merge(missing))
 
     @invariant()
-    def nobody_takes_itself_for_dead(self):
+    def own_state_is_alive_or_leaving(self):
         for host in self.hosts:
             assert host.own.state in (MemberState.ALIVE, MemberState.LEAVING)
-            assert (host.own.host in self.left) <= (host.own.state is MemberState.LEAVING)
+            assert (host.own.host in self.hosts_that_left) <= (
+                host.own.state is MemberState.LEAVING
+            )
             assert host.get(host.own.host) == host.own
 
 
-TestGossip = Gossip.TestCase
-TestGossip.settings = settings(derandomize=True, max_examples=40, stateful_step_count=20)
+TestMembership = MembershipMachine.TestCase
+TestMembership.settings = settings(derandomize=True, max_examples=40, stateful_step_count=20)
--- a/tests/process/test_soak.py
+++ b/tests/process/test_soak.py
@@ -10,7 +10,7 @@
 
 import pytest
 
-from tests.process.faults import begin, end, plan_step
+from tests.process.faults import inject, plan_step, remove
 from tests.standins.fleet import Fleet
 from tests.texts import SMALL
 
@@ -26,15 +26,15 @@
     """What callers were told, and what the searchers logged."""
 
     answers: list = field(default_factory=list)
-    refused: int = 0
-    told: dict = field(default_factory=lambda: defaultdict(list))
-    served: set = field(default_factory=set)
+    refusals: int = 0
+    outcomes: dict = field(default_factory=lambda: defaultdict(list))
+    searched: set = field(default_factory=set)
 
     def collect(self, fleet):
         for searcher in fleet.searchers().values():
             for entry in searcher["log"]:
                 query, _, _ = entry["query"].rpartition(".")
-                self.served |= {(query, entry["snapshot"], shard) for shard in entry["shards"]}
+                self.searched |= {(query, entry["snapshot"], shard) for shard in entry["shards"]}
 
 
 def run_caller(fleet, records, source, stopping):
@@ -53,18 +53,18 @@
     if reply.body["outcome"] == "ran":
         records.answers.append(reply.body)
     else:
-        records.refused += 1
+        records.refusals += 1
 
 
 def book(fleet, records, source):
     ticket = fleet.mint(source.randrange(HOSTS))
-    told = records.told[ticket]
+    outcomes = records.outcomes[ticket]
     for _ in range(source.randint(1, 3)):
         try:
             reply = fleet.book(source.randrange(HOSTS), ticket, "orders", remaining_ms=400.0)
-            told.append(reply.body["outcome"])
+            outcomes.append(reply.body["outcome"])
         except OSError:
-            told.append("lost")
+            outcomes.append("lost")
 
 
 def check_answer(fleet, records, answer):
@@ -74,7 +74,7 @@
     hits = [hit["shard"] for hit in answer["hits"]]
     assert len(hits) == len(set(hits))
     assert {hit["document"]["snapshot"] for hit in answer["hits"]} <= {version}
-    assert {(answer["query"], version, shard) for shard in hits} <= records.served
+    assert {(answer["query"], version, shard) for shard in hits} <= records.searched
     assert {missing["shard"] for missing in answer["missing"]} == set(weights) - set(hits)
     true = sum(weights[shard] for shard in hits) / sum(weights.values())
     assert math.isclose(answer["coverage"], true, abs_tol=2e-6)
@@ -86,11 +86,11 @@
         for booking in searcher["bookings"]:
             runs[booking["ticket"]] += 1
     assert max(runs.values(), default=0) <= 1
-    for ticket, told in records.told.items():
-        if "ran" in told:
-            assert runs[ticket] == 1, told
-        if set(told) == {"not_run"}:
-            assert runs[ticket] == 0, told
+    for ticket, outcomes in records.outcomes.items():
+        if "ran" in outcomes:
+            assert runs[ticket] == 1, outcomes
+        if set(outcomes) == {"not_run"}:
+            assert runs[ticket] == 0, outcomes
 
 
 def run_faults(fleet, records, seed, seconds):
@@ -99,11 +99,11 @@
     while time.monotonic() < stop:
         step = plan_step(source, HOSTS)
         for fault in step.faults:
-            begin(fleet, fault)
-        time.sleep(step.seconds)
+            inject(fleet, fault)
+        time.sleep(step.fault_seconds)
         for fault in reversed(step.faults):
-            end(fleet, fault)
-        time.sleep(step.calm)
+            remove(fleet, fault)
+        time.sleep(step.recovery_seconds)
         records.collect(fleet)
 
 
@@ -127,10 +127,10 @@
             check_answer(fleet, records, answer)
         check_bookings(fleet, records)
     whole = sum(answer["whole"] for answer in records.answers)
-    ran = sum("ran" in told for told in records.told.values())
+    ran = sum("ran" in outcomes for outcomes in records.outcomes.values())
     print(
-        f"seed {seed}: {len(records.answers)} answers, {whole} whole, {records.refused} refused;"
-        f" {len(records.told)} tickets, {ran} ran"
+        f"seed {seed}: {len(records.answers)} answers, {whole} whole, {records.refusals} refused;"
+        f" {len(records.outcomes)} tickets, {ran} ran"
     )
     assert whole and ran
 
--- a/tests/process/test_versions.py
+++ b/tests/process/test_versions.py
@@ -61,25 +61,25 @@
 
     def __init__(self) -> None:
         super().__init__()
-        self.told: list[int] = []
+        self.notified: list[int] = []
         self.stores = [
-            new_store(lambda c: self.told.append(c.revision)),
+            new_store(lambda c: self.notified.append(c.revision)),
             new_store(),
         ]
         self.offered: list[set[int]] = [set(), set()]
         self.highest = [Versions(0, 0)] * 2
 
     @rule(index=st.integers(0, 1), revision=REVISIONS)
-    def hear_the_platform(self, index, revision):
+    def offer_text(self, index, revision):
         self.stores[index].offer_text(text_at(revision), Revision(revision))
         self.offered[index].add(revision)
 
     @rule(index=st.integers(0, 1), version=REVISIONS)
-    def hear_a_catalogue(self, index, version):
+    def offer_catalogue(self, index, version):
         self.stores[index].offer_catalogue(catalogue_at(version))
 
     @rule(index=st.integers(0, 1), have=st.integers(0, 12))
-    def hear_the_peer(self, index, have):
+    def offer_push(self, index, have):
         store, peer = self.stores[index], self.stores[1 - index]
         asked = store.versions().revision if have > 6 else Revision(have)
         match peer.build_push(asked):
@@ -101,8 +101,8 @@
             self.highest[index] = now
 
     @invariant()
-    def tells_of_rising_revisions(self):
-        assert self.told == sorted(set(self.told))
+    def notifies_rising_revisions(self):
+        assert self.notified == sorted(set(self.notified))
 
     @invariant()
     def holds_the_highest_acceptable_text(self):
@@ -148,14 +148,14 @@
         assert isinstance(store.build_push(Revision(3)), SectionsPush)
 
     def test_of_another_text_under_the_same_revision_are_noticed(self):
-        ours, theirs = new_store(), new_store()
-        ours.offer_text(text_at(1), Revision(1))
-        theirs.offer_text(text_at(2).replace('"orders": {}', '"orders": {"leaving": true}'), 1)
-        theirs.offer_text(text_at(3).replace('"orders": {}', '"orders": {"leaving": true}'), 2)
-        assert ours.offer_sections(theirs.build_push(Revision(1))) is OfferResult.OTHER_TEXT
-        whole = theirs.build_push(Revision(0))
-        assert ours.offer_text(whole.text, whole.revision)
-        assert ours.configuration == theirs.configuration
+        first, second = new_store(), new_store()
+        first.offer_text(text_at(1), Revision(1))
+        second.offer_text(text_at(2).replace('"orders": {}', '"orders": {"leaving": true}'), 1)
+        second.offer_text(text_at(3).replace('"orders": {}', '"orders": {"leaving": true}'), 2)
+        assert first.offer_sections(second.build_push(Revision(1))) is OfferResult.OTHER_TEXT
+        whole = second.build_push(Revision(0))
+        assert first.offer_text(whole.text, whole.revision)
+        assert first.configuration == second.configuration
 
 
 class TestStart:
@@ -164,7 +164,7 @@
     def startup(self) -> Startup:
         return Startup(self.seeds, new_store(starting=True), SystemClock())
 
-    def hear(self, startup: Startup, *names: str, revision: int = 0) -> None:
+    def record_peers(self, startup: Startup, *names: str, revision: int = 0) -> None:
         for name in names:
             startup.record_peer(HostId(name), self.seeds[HostId(name)], Versions(revision, 0))
 
@@ -172,34 +172,34 @@
         return startup.wait(Millis(startup.clock.now() + duration))
 
     def test_nothing_is_in_force_before_the_store_opens(self):
-        told = []
-        store = new_store(told.append, starting=True)
+        notified = []
+        store = new_store(notified.append, starting=True)
         store.offer_text(text_at(1), Revision(1))
-        assert store.configuration is None and not told
+        assert store.configuration is None and not notified
         assert isinstance(store.build_push(Revision(0)), TextPush)
         store.activate()
-        assert [c.revision for c in told] == [1] and store.configuration.revision == 1
+        assert [c.revision for c in notified] == [1] and store.configuration.revision == 1
 
     def test_needs_the_platform_and_peers_in_two_failure_domains(self):
         startup = self.startup()
         assert self.wait(startup) is StartState.ALONE
-        self.hear(startup, "h2", "h3")
+        self.record_peers(startup, "h2", "h3")
         startup.record_platform_read(True)
         assert self.wait(startup) is StartState.PARTIAL
-        self.hear(startup, "h4")
+        self.record_peers(startup, "h4")
         assert self.wait(startup) is StartState.COMPLETE
 
     def test_goes_on_without_the_platform_once_peers_answered(self):
         startup = self.startup()
-        self.hear(startup, "h2", "h3", "h4")
+        self.record_peers(startup, "h2", "h3", "h4")
         startup.record_platform_read(False)
         assert self.wait(startup) is StartState.COMPLETE
 
     def test_waits_for_the_highest_version_that_a_peer_has(self):
         startup = self.startup()
         startup.record_platform_read(True)
-        self.hear(startup, "h2", "h4")
-        self.hear(startup, "h3", revision=7)
+        self.record_peers(startup, "h2", "h4")
+        self.record_peers(startup, "h3", revision=7)
         startup.versions.offer_text(text_at(1), Revision(5))
         assert self.wait(startup) is StartState.PARTIAL
         with ThreadPoolExecutor(1) as tasks:
@@ -238,21 +238,21 @@
 
 class TestKeyWatch:
     def watch(self, *results) -> tuple[KeyWatch, list[int]]:
-        taken: list[int] = []
+        received: list[int] = []
         timeline = TimeLine(HostId("h1"), ManualClock())
         role = WatchRole(timeline)
         role.update(True)
         reader = StaleReader(*results)
         watch = KeyWatch(
-            "k", reader, timeline, lambda v: taken.append(v.revision), role, ManualClock()
+            "k", reader, timeline, lambda v: received.append(v.revision), role, ManualClock()
         )
-        return watch, taken
+        return watch, received
 
     def test_takes_no_older_value_and_does_not_ask_for_it_again(self):
         old, new = (Value(Revision(revision), "") for revision in (3, 5))
-        watch, taken = self.watch(new, old, new, old)
+        watch, received = self.watch(new, old, new, old)
         delays = [watch.read_once() for _ in range(4)]
-        assert taken == [5] and watch.revision == 5
+        assert received == [5] and watch.revision == 5
         assert delays[0] == MIN_READ_INTERVAL and min(delays[1:]) >= 250
         assert delays[3] > delays[1]
 
