--- a/src/masticgate/process/gateway/__init__.py
+++ b/src/masticgate/process/gateway/__init__.py
@@ -1,4 +1,7 @@
-"""What a gateway keeps as long as it runs: beliefs about searchers, budgets, logs, metrics."""
+"""State that a gateway keeps for the life of its process.
+
+It covers the state of the searchers, the budgets for hedges and retries, the log and the metrics.
+"""
 
 from ._catalogue import CatalogueSource as CatalogueSource
 from ._catalogue import Change as Change
--- a/src/masticgate/process/gateway/_catalogue.py
+++ b/src/masticgate/process/gateway/_catalogue.py
@@ -1,4 +1,8 @@
-"""What the platform publishes: the configuration and the searchers."""
+"""The catalogue that the platform publishes: the configuration and the listed searchers.
+
+A listing is the platform's entry for one searcher. The catalogue reaches a gateway from the
+platform itself or through another gateway.
+"""
 
 from dataclasses import dataclass
 from enum import Enum
@@ -8,11 +12,14 @@
 from ...version.gateway import RouteTable
 
 PEER_SERVICE = ServiceId("gateways")
-"""The service under which the fleet holds the gateways that gather for this one."""
+"""The service name under which the fleet holds the gateways that gather queries for this one.
+
+To gather a query is to send it to one searcher of each shard and to merge the answers.
+"""
 
 
 class SearcherPhase(Enum):
-    """What a searcher says of itself in its listing."""
+    """Whether a searcher accepts requests, as its listing states."""
 
     READY = "ready"
     DRAINING = "draining"
@@ -20,10 +27,11 @@
 
 @dataclass(frozen=True, slots=True)
 class SearcherEntry:
-    """One listed searcher.
+    """The decoded listing of one searcher.
 
-    ``born`` is the Unix millisecond of its start, 0 where the listing has none; ``cold`` is how
-    much longer it stays slow after that start.
+    ``slots`` is the number of requests that the searcher runs at the same time. ``cold`` is the
+    remaining time for which it answers slowly after its start. ``born`` is the time of its start in
+    milliseconds since the Unix epoch, or 0 if the listing does not state it.
     """
 
     id: SearcherId
@@ -38,28 +46,31 @@
 
 @dataclass(frozen=True, slots=True)
 class PublishedConfiguration:
-    """A whole configuration."""
+    """The configuration was published; ``table`` is the whole of it."""
 
     table: RouteTable
 
 
 @dataclass(frozen=True, slots=True)
 class SearcherListed:
-    """A searcher's listing as it is now."""
+    """The listing of a searcher was added or changed; ``entry`` is its present state."""
 
     entry: SearcherEntry
 
 
 @dataclass(frozen=True, slots=True)
 class SearcherUnlisted:
-    """A searcher's listing was removed."""
+    """The listing of a searcher was removed."""
 
     searcher: SearcherId
 
 
 @dataclass(frozen=True, slots=True)
 class UnreadableItem:
-    """An item that names nothing usable; ``searcher`` is set where it stood for one."""
+    """A published item that cannot be decoded.
+
+    ``searcher`` is set if the item is the listing of a searcher.
+    """
 
     key: str
     detail: str
@@ -71,7 +82,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Contents:
-    """Everything that is published; later changes have revisions above ``revision``."""
+    """The whole catalogue; every later change has a revision above ``revision``."""
 
     changes: tuple[Change, ...]
     revision: Revision
@@ -79,7 +90,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Changes:
-    """What changed up to ``revision``, in order."""
+    """The changes since the last read or watch, up to ``revision`` and in their order."""
 
     changes: tuple[Change, ...]
     revision: Revision
@@ -87,31 +98,37 @@
 
 @dataclass(frozen=True, slots=True)
 class HistoryGone:
-    """The changes since the revision are no longer known; everything has to be read again."""
+    """The changes after the requested revision are no longer available.
+
+    The whole catalogue has to be read again.
+    """
 
 
 @dataclass(frozen=True, slots=True)
 class Unavailable:
-    """The platform did not answer, or refused to."""
+    """The platform did not respond, or responded with an error; ``detail`` says which."""
 
     detail: str
 
 
 class CatalogueSource(Protocol):
-    """Reads what the platform publishes."""
+    """A source of the catalogue: the platform, or a gateway that relays it."""
 
     def read(self) -> Contents | Unavailable:
-        """Read everything."""
+        """Return the whole catalogue."""
         ...
 
     def watch(self, after: Revision, wait: Millis) -> Changes | HistoryGone | Unavailable:
-        """Wait for changes after a revision, for ``wait`` at most."""
+        """Wait at most ``wait`` for changes after the revision ``after``, and return them.
+
+        No changes are returned if none came within that time.
+        """
         ...
 
 
 class PlatformSource(CatalogueSource, Protocol):
-    """Reads the platform itself."""
+    """A source that reads from the platform itself."""
 
     def read_table(self) -> PublishedConfiguration | Unavailable:
-        """Read the configuration alone."""
+        """Return the configuration without the listings."""
         ...
--- a/src/masticgate/process/gateway/_fleet.py
+++ b/src/masticgate/process/gateway/_fleet.py
@@ -1,4 +1,7 @@
-"""The searchers of all services: their listings, connections and choice."""
+"""The searchers of all services: their listings, their connections and the choice among them.
+
+The module also enforces the budgets for hedges and retries, which are both called repeats.
+"""
 
 from dataclasses import dataclass
 from itertools import count
@@ -30,46 +33,62 @@
 from ._shares import GatewayShares
 
 RETRY_RESERVE = 1.0
+"""The number of repeats that hedges leave in a budget for retries."""
+
 DEFAULT_CONNECTIONS = 8
-"""Connections to a searcher whose service the configuration does not name."""
+"""The connection limit for a searcher whose service the configuration does not name."""
 
 CROSS_DOMAIN_COST = 0.8
-"""Added to the cost of a searcher in another failure domain, for its round trip and bytes: more
-than one answer that came late by chance adds to the cost of a near one."""
+"""Added to the cost of a searcher in another failure domain, for its round trip and traffic.
+
+It exceeds the cost that one late answer adds, so that a single late answer of a searcher in the
+gateway's own domain does not move requests to another domain.
+"""
 
 DEFAULT_IDLE_TIMEOUT = Millis(4_000.0)
-"""How long a connection is kept idle where the searcher states no time."""
+"""The idle timeout of a connection whose searcher does not state one."""
 
 MAX_IDLE_TIMEOUT = Millis(10_000.0)
+"""The upper bound on the idle timeout that a searcher states."""
+
 IDLE_TIMEOUT_MARGIN = Millis(1_000.0)
-"""A connection is closed so long before the searcher would: two sweeps."""
+"""An idle connection is closed this long before the searcher would close it.
+
+The margin covers two intervals between calls of :meth:`Fleet.sweep`.
+"""
 
 STUCK_CALL_MARGIN = Millis(100.0)
+"""A connection is closed once its call is past its deadline by more than this."""
+
 RENEWAL_WINDOW = Millis(20_000.0)
-"""A connection is renewed while its searcher was used within this time."""
+"""An expired idle connection is replaced if its searcher was sent a request within this time."""
 
 LAST_RESORT_SHARE = 0.5
-"""The part of the drain time for which a searcher that leaves is a last resort."""
+"""The part of the drain time for which a leaving searcher is used if there is no other."""
 
 MAX_DRAINED_SEARCHERS = 2_000
-"""Searchers remembered as drained; days of ordinary releases."""
+"""The number of drained searchers that are remembered; ordinary releases reach it in days."""
 
 
 @dataclass(slots=True)
 class DispatchedCall:
-    """A call on its way through one connection."""
+    """A call that was assigned to a connection and has no outcome yet."""
 
     call: Call
     searcher: SearcherId
     task: SearcherTask
 
     def cancel(self) -> None:
-        """Cut the connection, so that the searcher drops the request."""
+        """Cancel the call and close its connection, so that the searcher drops the request."""
         self.task.cancel(self.call)
 
 
 class Fleet:
-    """All searchers that the platform lists; one lock guards the beliefs about them."""
+    """All searchers that the platform lists, and the gatherers; one lock guards their state.
+
+    It chooses a searcher for each call, and opens, reuses and closes the connections. The tasks of
+    the connections report what happens through the ``handle_`` methods.
+    """
 
     def __init__(
         self,
@@ -100,20 +119,21 @@
         self.hedge_delays = HedgeDelays()
 
     def apply_settings(self, settings: GatewaySettings) -> None:
-        """Take changed settings."""
+        """Apply changed settings to the present and future budgets for repeats."""
         with self.lock:
             self.settings = settings
             self.budgets.bounds = settings.repeats
             self.budgets.apply_shares(self.shares)
 
     def now(self) -> Millis:
-        """Return the gateway's clock."""
+        """Return the present time on the gateway's monotonic clock."""
         return self.clock.now()
 
     def send(self, call: Call, tried: set[SearcherId]) -> DispatchedCall | NotRun:
         """Send ``call`` to the best searcher of its service that is not in ``tried``.
 
-        Where all others are ejected, a request that failed at one is sent to one of them.
+        A retry may go to an ejected searcher if there is no other. Return why the call was not sent
+        if no searcher is usable, all connections are busy, or no task can be started.
         """
         while True:
             with self.lock:
@@ -138,22 +158,28 @@
         return DispatchedCall(call, replica.entry.id, task)
 
     def hedge_delay(self, route: Route) -> Millis:
-        """Return the age at which a send on ``route`` is repeated elsewhere."""
+        """Return the age at which a request on ``route`` is hedged."""
         with self.lock:
             return self.hedge_delays.delay(route)
 
     def allow_hedge(self, service: ServiceId) -> bool:
-        """Take one repeat from the budget, leaving the reserve of retries."""
+        """Spend one repeat from the budget of ``service``, unless only the reserve is left.
+
+        Return whether the hedge is allowed. The reserve is kept for retries.
+        """
         with self.lock:
             return self.budgets.spend(service, self.clock.now(), RETRY_RESERVE)
 
     def allow_retry(self, service: ServiceId) -> bool:
-        """Take one repeat from the budget after a send that failed."""
+        """Spend one repeat from the budget of ``service`` after an attempt that failed.
+
+        Return whether the retry is allowed.
+        """
         with self.lock:
             return self.budgets.spend(service, self.clock.now())
 
     def handle_open(self, task: SearcherTask) -> None:
-        """Take a connection that was opened ahead of its first call."""
+        """Keep a connection for later calls that was opened without one."""
         self.metrics.count("connections_opened")
         with self.lock:
             self._keep_idle(self.tasks[task], task)
@@ -161,7 +187,10 @@
     def handle_outcome(
         self, task: SearcherTask, call: Call, load: Load | None, *, reusable: bool
     ) -> None:
-        """Take the outcome of a call; its connection is idle again, or ends."""
+        """Record the outcome of a call, and the load that the searcher reported with it.
+
+        The connection becomes idle if it is ``reusable``; otherwise it is about to close.
+        """
         now = self.clock.now()
         with self.lock:
             replica = self.tasks[task]
@@ -174,7 +203,11 @@
                 self._keep_idle(replica, task)
 
     def handle_close(self, task: SearcherTask, *, connected: bool) -> None:
-        """Count out a connection."""
+        """Remove a closed connection from its searcher.
+
+        If it never connected and was opened without a call, count that as a failure of the
+        searcher. Otherwise the outcome of its call has been recorded already.
+        """
         with self.lock:
             replica = self.tasks.pop(task)
             replica.connection_count -= 1
@@ -187,7 +220,7 @@
                 self._log_ejection(replica, "", "connect")
 
     def record_violation(self, task: SearcherTask, violation: ProtocolViolation) -> None:
-        """Log and count bytes that belong to no call of their connection."""
+        """Log and count bytes that do not belong to the response to a call."""
         fields: dict[str, object] = {"searcher": task.searcher, "connection": task.number}
         match violation:
             case SkippedResponse(response_id=response_id, expected_id=expected):
@@ -205,7 +238,7 @@
         self.log.write(event, **fields)
 
     def apply_table(self, table: RouteTable) -> None:
-        """Take the services' connections and the services to keep warm from a configuration."""
+        """Apply a configuration: the connection limits, and the services searched as shards."""
         with self.lock:
             self.accepted_connections = {
                 service.id: service.connections for service in table.services.values()
@@ -218,7 +251,7 @@
         self.warm_up()
 
     def apply_shares(self, shares: GatewayShares) -> None:
-        """Share connections and repeats with the gateways that there are now."""
+        """Adapt the connection limits and budgets to the present number of gateways."""
         with self.lock:
             if shares == self.shares:
                 return
@@ -229,7 +262,10 @@
         self.warm_up()
 
     def warm_up(self) -> None:
-        """Open a connection to each searcher of a searched shard that has none."""
+        """Open a connection to each active searcher of a shard that has none.
+
+        Do nothing if the shares of this gateway say that it does not keep connections warm.
+        """
         with self.lock:
             for service in self.shard_services if self.shares.keeps_warm else ():
                 for replica in self.services.get(service, {}).values():
@@ -237,7 +273,7 @@
                         self._open_connection(replica)
 
     def apply_listing(self, entry: SearcherEntry) -> None:
-        """Take a listing as it is now."""
+        """Apply the present listing of a searcher, unless it is outdated."""
         now = self.clock.now()
         with self.lock:
             known = self.replicas.get(entry.id)
@@ -258,9 +294,10 @@
     def remove_searcher(
         self, searcher: SearcherId, why: str, usable_time: Millis | None = None
     ) -> None:
-        """Stop using a searcher whose listing is gone.
+        """Stop using a searcher whose listing was removed; ``why`` is written to the log.
 
-        It stays a last resort for ``last_resort``, by default for a part of the drain time.
+        For ``usable_time`` it is still used if there is no other; by default for a part of the
+        drain time.
         """
         with self.lock:
             replica = self.replicas.get(searcher)
@@ -268,7 +305,7 @@
                 self._start_leaving(replica, why, usable_time)
 
     def find_unlisted(self, listed: set[SearcherId]) -> set[SearcherId]:
-        """Return the searchers that are in use but not ``listed``."""
+        """Return the searchers that this gateway uses although they are not in ``listed``."""
         with self.lock:
             return {
                 searcher
@@ -277,7 +314,11 @@
             }
 
     def sweep(self) -> None:
-        """Forget searchers that left, and warm up new ones."""
+        """Do the regular maintenance of searchers and connections.
+
+        Remove searchers that left, close expired idle connections and connections with an overdue
+        call, and open connections to searchers that need one.
+        """
         now = self.clock.now()
         with self.lock:
             for replica in list(self.replicas.values()):
@@ -299,7 +340,7 @@
         if not usable and tried and call.repeat is not Repeat.HEDGE:
             usable = [replica for replica in untried if replica.state is ReplicaState.EJECTED]
         if not usable:
-            return NotRun(Reason.NO_SEARCHER, Step.ROUTE, service, f"{len(known)} known")
+            return NotRun(Reason.NO_SEARCHER, Step.ROUTE, service, f"{len(known)} searchers known")
         free = [replica for replica in usable if replica.has_capacity()]
         if not free:
             return NotRun(Reason.OVERLOAD, Step.CONNECT, service, "all connections are busy")
@@ -311,7 +352,10 @@
         return replica.state is ReplicaState.LEAVING, cost
 
     def _open_connection(self, replica: Replica, first: Call | None = None) -> SearcherTask | None:
-        """Start the task of a new connection; return ``None`` where the process has no room."""
+        """Start the task of a new connection; return ``None`` if no task can be started.
+
+        The lock is held.
+        """
         entry = replica.entry
         header_names = (
             self.peer_header_names if entry.service == PEER_SERVICE else self.header_names
@@ -328,7 +372,7 @@
         return None
 
     def _keep_idle(self, replica: Replica, task: SearcherTask) -> None:
-        """Keep an idle connection, or end it; the lock is held."""
+        """Keep an idle connection, or close it if its searcher is gone; the lock is held."""
         if replica.state is ReplicaState.GONE:
             task.close()
             return
@@ -336,7 +380,10 @@
         replica.idle.append(task)
 
     def _expire_idle(self, replica: Replica, now: Millis) -> None:
-        """Close connections before their searcher would, and renew what is in use."""
+        """Close idle connections before their searcher does; the lock is held.
+
+        Replace them if the searcher was used recently or is to be kept warm.
+        """
         for task in list(replica.idle):
             idle_timeout = (
                 DEFAULT_IDLE_TIMEOUT
@@ -354,14 +401,17 @@
             task.close()
 
     def _close_stuck(self, now: Millis) -> None:
-        """Cut connections whose call should have ended; the lock is held."""
+        """Close connections whose call is past its deadline; the lock is held."""
         for task in self.tasks:
             call = task.current_call
             if call is not None and call.started and now > call.deadline + STUCK_CALL_MARGIN:
                 task.close()
 
     def _record_outcome(self, replica: Replica, call: Call, now: Millis) -> None:
-        """Learn from one outcome; the lock is held."""
+        """Update a searcher's statistics and state from the outcome of one call.
+
+        The lock is held.
+        """
         match call.outcome:
             case Answered(status=status, latency=latency, receive_info=receive_info) if (
                 status < 500
@@ -401,7 +451,7 @@
         )
 
     def _max_connections(self, service: ServiceId) -> int:
-        """Return how many connections to each searcher of a service this gateway may have."""
+        """Return this gateway's connection limit for each searcher of a service."""
         accepted = self.accepted_connections.get(service)
         if accepted is None:
             return DEFAULT_CONNECTIONS
@@ -411,7 +461,11 @@
         return self.shares.keeps_warm and service in self.shard_services
 
     def _is_outdated(self, known: Replica | None, entry: SearcherEntry) -> bool:
-        """Tell whether a listing is of an earlier start, or of one that has begun to leave."""
+        """Return whether a listing is older than what is known of its searcher.
+
+        It is if it belongs to an earlier start of the searcher, or if the searcher is not in use
+        and has begun to drain, or had begun to drain before.
+        """
         if known is not None and entry.born < known.entry.born:
             return True
         if (
@@ -422,7 +476,7 @@
         return known is None and entry.phase is SearcherPhase.DRAINING
 
     def _is_replacement(self, known: SearcherEntry, entry: SearcherEntry) -> bool:
-        """Tell whether a listing stands for another start, address or service."""
+        """Return whether a listing has another start, address or service than the known one."""
         same = (known.born, known.address, known.service)
         return same != (entry.born, entry.address, entry.service)
 
@@ -469,7 +523,7 @@
         )
 
     def _remove(self, replica: Replica) -> None:
-        """Forget a searcher and end its connections; the lock is held."""
+        """Remove a searcher and close its idle connections; the lock is held."""
         for task in replica.idle:
             task.close()
         replica.idle.clear()
--- a/src/masticgate/process/gateway/_follower.py
+++ b/src/masticgate/process/gateway/_follower.py
@@ -1,4 +1,8 @@
-"""The one task that follows what the platform publishes."""
+"""The task that keeps a gateway up to date with the catalogue that the platform publishes.
+
+The catalogue is the configuration and the listings of the searchers. The task reads all of it once,
+and then watches for changes.
+"""
 
 from threading import Event
 
@@ -24,26 +28,46 @@
 from ._relay import CatalogueLog
 
 WATCH_TIMEOUT = Millis(1_800.0)
-"""A watch on a connection that fell silent is noticed within it and the client's margin."""
+"""How long one watch waits for changes.
+
+An unresponsive connection is noticed within this time plus the margin of the client.
+"""
 
 BATCH_INTERVAL = Millis(400.0)
-"""Between two watches, so that changes in a row cost one call; changes have 3 s to apply."""
+"""The pause after a watch that returned changes, so that the next one returns several at a time.
+
+A change has to be in force within 3 s.
+"""
 
 MAX_RECENT_TABLES = 4
-"""Other gateways may be some versions behind for a moment; their queries are served by theirs."""
+"""The number of configuration versions that are kept.
+
+Another gateway may be a few versions behind for a moment; a query that it forwards is served by the
+version that it names.
+"""
 
 INITIAL_RETRY_DELAY = Millis(100.0)
 MAX_RETRY_DELAY = Millis(1_000.0)
 MAX_RETRY_DELAY_UNREADY = Millis(300.0)
-"""Without a configuration nothing can be served, so that its return must not be missed."""
+"""The upper bound on the retry delay while there is no configuration.
+
+It is shorter than ``MAX_RETRY_DELAY``, since a gateway without a configuration serves nothing.
+"""
 
 
 RELIST_TIMEOUT = Millis(2_300.0)
-"""Listings that lapsed with the platform are back so long after its return, or gone."""
+"""How long a removed listing may take to return after the platform became available again.
+
+Listings can expire while the platform is unavailable. A searcher whose listing is still missing
+after this time is removed.
+"""
 
 
 class Follower:
-    """Keeps the route table and the fleet up to date; :meth:`run` is its task."""
+    """Keeps the route table and the fleet up to date; :meth:`run` is its task.
+
+    While the platform is unavailable, the last known state stays in force.
+    """
 
     def __init__(
         self, source: CatalogueSource, fleet: Fleet, clock: Clock, log: EventLog, metrics: Metrics
@@ -64,7 +88,7 @@
         self.held_searchers: set[SearcherId] = set()
 
     def run(self) -> None:
-        """Read everything, then follow the changes, until :meth:`stop`."""
+        """Read the whole catalogue, then apply changes, until :meth:`stop` is called."""
         while not self.stopping.is_set():
             match self.source.read():
                 case Contents() as contents:
@@ -75,15 +99,15 @@
                     self._handle_unavailable(detail)
 
     def stop(self) -> None:
-        """End after the call in progress."""
+        """Stop the task after its present call to the source."""
         self.stopping.set()
 
     def find_table(self, version: ConfigurationVersion) -> RouteTable | None:
-        """Return the configuration of that version, while it is recent."""
+        """Return the configuration of that version, if it is one of the last few."""
         return next((table for table in self.recent_tables if table.version == version), None)
 
     def age(self) -> Millis:
-        """Return the time since the platform was heard last."""
+        """Return the time since the last successful read or watch."""
         return Millis(self.clock.now() - self.last_contact_at)
 
     def _follow(self, after: Revision) -> None:
@@ -179,7 +203,11 @@
         )
 
     def _handle_unlisted(self, searcher: SearcherId, why: str) -> None:
-        """Stop using a searcher, unless its listing may only have lapsed with the platform."""
+        """Stop using a searcher whose listing was removed.
+
+        If the platform has just become available again, the listing may only have expired while it
+        was unavailable. The searcher is then kept until ``RELIST_TIMEOUT`` has passed.
+        """
         if self._has_just_recovered():
             self.held_searchers.add(searcher)
             self.log.write(LogEvent.SEARCHER_HELD, searcher=searcher, why=why)
--- a/src/masticgate/process/gateway/_gateway.py
+++ b/src/masticgate/process/gateway/_gateway.py
@@ -1,4 +1,4 @@
-"""Puts a gateway together, starts it and stops it."""
+"""The gateway process: its parts, its start, its reloads and its stop."""
 
 import os
 import threading
@@ -22,29 +22,45 @@
 from ._task_pool import TaskPool
 
 MAX_CALLERS = 1_500
-"""Connections of callers at one time; each is a task and three descriptors."""
+"""The limit on open connections of callers; each uses a task and three file descriptors."""
 
 MAX_PAGE_CALLERS = 32
+"""The limit on open connections to the readiness page, and to the metrics page."""
+
 PEER_TRANSIT_TIME = Millis(6.0)
-"""What a query handed to this gateway takes on its way here and back beside the gathering."""
+"""The time that a query forwarded by another gateway spends on its way here and back."""
 
 MAX_TASKS = 4_000
+"""The limit on the tasks of connections that run at the same time."""
+
 STACK_BYTES = 256 * 1024
+"""The stack size of each thread."""
+
 TICK_INTERVAL = Millis(500.0)
+"""The interval of the regular maintenance."""
+
 PAUSE_THRESHOLD = Millis(1_500.0)
-"""A tick that comes so late means that the process stood still."""
+"""An interval between two ticks that is longer than this means that the process was paused."""
 
 ACCEPT_GRACE_SHARE = 0.45
-"""The part of the grace for which connections are still accepted: two missed readiness checks."""
+"""The part of the grace time for which a stopping gateway still accepts connections.
+
+It is long enough for two failed readiness checks, after which no more callers connect.
+"""
 
 FINISH_GRACE_SHARE = 0.8
-"""The part of the grace after which requests in progress are no longer waited for."""
+"""The part of the grace time after which requests in progress are no longer waited for."""
 
 STOP_POLL_INTERVAL_S = 0.05
+"""The interval at which a stopping gateway checks for requests in progress."""
 
 
 class Gateway:
-    """One gateway process."""
+    """One gateway process.
+
+    A gateway accepts requests of callers and sends them to searchers, by the configuration that the
+    platform publishes.
+    """
 
     def __init__(
         self, settings: GatewaySettings, header_names: HeaderNames, source: PlatformSource
@@ -90,7 +106,7 @@
             self.listeners.append(self._listen(settings.metrics, header_names, self._metrics_page))
 
     def start(self) -> None:
-        """Start the tasks of the process."""
+        """Start the tasks that run as long as the process."""
         self.log.write(LogEvent.STARTED, domain=self.settings.domain, callers=self.settings.callers)
         tasks = [self.log.run, self.follower.run, self._tick]
         for run in (*tasks, *(listener.run for listener in self.listeners)):
@@ -98,13 +114,17 @@
         self.peers.start()
 
     def reload(self, settings: GatewaySettings) -> None:
-        """Take changed settings; addresses stay as they are."""
+        """Apply changed settings, except for the addresses to listen on."""
         self.settings = settings
         self.fleet.apply_settings(settings)
         self.log.write(LogEvent.RELOADED, grace_ms=settings.grace, drain_ms=settings.drain)
 
     def stop(self) -> None:
-        """Finish what callers have sent, then end within the grace."""
+        """Finish the requests in progress, then exit the process within the grace time.
+
+        Connections are accepted for a part of that time, while the readiness page already reports
+        that the gateway is not ready.
+        """
         started_at = self.clock.now()
         self.stopping.set()
         grace = self.settings.grace
@@ -123,7 +143,7 @@
         os._exit(0)
 
     def _wait_for_requests(self, deadline: Millis) -> None:
-        """Wait for the requests in progress; connections without one end meanwhile."""
+        """Wait for the requests in progress until ``deadline``, and close idle connections."""
         while self.clock.now() < deadline:
             if not self.callers.count(CallerState.READING, CallerState.SERVING):
                 return
@@ -184,7 +204,11 @@
         return LocalPage(200, self.metrics.render())
 
     def _tick(self) -> None:
-        """Do what is due regularly, until the process ends."""
+        """Do the regular maintenance until the process ends.
+
+        Choose who gathers queries, maintain the searchers, update the gauges, and log a change of
+        readiness or a pause of the process.
+        """
         last_tick_at = self.clock.now()
         while not self.ended.wait(TICK_INTERVAL / MILLIS_PER_SECOND):
             now = self.clock.now()
--- a/src/masticgate/process/gateway/_hedge_delays.py
+++ b/src/masticgate/process/gateway/_hedge_delays.py
@@ -1,26 +1,36 @@
-"""When a send is repeated elsewhere, from the latest latencies of its route."""
+"""The delays after which requests are hedged, derived from recent latencies.
+
+A hedge repeats a request at another searcher while the first attempt has no response yet.
+"""
 
 from ..._ids import Millis, RouteId
 from ...version.gateway import Route
 from .._latency_window import LatencyWindow
 
 HEDGE_PERCENTILE = 90.0
+"""The percentile of a route's latencies from which its hedge delay is computed."""
+
 HEDGE_MARGIN = 1.2
+"""The factor from that percentile to the hedge delay."""
+
 INITIAL_DELAY_SHARE = 0.25
-"""The hedge delay over the route's objective while no latencies are known."""
+"""The hedge delay as a share of the route's objective while no latencies are known."""
 
 MAX_DELAY_SHARE = 0.5
+"""The upper bound on the hedge delay, as a share of the route's objective."""
+
 TYPICAL_PERCENTILE = 50.0
+"""The percentile of a route's latencies to which a single latency is compared."""
 
 
 class HedgeDelays:
-    """The latencies of first sends by route; the fleet's lock guards them."""
+    """The latencies of first attempts by route; the fleet's lock guards them."""
 
     def __init__(self) -> None:
         self.windows: dict[RouteId, LatencyWindow] = {}
 
     def delay(self, route: Route) -> Millis:
-        """Return the age at which a send on ``route`` is repeated."""
+        """Return the age at which a request on ``route`` is hedged."""
         window = self.windows.get(route.id)
         usual = window.percentile(HEDGE_PERCENTILE) if window is not None else None
         if usual is None:
@@ -28,7 +38,10 @@
         return Millis(min(usual * HEDGE_MARGIN, route.objective * MAX_DELAY_SHARE))
 
     def record(self, route: RouteId, latency: Millis, now: Millis, *, first_attempt: bool) -> float:
-        """Record the latency of a first send; return it over the usual one of its route."""
+        """Return the ratio of ``latency`` to the median of its route, 1 while that is unknown.
+
+        The latency is recorded if it is that of a first attempt.
+        """
         window = self.windows.setdefault(route, LatencyWindow())
         usual = window.percentile(TYPICAL_PERCENTILE)
         if first_attempt:
@@ -36,5 +49,5 @@
         return latency / usual if usual else 1.0
 
     def retain_routes(self, routes: set[RouteId]) -> None:
-        """Forget the routes that are not in ``routes``."""
+        """Drop the latencies of all routes that are not in ``routes``."""
         self.windows = {key: kept for key, kept in self.windows.items() if key in routes}
--- a/src/masticgate/process/gateway/_log.py
+++ b/src/masticgate/process/gateway/_log.py
@@ -1,7 +1,8 @@
-"""Structured log lines on standard output: one JSON object a line.
+"""Structured log lines on standard output, one JSON object on each line.
 
-A line is queued and written by a task of its own, so that a full pipe holds up no request. The
-queue and the lines a second of each kind are bounded; what is dropped is counted in a line.
+Lines are queued, and a separate task writes them, so that a full pipe does not block requests. The
+length of the queue and the rate of lines for each event are bounded. Dropped lines are counted, and
+the counts are logged.
 """
 
 import json
@@ -18,14 +19,17 @@
 STANDARD_OUTPUT = 1
 MAX_QUEUED_LINES = 2_000
 MAX_LINES_PER_SECOND = 40
-"""Lines of one kind a second; a host on a busy day writes a tenth of it."""
+"""The number of lines for each event in one second; a busy host writes a tenth of it."""
 
 BATCH_INTERVAL_S = 0.2
+"""How long the writing task waits for more lines before it writes a batch."""
+
 RATE_WINDOW = Millis(MILLIS_PER_SECOND)
+"""The window in which the lines for each event are counted."""
 
 
 class LogEvent(Enum):
-    """What a line tells."""
+    """The event that a line reports, as written in its ``event`` field."""
 
     STARTED = "started"
     STOPPING = "stopping"
@@ -60,7 +64,7 @@
 
 
 class EventLog:
-    """Queues lines for standard output; :meth:`run` is the task that writes them."""
+    """Queues log lines; :meth:`run` is the task that writes them to ``descriptor``."""
 
     def __init__(self, host: HostId, clock: Clock, descriptor: int = STANDARD_OUTPUT) -> None:
         self.host = host
@@ -74,7 +78,7 @@
         self.stopping = False
 
     def write(self, event: LogEvent, **fields: Any) -> None:
-        """Queue one line; never blocks on the output."""
+        """Queue one line with ``fields``, or drop it if a limit is reached; never block."""
         with self.ready:
             self._roll_window()
             self.written[event] += 1
@@ -85,7 +89,7 @@
             self.queue.append(self._format_line(event, fields))
 
     def run(self) -> None:
-        """Write queued lines until :meth:`stop`."""
+        """Write queued lines until :meth:`stop` is called."""
         while True:
             with self.ready:
                 if not self.stopping:
@@ -98,12 +102,12 @@
                 return
 
     def wake(self) -> None:
-        """Let the writing task take what is queued."""
+        """Wake the writing task, so that it writes the queued lines."""
         with self.ready:
             self.ready.notify()
 
     def stop(self) -> None:
-        """Write what is queued and end."""
+        """Make the writing task write the queued lines and return."""
         with self.ready:
             self.stopping = True
             self.ready.notify()
--- a/src/masticgate/process/gateway/_metrics.py
+++ b/src/masticgate/process/gateway/_metrics.py
@@ -1,4 +1,4 @@
-"""Counters, gauges and latency histograms, as text for the metrics address."""
+"""Counters, gauges and latency histograms, and their text for the metrics address."""
 
 from bisect import bisect_left
 from collections import Counter
@@ -7,26 +7,26 @@
 from ..._ids import Millis
 
 BUCKETS_MS = (2, 5, 10, 15, 20, 30, 40, 50, 65, 80, 100, 130, 170, 250, 400, 700, 1_200, 2_500)
-"""Upper bounds; closest together around the objectives of searches."""
+"""The upper bounds of the histogram buckets, closest together around the search objectives."""
 
 PREFIX = "masticgate"
 
 
 class Histogram:
-    """Counts of latencies by bucket."""
+    """Counts of latencies by bucket, and their sum."""
 
     def __init__(self) -> None:
         self.counts = [0] * (len(BUCKETS_MS) + 1)
         self.sum = 0.0
 
     def add(self, latency: Millis) -> None:
-        """Count one latency."""
+        """Record one latency."""
         self.counts[bisect_left(BUCKETS_MS, latency)] += 1
         self.sum += latency
 
 
 class Metrics:
-    """What a gateway counted since its start."""
+    """The metrics of one gateway since its start."""
 
     def __init__(self) -> None:
         self.lock = Lock()
@@ -35,22 +35,22 @@
         self.histograms: dict[tuple[str, str], Histogram] = {}
 
     def count(self, name: str, number: int = 1) -> None:
-        """Add to a counter."""
+        """Add ``number`` to the counter ``name``."""
         with self.lock:
             self.counters[name] += number
 
     def set_gauge(self, name: str, value: float) -> None:
-        """Set a gauge."""
+        """Set the gauge ``name`` to ``value``."""
         with self.lock:
             self.gauges[name] = value
 
     def record_request(self, kind: str, outcome: str, latency: Millis) -> None:
-        """Count a request of ``kind`` that ended with ``outcome`` after ``latency``."""
+        """Record a request of ``kind`` that ended with ``outcome`` after ``latency``."""
         with self.lock:
             self.histograms.setdefault((kind, outcome), Histogram()).add(latency)
 
     def render(self) -> bytes:
-        """Return the text exposition."""
+        """Return all metrics in the Prometheus text format."""
         with self.lock:
             lines = [f"{PREFIX}_{name}_total {value}" for name, value in self.counters.items()]
             lines += [f"{PREFIX}_{name} {value:g}" for name, value in self.gauges.items()]
--- a/src/masticgate/process/gateway/_network_times.py
+++ b/src/masticgate/process/gateway/_network_times.py
@@ -1,8 +1,8 @@
-"""What the network between the callers and a gateway takes, told from the callers' patience.
+"""Estimates of the network time between callers and a gateway, from the callers' timeouts.
 
-A caller states the patience that it has left when it sends. The longest that a route sees is that
-of a caller that sent at once, over an open connection. A caller that opened its connection first
-spent a round trip on that, and states so much less.
+A caller states the remaining part of its timeout when it sends a request. The longest value on a
+route comes from a caller that sent at once, over an open connection. A caller that opened its
+connection first spent a round trip on it and states a value that is shorter by that round trip.
 """
 
 from dataclasses import dataclass
@@ -13,24 +13,27 @@
 from ...version.gateway import RouteTable
 
 INITIAL_ROUND_TRIP = Millis(6.0)
-"""The round trip while none is known: between neighbouring sites, rather long than short."""
+"""The round trip that is assumed while none is known.
+
+It is a typical round trip between neighbouring sites, and rather too long than too short.
+"""
 
 
 @dataclass(slots=True)
 class LongestTimeouts:
-    """The longest patience seen on one route, over any connection and over fresh ones."""
+    """The longest caller timeouts on one route, over any connection and over new connections."""
 
     any_connection: Millis = Millis(0.0)
     new_connection: Millis = Millis(0.0)
 
     def record(self, caller_timeout: Millis, *, on_new_connection: bool) -> None:
-        """Take the patience of one request."""
+        """Record the caller timeout of one request."""
         self.any_connection = max(self.any_connection, caller_timeout)
         if on_new_connection:
             self.new_connection = max(self.new_connection, caller_timeout)
 
     def round_trip(self) -> Millis | None:
-        """Return what opening a connection took of a caller's patience, where that was seen."""
+        """Return the time for opening a connection, or ``None`` while it is unknown."""
         return (
             Millis(self.any_connection - self.new_connection)
             if 0.0 < self.new_connection < self.any_connection
@@ -39,7 +42,7 @@
 
 
 class NetworkTimes:
-    """Estimates what the network between a caller and this gateway takes of an objective."""
+    """Estimates the part of a route's objective that passes on the network to the caller."""
 
     def __init__(self) -> None:
         self.lock = Lock()
@@ -48,7 +51,11 @@
         self.routes: dict[RouteId, LongestTimeouts] = {}
 
     def estimate(self, route: RouteId, request: Request) -> Millis:
-        """Return what opening the connection took, if it did, and the way there and back."""
+        """Return the estimated network time of one request, and record its caller timeout.
+
+        It is one round trip for the request and its response, and another one if the caller opened
+        its connection for this request.
+        """
         with self.lock:
             if request.caller_timeout is not None:
                 longest = self.routes.setdefault(route, LongestTimeouts())
@@ -59,7 +66,7 @@
             return Millis(self.round_trip_time * (2.0 if request.is_first_on_connection else 1.0))
 
     def apply_table(self, table: RouteTable) -> None:
-        """Forget the routes that a newer configuration dropped."""
+        """Drop the timeouts of routes that a newer configuration no longer contains."""
         with self.lock:
             if table.version <= self.version:
                 return
--- a/src/masticgate/process/gateway/_peers.py
+++ b/src/masticgate/process/gateway/_peers.py
@@ -1,8 +1,10 @@
-"""The gateways that gather queries for all: who they are, and whether they answer.
+"""The state of the other gateways, and the choice of the gateways that gather queries.
 
-Each gateway sends heartbeats to the few seeds of its settings, and a seed counts the gateways that
-it hears. Where a searcher's connections are too few for all gateways, the seeds gather the queries
-over many shards for the others, and keep the connections to the shards to themselves.
+To gather a query is to send it to one searcher of each of its shards and to merge the answers. Each
+gateway sends heartbeats to the seeds, which are the few gateways that its settings name. A seed
+counts the gateways from which it receives heartbeats. If a searcher accepts too few connections for
+all gateways, only the seeds connect to the searchers of shards, and they gather the queries for the
+other gateways.
 """
 
 import json
@@ -24,53 +26,73 @@
 from ._shares import GatewayShares
 
 HEARTBEAT_HOST = "heartbeat.gateway"
+"""The Host header by which a gateway recognizes a heartbeat."""
+
 HEARTBEAT_INTERVAL = Millis(500.0)
+"""The interval between heartbeats to a seed that responds."""
+
 FIRST_HEARTBEAT_DELAY = Millis(50.0)
 HEARTBEAT_RETRY_INTERVAL = Millis(250.0)
-"""Between heartbeats to a seed that does not answer, so that a start is short."""
+"""The interval between heartbeats to an unresponsive seed.
+
+It is short, so that a starting gateway soon finds the seeds.
+"""
 
 HEARTBEAT_TIMEOUTS = GetTimeouts(Millis(400.0), Millis(400.0))
 MAX_MISSED_HEARTBEATS = 2
-"""A gatherer is left after so many heartbeats without an answer, about a second."""
+"""The number of missed heartbeats after which a gatherer is no longer used, about a second."""
 
 MEMBER_TTL = Millis(5_000.0)
-"""A gateway counts as running for so long after its last heartbeat."""
+"""How long a gateway counts as running after its last heartbeat."""
 
 WARM_UP_DELAY = Millis(2_000.0)
-"""After its start a gateway waits so long for the others before it warms connections up."""
+"""How long a starting gateway waits to learn of the others before it opens connections ahead."""
 
 MIN_MEMBERS_TO_RELAY = 13
-"""From so many gateways on, the seeds read the platform for all."""
+"""The number of gateways from which on the seeds read the platform's catalogue for all others."""
 
 MIN_CONNECTIONS_TO_GATHER = 2
-"""Own connections to each searcher that a gateway needs to fan out itself: one and a hedge."""
+"""The connections to each searcher that a gateway needs to gather queries itself.
+
+One is for the first attempt, and one for a hedge.
+"""
 
 PEER_SLOTS = 64
+"""The number of queries that a gatherer is assumed to run at the same time."""
+
 PEER_ATTEMPTS = 2
+"""The number of gatherers to which one query may be sent."""
 
 
 @dataclass(frozen=True, slots=True)
 class GatherHere:
-    """This gateway fans out to the shards itself."""
+    """This gateway gathers queries over many shards itself."""
 
 
 @dataclass(frozen=True, slots=True)
 class GatherAtPeers:
-    """Queries over many shards are handed whole to a gatherer."""
+    """This gateway forwards each query over many shards to a gatherer."""
 
 
 Gathering = GatherHere | GatherAtPeers
 
 
 def choose_gathering(members: int, connections: int, *, is_seed: bool) -> Gathering:
-    """Return who gathers, from the gateways running and what one searcher accepts from all."""
+    """Return where a gateway gathers its queries.
+
+    ``members`` is the number of running gateways, and ``connections`` the number that one searcher
+    accepts from all of them together. A seed always gathers its queries itself.
+    """
     if is_seed or connections // max(1, members) >= MIN_CONNECTIONS_TO_GATHER:
         return GatherHere()
     return GatherAtPeers()
 
 
 def peer_route(route: Route) -> Route:
-    """Return how a query is handed to a gatherer: once, unless it did not run there."""
+    """Return the route by which a query of ``route`` is forwarded to a gatherer.
+
+    It is not idempotent, so that the query is forwarded again only if it did not run.
+    """
     return replace(
         route,
         id=RouteId(f"{PEER_SERVICE}/{route.id}"),
@@ -81,7 +103,12 @@
 
 
 class Peers:
-    """What this gateway knows of the others."""
+    """The state of the other gateways, as far as this gateway knows it.
+
+    ``last_heartbeats`` has the time of the last heartbeat from each gateway; only a seed receives
+    them. ``relay_domains`` has the failure domain of each seed that relays the platform's
+    catalogue. ``members`` is the number of running gateways.
+    """
 
     def __init__(
         self,
@@ -108,13 +135,13 @@
         self.gathering: Gathering = GatherHere()
 
     def start(self) -> None:
-        """Start one task for each seed but this one."""
+        """Start a heartbeat task for each seed except this gateway."""
         for seed in self.settings.seeds:
             if seed != self.settings.peers:
                 Thread(target=self._run_heartbeats, args=(seed,), daemon=True).start()
 
     def handle_heartbeat(self, request: Request) -> LocalPage:
-        """Count a heartbeat, and say how many gateways there are."""
+        """Record a heartbeat, and return this gateway's state and the number of gateways."""
         query = parse_qs(request.target.partition(b"?")[2].decode("latin-1"))
         host = HostId(query.get("host", [""])[0])
         now = self.clock.now()
@@ -138,9 +165,10 @@
         return LocalPage(200, json.dumps(reply).encode())
 
     def find_relays(self) -> list[Address]:
-        """Return the seeds to follow the platform by, those of the own domain first.
+        """Return the seeds that relay the platform's catalogue, those of the own domain first.
 
-        With few gateways each reads the platform itself, which is fresher by one hop.
+        Return none if there are few gateways: each then reads from the platform itself, which saves
+        one hop of delay.
         """
         with self.lock:
             if self.settings.is_seed or self.members < MIN_MEMBERS_TO_RELAY:
@@ -150,7 +178,7 @@
         return sorted(relay_domains, key=lambda seed: (relay_domains[seed] != own_domain, seed))
 
     def update_gathering(self) -> None:
-        """Decide who gathers, from what is known now; due regularly."""
+        """Choose where queries are gathered, and apply this gateway's shares; called regularly."""
         table = self.table()
         if table is None:
             return
@@ -178,14 +206,17 @@
         self.fleet.apply_shares(GatewayShares(members, max(1, gatherers), keeps_warm))
 
     def _knows_member_count(self) -> bool:
-        """Tell whether the number of gateways is known, or no seed is going to tell it."""
+        """Return whether the number of gateways is known, or is no longer waited for."""
         age = self.clock.now() - self.started_at
         return (
             age > WARM_UP_DELAY and (self.settings.is_seed or self.members > 1)
         ) or age > 2 * WARM_UP_DELAY
 
     def _run_heartbeats(self, seed: Address) -> None:
-        """Send heartbeats to one seed until the process ends."""
+        """Send heartbeats to one seed until the process ends.
+
+        The seed is a gatherer while its replies say that it is ready.
+        """
         client = HttpClient(seed, self.clock)
         peer = SearcherId(f"{PEER_SERVICE}/{seed}")
         misses = MAX_MISSED_HEARTBEATS
@@ -214,7 +245,7 @@
                 self.fleet.remove_searcher(peer, "no heartbeat")
 
     def _exchange_heartbeat(self, client: HttpClient) -> dict[str, object] | None:
-        """Exchange one heartbeat; return ``None`` where no answer came."""
+        """Send one heartbeat; return the decoded reply, or ``None`` if there is no valid one."""
         query = {"host": self.settings.host}
         response = client.get(HEARTBEAT_HOST, "/", query, HEARTBEAT_TIMEOUTS)
         if not isinstance(response, HttpResponse):
@@ -238,7 +269,7 @@
 
 
 def _gatherer_entry(peer: SearcherId, seed: Address, reply: dict[str, object]) -> SearcherEntry:
-    """Return a gatherer in the form in which the fleet holds searchers."""
+    """Return a listing for a gatherer, so that the fleet can treat it as a searcher."""
     domain = FailureDomainId(str(reply.get("domain")))
     phase = SearcherPhase.READY
     return SearcherEntry(peer, PEER_SERVICE, seed, domain, PEER_SLOTS, phase, Millis(0.0), 0)
--- a/src/masticgate/process/gateway/_relay.py
+++ b/src/masticgate/process/gateway/_relay.py
@@ -1,4 +1,7 @@
-"""Passes on what the platform publishes, so that few gateways have to read it."""
+"""Relays the platform's catalogue between gateways, so that only few of them read the platform.
+
+A seed keeps the catalogue and its latest changes, and serves them to the other gateways over HTTP.
+"""
 
 import json
 import random
@@ -35,32 +38,44 @@
 from ._log import EventLog, LogEvent
 
 CATALOGUE_HOST = "catalogue.gateway"
+"""The Host header by which a relay recognizes a read or a watch of the catalogue."""
+
 MAX_CHANGES = 2_000
-"""Changes kept for those that follow; who is further behind reads everything."""
+"""The number of changes that a relay keeps; a gateway that is further behind reads everything."""
 
 MAX_WATCH_WAIT = Millis(5_000.0)
+"""The upper bound on the wait that a watch may request."""
+
 MAX_PLATFORM_AGE = Millis(2_600.0)
-"""A relay that has not heard the platform for so long passes nothing on any more."""
+"""A relay serves nothing once its last successful read or watch is older than this."""
 
 RELAY_RETRY_INTERVAL = Millis(3_000.0)
-"""After reading the platform itself, a gateway looks for a relay again so much later."""
+"""How long a gateway watches the platform itself before it switches to a relay again."""
 
 READ_TIMEOUT = Millis(1_000.0)
 WATCH_MARGIN = Millis(500.0)
+"""How much longer than its wait a watch may take."""
+
 CONNECT_TIMEOUT = Millis(300.0)
 START_ATTEMPTS = 2
+"""How often a starting gateway waits for a relay before it reads from the platform."""
+
 RELAY_WAIT_S = 0.4
-"""A starting gateway gives the seeds so long in each try to say whether they relay."""
+"""How long a starting gateway waits in each attempt to learn which seeds relay."""
 
 RELAY_POLL_INTERVAL_S = 0.1
 MANY_SERVICES = 100
-"""Below it, a starting gateway reads the platform at once: that is a call or a few."""
+"""With fewer services, a starting gateway reads from the platform at once, in a few calls."""
 
 HTTP_GONE = 410
 
 
 class CatalogueLog:
-    """The published state and its latest changes, as JSON values, for gateways that follow."""
+    """The published catalogue and its latest changes, as JSON values for other gateways.
+
+    ``number`` counts the changes since the start of this gateway, and ``epoch`` identifies that
+    start. ``age`` returns the time since the last successful read or watch.
+    """
 
     def __init__(self, age: Callable[[], Millis]) -> None:
         self.age = age
@@ -71,7 +86,7 @@
         self.changes: deque[tuple[int, object]] = deque(maxlen=MAX_CHANGES)
 
     def add(self, change: Change) -> None:
-        """Take one change of the platform's."""
+        """Apply one published change, and wake the watches that wait for it."""
         value = encode_change(change)
         with self.changed:
             match change:
@@ -86,16 +101,19 @@
             self.changed.notify_all()
 
     def handle_request(self, request: Request) -> LocalPage:
-        """Answer a read, or a watch once something changed or its wait is over."""
+        """Return the reply to a read or a watch.
+
+        A watch blocks until there is a change or its wait is over.
+        """
         query = parse_qs(request.target.partition(b"?")[2].decode("latin-1"))
         after = query.get("after", [""])[0]
         if self.age() > MAX_PLATFORM_AGE:
-            return LocalPage(503, b"the platform was not heard")
+            return LocalPage(503, b"the platform is unavailable")
         if not after.isdigit():
             return self._reply_with_contents()
         wait = query.get("wait", ["0"])[0]
         if query.get("epoch", [""])[0] != self.epoch or not wait.isdigit():
-            return LocalPage(HTTP_GONE, b"another start of this gateway")
+            return LocalPage(HTTP_GONE, b"this gateway has restarted")
         return self._reply_with_changes(int(after), min(MAX_WATCH_WAIT, Millis(float(wait))))
 
     def _reply_with_contents(self) -> LocalPage:
@@ -110,9 +128,9 @@
             while self.number <= after and (remaining := deadline - monotonic()) > 0:
                 self.changed.wait(remaining)
             if self.age() > MAX_PLATFORM_AGE:
-                return LocalPage(503, b"the platform was not heard")
+                return LocalPage(503, b"the platform is unavailable")
             if self.changes and after + 1 < self.changes[0][0]:
-                return LocalPage(HTTP_GONE, b"the changes are no longer known")
+                return LocalPage(HTTP_GONE, b"the changes are no longer available")
             return self._encode([value for number, value in self.changes if number > after])
 
     def _encode(self, changes: list[object]) -> LocalPage:
@@ -121,7 +139,7 @@
 
 
 class RelayedSource:
-    """Reads from a gateway that relays while there is one, and from the platform otherwise.
+    """Reads the catalogue from a relay while there is one, and from the platform otherwise.
 
     ``relays`` returns the addresses of the gateways that relay now, the preferred one first.
     """
@@ -145,7 +163,7 @@
         self.relay_retry_at = Millis(0.0)
 
     def read(self) -> Contents | Unavailable:
-        """Read everything from the first relay that answers, or from the platform."""
+        """Return the whole catalogue from the first relay that responds, or from the platform."""
         self._wait_for_relays()
         for address in self.relays():
             self._close_client()
@@ -161,7 +179,11 @@
         return self.platform.read()
 
     def watch(self, after: Revision, wait: Millis) -> Changes | HistoryGone | Unavailable:
-        """Wait for changes; a relay that fails or is no longer one is left for another."""
+        """Wait at most ``wait`` for changes after the revision ``after``, and return them.
+
+        If the relay fails or no longer relays, or if a relay can replace the platform, return
+        :class:`HistoryGone`, so that the caller reads everything from another source.
+        """
         if self.client is None:
             if self.relays() and self.clock.now() >= self.relay_retry_at:
                 return HistoryGone()
@@ -175,9 +197,9 @@
         return HistoryGone()
 
     def _wait_for_relays(self) -> None:
-        """Give the relays a moment after the start, where reading everything may take many calls.
+        """Wait for a relay after the start if a read from the platform may take many calls.
 
-        Whether it does is not known until the configuration is there.
+        That depends on the number of services, which the configuration states.
         """
         attempts = 0 if self.startup_wait_over else START_ATTEMPTS
         self.startup_wait_over = True
@@ -200,7 +222,7 @@
         self.client = None
 
     def _get(self, query: dict[str, object], timeout: Millis) -> CatalogueUpdate | Unavailable:
-        """Return what the relay told, or why it tells nothing."""
+        """Return the update that the relay sent, or why it sent none."""
         assert self.client is not None
         timeouts = GetTimeouts(CONNECT_TIMEOUT, timeout)
         response = self.client.get(CATALOGUE_HOST, "/", query, timeouts)
--- a/src/masticgate/process/gateway/_repeat_budgets.py
+++ b/src/masticgate/process/gateway/_repeat_budgets.py
@@ -1,4 +1,4 @@
-"""What this gateway may repeat of each service."""
+"""The budgets that bound this gateway's hedges and retries for each service."""
 
 from ..._ids import Millis, ServiceId
 from ._catalogue import PEER_SERVICE
@@ -8,7 +8,10 @@
 
 
 class RepeatBudgets:
-    """One window of repeats for each service; the fleet's lock guards them."""
+    """One sliding window of requests and repeats for each service.
+
+    A repeat is a hedge or a retry. The fleet's lock guards the windows.
+    """
 
     def __init__(self, bounds: RepeatBounds, shares: GatewayShares, started_at: Millis) -> None:
         self.bounds = bounds
@@ -18,7 +21,7 @@
         self.windows: dict[ServiceId, RepeatWindow] = {}
 
     def window(self, service: ServiceId) -> RepeatWindow:
-        """Return the window of one service."""
+        """Return the window of one service, and create it if there is none."""
         window = self.windows.get(service)
         if window is None:
             ratio, slack = self._limits_of(service)
@@ -27,21 +30,21 @@
         return window
 
     def record_request(self, service: ServiceId, now: Millis) -> None:
-        """Count the first send of a request."""
+        """Record the first attempt of a request."""
         self.window(service).record_request(now)
 
     def spend(self, service: ServiceId, now: Millis, reserve: float = 0.0) -> bool:
-        """Count one repeat; return ``False`` where that would leave less than ``reserve``."""
+        """Spend one repeat; return ``False`` if less than ``reserve`` would remain."""
         return self.window(service).spend(now, reserve)
 
     def apply_shares(self, shares: GatewayShares) -> None:
-        """Share the repeats with the gateways that there are now."""
+        """Adapt the windows to this gateway's present share of the repeats of all gateways."""
         self.shares = shares
         for service, window in self.windows.items():
             window.ratio, window.slack = self._limits_of(service)
 
     def _limits_of(self, service: ServiceId) -> tuple[float, float]:
-        """Return this gateway's ratio and slack of what all may repeat of one service."""
+        """Return the ratio and slack that bound this gateway's repeats for one service."""
         if service == PEER_SERVICE:
             return self.shares.peer_repeat_limits(self.bounds)
         return self.shares.repeat_limits(self.bounds, shard=service in self.shard_services)
--- a/src/masticgate/process/gateway/_repeat_window.py
+++ b/src/masticgate/process/gateway/_repeat_window.py
@@ -1,4 +1,4 @@
-"""What one gateway may repeat of one service: a sliding window of sends."""
+"""A sliding window that bounds one gateway's hedges and retries for one service."""
 
 from collections import deque
 
@@ -6,14 +6,15 @@
 from ._settings import RepeatBounds
 
 BUCKETS_PER_WINDOW = 10
-"""The window's requests are counted in so many parts."""
+"""The number of buckets into which the requests of one window are counted."""
 
 
 class RepeatWindow:
     """Counts the requests and the repeats of the last window; the fleet's lock guards it.
 
-    ``slack`` is this gateway's share. A gateway that has just started does not know what it
-    repeated before, so its slack grows from nothing over the first window.
+    A repeat is a hedge or a retry. At most ``ratio`` of the requests plus ``slack`` may be
+    repeated; both are this gateway's share. A gateway that has just started does not know what it
+    repeated before, so its slack grows from zero over the first window.
     """
 
     def __init__(
@@ -27,7 +28,7 @@
         self.requests: deque[tuple[int, int]] = deque()
 
     def record_request(self, now: Millis) -> None:
-        """Count the first send of a request."""
+        """Record the first attempt of a request."""
         bucket = self._bucket(now)
         if self.requests and self.requests[-1][0] == bucket:
             self.requests[-1] = (bucket, self.requests[-1][1] + 1)
@@ -36,7 +37,7 @@
             self.requests.append((bucket, 1))
 
     def spend(self, now: Millis, reserve: float) -> bool:
-        """Count one repeat; return ``False`` where that would leave less than ``reserve``."""
+        """Spend one repeat; return ``False`` if less than ``reserve`` would remain."""
         self._expire(now)
         if len(self.repeats) + 1 + reserve > self._max_repeats(now):
             return False
--- a/src/masticgate/process/gateway/_replica.py
+++ b/src/masticgate/process/gateway/_replica.py
@@ -1,4 +1,4 @@
-"""What a gateway believes of one searcher."""
+"""The state of one searcher as one gateway sees it, and its cost in the choice of a searcher."""
 
 from enum import Enum
 
@@ -7,32 +7,53 @@
 from ._catalogue import SearcherEntry
 
 FAILURES_TO_EJECT = 2
+"""The number of consecutive failures after which a searcher is ejected."""
+
 INITIAL_EJECTION_TIME = Millis(500.0)
+"""The duration of the first ejection; each further one without a success lasts twice as long."""
+
 MAX_EJECTION_TIME = Millis(4_000.0)
 LATENCY_RATIO_WEIGHT = 0.15
+"""The weight of the latest answer in the smoothed latency ratio."""
+
 MAX_LATENCY_RATIO = 4.0
-"""A later answer counts no more, so that a single pause does not divert what follows."""
+"""The bound on the ratio of one answer, so that a single pause does not divert later requests."""
 
 LATENCY_RATIO_TTL = Millis(2_000.0)
-"""The slowness of an idle searcher counts as unknown once its last answer is older."""
+"""How long the latency ratio of an idle searcher counts after its last answer.
+
+After that, a ratio over 1 is no longer held against it.
+"""
 
 FAILURE_RATE_WEIGHT = 0.2
+"""The weight of the latest attempt in the smoothed failure rate."""
+
 FAILURE_RATE_HALF_LIFE = Millis(3_000.0)
-"""The share of refused and failed sends halves in each such time without a send."""
+"""The time in which the failure rate halves while the searcher is sent no requests."""
 
 MIN_FAILURE_RATE = 0.001
+"""A lower failure rate counts as zero."""
+
 FAILURE_COST = 4.0
-"""What a send that fails costs over one that succeeds: a repeat, and a part of the budget."""
+"""The cost of a failed attempt relative to a successful one.
+
+A failed attempt costs a repeat and a part of the budget for repeats.
+"""
 
 LOAD_REPORT_TTL = Millis(300.0)
-"""A searcher's own report of its load is ignored once it is older."""
+"""How long the load that a searcher reports is taken into account."""
 
 COLD_START_FACTOR = 1.6
-"""How much slower a searcher is expected to be right after its start."""
+"""The factor by which a searcher is expected to be slower right after its start."""
 
 
 class ReplicaState(Enum):
-    """How a gateway treats a searcher."""
+    """How a gateway treats a searcher.
+
+    An ``ACTIVE`` searcher is sent requests. An ``EJECTED`` one failed repeatedly; once
+    its ejection time is over, it is sent one request at a time as a probe. A ``LEAVING`` one is
+    used only if there is no other, and a ``GONE`` one is sent nothing.
+    """
 
     ACTIVE = "active"
     EJECTED = "ejected"
@@ -43,8 +64,10 @@
 class Replica:
     """One searcher and the connections to it; the fleet's lock guards it.
 
-    ``slowness`` is its latency over the usual latency of the same route, and ``trouble`` the
-    share of its sends that were refused or failed, both smoothed.
+    ``latency_ratio`` is its latency relative to the usual latency of the same route, and
+    ``failure_rate`` is the share of its attempts that were refused or failed; both are smoothed.
+    ``other_requests`` is the number of requests of other callers at the searcher, by its own
+    report.
     """
 
     def __init__(self, entry: SearcherEntry, max_connections: int, now: Millis) -> None:
@@ -68,7 +91,7 @@
         self.usable_until = Millis(0.0)
 
     def is_usable(self, now: Millis) -> bool:
-        """Tell whether it may be sent a request now."""
+        """Return whether the searcher may be sent a request now."""
         match self.state:
             case ReplicaState.ACTIVE:
                 return True
@@ -80,11 +103,14 @@
                 return False
 
     def has_capacity(self) -> bool:
-        """Tell whether a connection is idle or may be opened."""
+        """Return whether a connection is idle or another one may be opened."""
         return bool(self.idle) or self.connection_count < self.max_connections
 
     def cost(self, now: Millis) -> float:
-        """Return what orders the choice among searchers, the lowest first."""
+        """Return the cost of a request at this searcher; the lowest cost is preferred.
+
+        It grows with the searcher's latency, its load and its failure rate.
+        """
         latency_ratio = self.latency_ratio
         if self.in_flight == 0 and now - self.latency_ratio_updated_at > LATENCY_RATIO_TTL:
             latency_ratio = min(latency_ratio, 1.0)
@@ -95,7 +121,7 @@
         return latency_ratio * (1.0 + load_per_slot) + FAILURE_COST * self.current_failure_rate(now)
 
     def current_failure_rate(self, now: Millis) -> float:
-        """Return the share of failed sends, less the time since it was last observed."""
+        """Return the failure rate, decayed by the time since its last update."""
         if self.failure_rate < MIN_FAILURE_RATE:
             return 0.0
         return float(
@@ -104,7 +130,7 @@
         )
 
     def raise_failure_rate(self, now: Millis) -> None:
-        """Count a send that was refused or failed."""
+        """Record an attempt that was refused or failed."""
         self._update_failure_rate(1.0, now)
 
     def _update_failure_rate(self, failed: float, now: Millis) -> None:
@@ -113,7 +139,10 @@
         self.failure_rate_updated_at = now
 
     def record_success(self, ratio: float, now: Millis) -> bool:
-        """Count an answer; return ``True`` where it ends an ejection."""
+        """Record an answer; return ``True`` if it ends an ejection.
+
+        ``ratio`` is its latency relative to the usual latency of the route.
+        """
         self.consecutive_failures = 0
         self._update_failure_rate(0.0, now)
         self.latency_ratio += LATENCY_RATIO_WEIGHT * (
@@ -127,7 +156,7 @@
         return True
 
     def record_failure(self, now: Millis) -> bool:
-        """Count a failure; return ``True`` where it ejects the searcher."""
+        """Record a failure; return ``True`` if it ejects the searcher."""
         self.consecutive_failures += 1
         self.raise_failure_rate(now)
         if self.state is ReplicaState.ACTIVE and self.consecutive_failures < FAILURES_TO_EJECT:
@@ -140,13 +169,13 @@
         return True
 
     def start_leaving(self, usable_until: Millis) -> None:
-        """Prefer any other searcher from now on, and send it nothing after ``usable_until``."""
+        """Prefer any other searcher from now on, and send nothing after ``usable_until``."""
         if self.state not in (ReplicaState.LEAVING, ReplicaState.GONE):
             self.state = ReplicaState.LEAVING
             self.usable_until = usable_until
 
     def restore(self) -> None:
-        """Use it again: its listing was missing only for a while."""
+        """Make the searcher active again, since its listing was missing only for a while."""
         if self.state in (ReplicaState.LEAVING, ReplicaState.GONE):
             self.state = ReplicaState.ACTIVE
             self.consecutive_failures = 0
--- a/src/masticgate/process/gateway/_service.py
+++ b/src/masticgate/process/gateway/_service.py
@@ -1,4 +1,4 @@
-"""Serves one caller's request by its route."""
+"""Serves the requests of callers, and of other gateways, by their routes."""
 
 import random
 from collections.abc import Callable
@@ -30,21 +30,29 @@
 from ._relay import CATALOGUE_HOST, CatalogueLog
 
 NO_CONFIGURATION_RETRY_AFTER = Millis(300.0)
-"""A gateway that starts has read the configuration by then."""
+"""The time after which a starting gateway has usually read the configuration."""
 
 LOG_SAMPLE_INTERVAL = 16
-"""One of so many whole answers in time has a log line."""
+"""One in this many ordinary requests is logged.
+
+An ordinary request has a whole answer that was sent within the objective and received regularly.
+"""
 
 
 class WeightedRoundRobin:
-    """Shares out the requests of split routes smoothly, by weight."""
+    """Distributes the requests of a route among services by smooth weighted round robin.
+
+    ``credits`` has, for each route and configuration version, the credit of each service: every
+    request adds the weights, and the service with the highest credit pays the sum of the weights.
+    The credits start at random values, so that not every gateway starts with the same service.
+    """
 
     def __init__(self) -> None:
         self.random = random.Random()
         self.credits: dict[tuple[ConfigurationVersion, RouteId], dict[ServiceId, float]] = {}
 
     def next(self, version: ConfigurationVersion, route: RouteId, split: Split) -> ServiceId:
-        """Return the service whose turn it is."""
+        """Return the service for the next request of ``route``."""
         key = (version, route)
         credit = self.credits.get(key)
         if credit is None:
@@ -62,14 +70,17 @@
 
 @dataclass(frozen=True, slots=True)
 class GatewayView:
-    """What a request was decided on; ``age`` is the time since the platform was heard."""
+    """The state by which a request is served.
+
+    ``age`` is the time since the last successful read of the platform's catalogue.
+    """
 
     table: RouteTable | None
     age: Millis
 
 
 class GatewayService:
-    """Finds the route of each request and runs it."""
+    """Finds the route of each request, runs the request by it, and records the result."""
 
     def __init__(
         self,
@@ -93,7 +104,7 @@
         self.ordinary_reply_count = 0
 
     def handle(self, request: Request, inbox: Inbox) -> Reply:
-        """Answer one request."""
+        """Return the reply to one request of a caller."""
         view = self.view()
         route = self._find_route(request, view.table)
         if isinstance(route, Refused):
@@ -107,7 +118,11 @@
         return reply
 
     def handle_peer(self, request: Request, inbox: Inbox) -> Reply:
-        """Answer another gateway: a heartbeat, or a query to gather by the version it names."""
+        """Return the reply to a request of another gateway.
+
+        It is a heartbeat, a read or watch of the catalogue, or a query to gather by the
+        configuration version that it names.
+        """
         if request.host == HEARTBEAT_HOST:
             return self.peers.handle_heartbeat(request)
         if request.host == CATALOGUE_HOST:
@@ -128,7 +143,7 @@
 
     def _find_route(self, request: Request, table: RouteTable | None) -> Route | Refused:
         if not request.id:
-            failure = NotRun(Reason.BAD_REQUEST, Step.READ, detail="a request id is needed")
+            failure = NotRun(Reason.BAD_REQUEST, Step.READ, detail="the request id is missing")
             return Refused(400, failure)
         if table is None:
             failure = NotRun(Reason.NO_CONFIGURATION, Step.ROUTE)
@@ -152,7 +167,10 @@
     def _gather(
         self, request: Request, table: RouteTable, route: Route, shards: Shards, inbox: Inbox
     ) -> Reply:
-        """Gather here or at a peer; here too where no peer began to gather."""
+        """Gather the query here or at a peer; also here if no peer began to gather it.
+
+        If a peer was lost while it gathered, the query is gathered again here within the budget.
+        """
         match self.peers.gathering:
             case GatherHere():
                 return run_gather(request, route, shards, self.fleet, inbox)
@@ -175,14 +193,14 @@
         return run_gather(request, route, shards, self.fleet, inbox)
 
     def _read_peer_answer(self, answer: Answered) -> Reply:
-        """Return a gatherer's answer as this gateway's own."""
+        """Return the reply to the caller for a gatherer's answer."""
         match answer.is_success, parse_missing_shards(answer):
             case True, int(missing):
                 stamps = tuple(answer.stamp.split(", "))
                 gatherer = (f"gathered by {answer.searcher}, {answer.receive_info}",)
                 return Merged(stamps, missing, answer.body, gatherer)
             case True, None:
-                status, detail = 502, "no number of missing shards"
+                status, detail = 502, "the number of missing shards is not stated"
             case _:
                 status, detail = answer.status, answer.body.decode("utf-8", "replace")
         return Failed(status, Unknown(Reason.COVERAGE, Step.FORWARD, answer.searcher, detail))
@@ -190,7 +208,10 @@
     def _record_result(
         self, request: Request, view: GatewayView, route: Route | Refused, reply: Reply
     ) -> None:
-        """Count the request, and log it unless it is one of many ordinary ones."""
+        """Record the request in the metrics, and log it.
+
+        Only a sample of the ordinary requests is logged.
+        """
         duration = Millis(self.fleet.now() - request.arrived_at)
         outcome, detail = _describe_reply(reply)
         kind = "none" if isinstance(route, Refused) else f"rank{route.rank}"
@@ -217,7 +238,11 @@
 
 
 def _refusal_as_unknown(reply: Reply) -> Reply:
-    """Return the reply to a query of which another gateway may have sent parts already."""
+    """Return ``reply``, with a refusal turned into a failure with an unknown outcome.
+
+    A lost gatherer may have sent parts of the query already, so that the reply must not state that
+    the query did not run.
+    """
     match reply:
         case Refused(failure=failure):
             unknown = Unknown(failure.reason, failure.step, failure.peer, failure.detail)
@@ -227,7 +252,10 @@
 
 
 def _is_ordinary(reply: Reply) -> bool:
-    """Tell whether every answer in the reply said where it ends, and came alone."""
+    """Return whether every answer in the reply stated where it ends and came alone.
+
+    An answer came alone if no answers to other requests preceded it on its connection.
+    """
     match reply:
         case Relayed(answer=answer):
             return answer.receive_info.is_regular
@@ -238,7 +266,7 @@
 
 
 def _describe_reply(reply: Reply) -> tuple[str, str]:
-    """Return the outcome's name and why it came to that."""
+    """Return the name of the reply's outcome, and its details for the log."""
     match reply:
         case Merged(missing=0, missing_causes=missing_causes, irregular_parts=irregular_parts):
             return "whole", "; ".join((*missing_causes, *irregular_parts))
--- a/src/masticgate/process/gateway/_settings.py
+++ b/src/masticgate/process/gateway/_settings.py
@@ -1,4 +1,4 @@
-"""The settings of a gateway process."""
+"""The settings of a gateway process, independent of the file that holds them."""
 
 from dataclasses import dataclass
 
@@ -7,9 +7,9 @@
 
 @dataclass(frozen=True, slots=True)
 class RepeatBounds:
-    """What all gateways together may send beyond the first send of each request, a service.
+    """The bound on the hedges and retries of all gateways together, for each service.
 
-    In each ``window``, at most ``ratio`` of the requests plus ``slack``.
+    In each ``window``, at most ``ratio`` of the requests plus ``slack`` may be repeated.
     """
 
     ratio: float
@@ -19,11 +19,13 @@
 
 @dataclass(frozen=True, slots=True)
 class GatewaySettings:
-    """Where one gateway listens and what bounds it.
+    """The addresses, the failure domain and the time limits of one gateway.
 
-    ``grace`` is the time from the request to stop until the process is killed; ``drain`` is how
-    long a searcher that leaves may still be sent requests. ``seeds`` are the ``peers`` addresses
-    of a few gateways, which may be stale.
+    ``callers``, ``readiness``, ``metrics`` and ``peers`` are the addresses to listen on, the last
+    one for other gateways. ``seeds`` are the ``peers`` addresses of a few gateways; some may be out
+    of date. ``catalogue`` is the address of the platform's store. ``grace`` is the time from the
+    request to stop until the process is killed, and ``drain`` how long a leaving searcher may still
+    be sent requests.
     """
 
     host: HostId
@@ -40,5 +42,5 @@
 
     @property
     def is_seed(self) -> bool:
-        """Tell whether this gateway gathers queries and reads the platform for others."""
+        """Return whether this gateway gathers queries and reads the platform for others."""
         return self.peers is not None and self.peers in self.seeds
--- a/src/masticgate/process/gateway/_shares.py
+++ b/src/masticgate/process/gateway/_shares.py
@@ -1,41 +1,55 @@
-"""What one gateway may have of what all gateways share."""
+"""One gateway's share of the connections and repeats that are bounded for all gateways together."""
 
 from dataclasses import dataclass
 
 from ._settings import RepeatBounds
 
 MIN_ASSUMED_GATEWAYS = 8
-"""Gateways that are taken to share at least, since some may not be known yet."""
+"""The lowest number of gateways that is assumed to share, since some may not be known yet."""
 
 RATIO_MARGIN = 0.85
-"""The part of the allowed ratio of repeats that is spent, since windows slide."""
+"""The part of the allowed ratio of repeats that is used.
+
+The rest is a margin, since the bound holds for a sliding window.
+"""
 
 SLACK_MARGIN = 0.8
+"""The part of the allowed slack that is used."""
+
 PEER_REPEAT_SHARE = 0.1
-"""The part of the repeats that goes to queries whose gatherer was lost on the way."""
+"""The part of the allowed ratio for queries that are repeated because their gatherer was lost."""
 
 PEER_REPEAT_SLACK = 1.0
+"""The number of such queries that may be repeated in a window beside the ratio."""
 
 
 @dataclass(frozen=True, slots=True)
 class GatewayShares:
-    """How many gateways there are, how many gather queries, and whether this one does."""
+    """The numbers that determine one gateway's share.
+
+    ``gateways`` is the number of running gateways and ``gatherers`` the number of those that gather
+    queries over many shards. ``keeps_warm`` is whether this gateway keeps a connection open to each
+    searcher of a shard.
+    """
 
     gateways: int
     gatherers: int
     keeps_warm: bool
 
     def max_connections(self, accepted: int, *, shard: bool) -> int:
-        """Return this gateway's part of the connections that one searcher accepts."""
+        """Return this gateway's share of the connections that one searcher accepts.
+
+        ``shard`` is whether the searcher serves a shard; then only gatherers connect to it.
+        """
         return max(1, accepted // self._gateway_count(shard))
 
     def repeat_limits(self, bounds: RepeatBounds, *, shard: bool) -> tuple[float, float]:
-        """Return this gateway's ratio and slack of the repeats of one service."""
+        """Return the ratio and slack that bound this gateway's repeats for one service."""
         slack = bounds.slack * SLACK_MARGIN / self._gateway_count(shard)
         return bounds.ratio * RATIO_MARGIN, slack
 
     def peer_repeat_limits(self, bounds: RepeatBounds) -> tuple[float, float]:
-        """Return this gateway's ratio and slack of queries that are gathered again."""
+        """Return the ratio and slack that bound the queries that are gathered again."""
         return bounds.ratio * PEER_REPEAT_SHARE, PEER_REPEAT_SLACK
 
     def _gateway_count(self, shard: bool) -> int:
--- a/src/masticgate/process/gateway/_task_pool.py
+++ b/src/masticgate/process/gateway/_task_pool.py
@@ -1,4 +1,4 @@
-"""Runs the tasks of connections, each in a thread of its own."""
+"""A bounded pool of threads for the tasks of connections, one thread for each task."""
 
 import traceback
 from collections.abc import Callable
@@ -14,7 +14,7 @@
 
 
 class TaskState(Enum):
-    """How far a task has come."""
+    """The state of a task between its submission and its end."""
 
     QUEUED = "queued"
     BEGUN = "begun"
@@ -22,7 +22,7 @@
 
 
 class Task:
-    """One task; it begins or is refused, never both."""
+    """One submitted task; it either begins or is refused, and never both."""
 
     def __init__(self, call: Callable[[], None]) -> None:
         self.call = call
@@ -38,7 +38,7 @@
         self.call()
 
     def refuse(self) -> bool:
-        """Keep the task from running; return ``False`` where it has begun."""
+        """Prevent the task from running; return ``False`` if it has already begun."""
         with self.lock:
             if self.state is TaskState.BEGUN:
                 return False
@@ -49,9 +49,9 @@
 class TaskPool:
     """Starts each task at once or refuses it for good.
 
-    ``ThreadPoolExecutor.submit`` keeps a task in its queue though it raises, and takes one of its
-    busy threads for an idle one from then on. So threads that could not be joined by another are
-    given up to their present tasks, and new tasks go to other threads.
+    If ``ThreadPoolExecutor.submit`` cannot start a thread, it raises, but keeps the task in its
+    queue, and from then on counts one of its busy threads as idle. Such an executor is therefore
+    left to finish its present tasks, and new tasks go to a new executor.
     """
 
     def __init__(self, max_tasks: int, log: EventLog, metrics: Metrics) -> None:
@@ -63,7 +63,7 @@
         self.executor = self._make_executor()
 
     def start(self, run: Callable[..., None], *args: Any) -> TaskRefused | None:
-        """Start a task at once, or refuse it for good."""
+        """Start ``run`` with ``args`` at once, or return why it is refused for good."""
         task = Task(lambda: self._run(run, args))
         with self.lock:
             if self.running >= self.max_tasks:
@@ -80,7 +80,7 @@
         return None
 
     def close(self) -> None:
-        """Refuse tasks from now on; the present ones run to their ends."""
+        """Refuse all further tasks; the present ones run to completion."""
         with self.lock:
             self.max_tasks = 0
             self.executor.shutdown(wait=False)
@@ -95,7 +95,7 @@
                 self.running -= 1
 
     def _record_failure(self, run: Callable[..., None], error: Exception) -> None:
-        """Log an error that would stay in a future that nobody asks."""
+        """Log an error that would otherwise stay unseen, since nobody reads the task's future."""
         self.metrics.count("tasks_failed")
         frame = traceback.extract_tb(error.__traceback__)[-1]
         self.log.write(
@@ -106,5 +106,5 @@
         )
 
     def _make_executor(self) -> ThreadPoolExecutor:
-        """Return threads enough for all tasks beside those that just ended theirs."""
+        """Return an executor with threads for all tasks and for as many that are just ending."""
         return ThreadPoolExecutor(2 * self.max_tasks)
