--- a/src/masticgate/connection/_platform.py
+++ b/src/masticgate/connection/_platform.py
@@ -13,13 +13,13 @@
 READ_TIMEOUT = Millis(1000.0)
 
 
-class _ValueText(BaseModel):
+class _ValueBody(BaseModel):
     model_config = ConfigDict(extra="ignore")
     revision: int = Field(ge=0, lt=2**63)
     value: str
 
 
-class _HostText(BaseModel):
+class _HostItem(BaseModel):
     model_config = ConfigDict(extra="ignore")
     host: Name
     address: AddressText
@@ -27,9 +27,9 @@
     leaving: bool = False
 
 
-class _HostsText(BaseModel):
+class _HostsBody(BaseModel):
     model_config = ConfigDict(extra="ignore")
-    hosts: list[_HostText] = Field(max_length=10_000)
+    hosts: list[_HostItem] = Field(max_length=10_000)
 
 
 @dataclass(frozen=True, slots=True)
@@ -76,9 +76,9 @@
         """Return the host list."""
         reply = self.hosts.get("/v1/hosts", READ_TIMEOUT)
         if not isinstance(reply, HttpReply) or reply.status != 200:
-            return self._failure(reply)
+            return self._make_failure(reply)
         try:
-            listed = _HostsText.model_validate_json(reply.body)
+            listed = _HostsBody.model_validate_json(reply.body)
         except ValidationError:
             return Unknown(Reason.BAD_REQUEST, Step.READ, self.hosts.address, "unreadable list")
         return tuple(
@@ -114,12 +114,12 @@
         if isinstance(reply, HttpReply) and reply.status in (204, 304):
             return Unchanged()
         if not isinstance(reply, HttpReply) or reply.status != 200:
-            return self._failure(reply)
+            return self._make_failure(reply)
         try:
-            value = _ValueText.model_validate_json(reply.body)
+            value = _ValueBody.model_validate_json(reply.body)
         except ValidationError:
             return Unknown(Reason.BAD_REQUEST, Step.READ, self.configuration, "unreadable value")
         return Value(Revision(value.revision), value.value)
 
-    def _failure(self, reply: object) -> Unknown:
+    def _make_failure(self, reply: object) -> Unknown:
         return Unknown(Reason.PLATFORM, Step.READ, self.configuration, str(reply)[:200])
--- a/src/masticgate/connection/_searcher.py
+++ b/src/masticgate/connection/_searcher.py
@@ -22,7 +22,7 @@
 from ..version import Searcher
 from ._http_connection import HttpConnection, HttpFailure, HttpReply
 
-GRACE = Millis(5.0)
+RESPONSE_GRACE = Millis(5.0)
 """Added to the deadline before the call is given up, since the searcher keeps it too."""
 
 LOAD_TIMEOUT = Millis(1000.0)
@@ -34,7 +34,7 @@
 }
 
 
-class _HitText(BaseModel):
+class _HitItem(BaseModel):
     model_config = ConfigDict(extra="ignore")
     id: str
     score: float = Field(allow_inf_nan=False)
@@ -42,25 +42,25 @@
     document: Any = None
 
 
-class _HitsText(BaseModel):
+class _HitsBody(BaseModel):
     model_config = ConfigDict(extra="ignore")
     snapshot: int = Field(ge=0, lt=2**63)
     shards: list[str]
-    hits: list[_HitText]
+    hits: list[_HitItem]
 
 
-class _GoneText(BaseModel):
+class _VersionGoneBody(BaseModel):
     model_config = ConfigDict(extra="ignore")
     held: list[Annotated[int, Field(ge=0, lt=2**63)]] = Field(max_length=64)
 
 
-class _RefusalText(BaseModel):
+class _RefusalBody(BaseModel):
     model_config = ConfigDict(extra="ignore")
     reason: str = ""
     incarnation: str = ""
 
 
-class _LoadText(BaseModel):
+class _LoadBody(BaseModel):
     model_config = ConfigDict(extra="ignore")
     load: int = Field(default=0, ge=0)
     draining: bool = False
@@ -97,10 +97,10 @@
     match reply:
         case HttpReply(status=200, body=body):
             try:
-                text = _LoadText.model_validate_json(body)
+                parsed = _LoadBody.model_validate_json(body)
             except ValidationError:
                 return None
-            return LoadReport(text.load, text.draining, text.incarnation)
+            return LoadReport(parsed.load, parsed.draining, parsed.incarnation)
         case _:
             return None
 
@@ -131,34 +131,34 @@
         "remaining_ms": round(remaining, 1),
         "text": work.text,
     }
-    reply = connection.post("/search", to_json(body), Millis(remaining + GRACE))
+    reply = connection.post("/search", to_json(body), Millis(remaining + RESPONSE_GRACE))
     match reply:
         case HttpReply(status=200, body=answer):
             return _read_hits(answer, work, attempt.searcher)
         case HttpReply(status=410, body=answer):
-            return _read_gone(answer, work, attempt.searcher)
+            return _read_version_gone(answer, work, attempt.searcher)
         case _:
             return _read_failure(reply, attempt)
 
 
 def _read_hits(body: bytes, work: SearchWork, searcher: SearcherId) -> ServiceResult:
     try:
-        text = _HitsText.model_validate_json(body)
+        parsed = _HitsBody.model_validate_json(body)
     except ValidationError:
         return Unknown(Reason.SEARCHER_ERROR, Step.UPSTREAM, searcher, "unreadable answer")
-    if text.snapshot != work.snapshot:
-        detail = f"asked for snapshot {work.snapshot}, got {text.snapshot}"
+    if parsed.snapshot != work.snapshot:
+        detail = f"asked for snapshot {work.snapshot}, got {parsed.snapshot}"
         return Unknown(Reason.WRONG_VERSION, Step.UPSTREAM, searcher, detail)
     hits = tuple(
         Hit(hit.id, hit.score, ShardId(hit.shard), to_json(hit.document).decode())
-        for hit in text.hits
+        for hit in parsed.hits
     )
-    return Hits(SnapshotVersion(text.snapshot), tuple(map(ShardId, text.shards)), hits)
+    return Hits(SnapshotVersion(parsed.snapshot), tuple(map(ShardId, parsed.shards)), hits)
 
 
-def _read_gone(body: bytes, work: SearchWork, searcher: SearcherId) -> ServiceResult:
+def _read_version_gone(body: bytes, work: SearchWork, searcher: SearcherId) -> ServiceResult:
     try:
-        held = _GoneText.model_validate_json(body).held
+        held = _VersionGoneBody.model_validate_json(body).held
     except ValidationError:
         return Unknown(Reason.SEARCHER_ERROR, Step.UPSTREAM, searcher, "unreadable answer")
     return VersionGone(work.snapshot, tuple(map(SnapshotVersion, held)))
@@ -175,7 +175,7 @@
         "remaining_ms": round(remaining, 1),
         "payload": work.payload,
     }
-    reply = connection.post_once("/book", to_json(body), Millis(remaining + GRACE))
+    reply = connection.post_once("/book", to_json(body), Millis(remaining + RESPONSE_GRACE))
     match reply:
         case HttpReply(status=200, body=result):
             return Ran(result.decode("utf-8", errors="replace"))
@@ -200,11 +200,11 @@
 def _read_refusal(body: bytes, attempt: SearcherAttempt) -> NotRun | Unknown:
     """Read a refusal; a searcher that gives no known reason may have run the work."""
     try:
-        text = _RefusalText.model_validate_json(body)
+        parsed = _RefusalBody.model_validate_json(body)
     except ValidationError:
         return Unknown(Reason.SEARCHER_ERROR, Step.UPSTREAM, attempt.searcher, "unreadable refusal")
-    attempt.incarnation = text.incarnation
-    reason = NOT_RUN_REASONS.get(text.reason)
+    attempt.incarnation = parsed.incarnation
+    reason = NOT_RUN_REASONS.get(parsed.reason)
     if reason is None:
-        return Unknown(Reason.SEARCHER_ERROR, Step.UPSTREAM, attempt.searcher, text.reason)
-    return NotRun(reason, Step.UPSTREAM, attempt.searcher, text.reason)
+        return Unknown(Reason.SEARCHER_ERROR, Step.UPSTREAM, attempt.searcher, parsed.reason)
+    return NotRun(reason, Step.UPSTREAM, attempt.searcher, parsed.reason)
--- a/src/masticgate/connection/gateway/__init__.py
+++ b/src/masticgate/connection/gateway/__init__.py
@@ -18,8 +18,8 @@
 from ._searcher_task import Load as Load
 from ._searcher_task import ProtocolViolation as ProtocolViolation
 from ._searcher_task import SearcherTask as SearcherTask
+from ._searcher_task import SearcherTaskHandler as SearcherTaskHandler
 from ._searcher_task import SkippedResponse as SkippedResponse
-from ._searcher_task import TaskOwner as TaskOwner
 from ._searcher_task import TrailingBytes as TrailingBytes
 from ._searcher_task import UnrequestedBytes as UnrequestedBytes
 from ._task_starter import TaskRefused as TaskRefused
--- a/src/masticgate/connection/gateway/_client.py
+++ b/src/masticgate/connection/gateway/_client.py
@@ -197,9 +197,9 @@
         return max(0.001, (deadline - self.clock.now()) / MILLIS_PER_SECOND)
 
 
-def parse_keep_alive_timeout(fields: Mapping[bytes, bytes]) -> Millis | None:
+def parse_keep_alive_timeout(headers_by_name: Mapping[bytes, bytes]) -> Millis | None:
     """Return the idle time that a server states, ``None`` where it states none."""
-    for token in fields.get(b"keep-alive", b"").split(b","):
+    for token in headers_by_name.get(b"keep-alive", b"").split(b","):
         name, _, number = token.strip().partition(b"=")
         seconds = parse_number(number)
         if name.lower() == b"timeout" and seconds is not None:
--- a/src/masticgate/connection/gateway/_parser.py
+++ b/src/masticgate/connection/gateway/_parser.py
@@ -23,7 +23,7 @@
 )
 """What concerns one connection only, or is set anew for the next one."""
 
-MAX_DIGITS = 18
+MAX_NUMBER_DIGITS = 18
 """Digits of a number in a header, which has 63 bits then."""
 
 
@@ -64,7 +64,7 @@
 def parse_number(text: bytes) -> int | None:
     """Return the whole number that ``text`` is, ``None`` where it is none or too long."""
     digits = text.strip()
-    return int(digits) if len(digits) <= MAX_DIGITS and digits.isdigit() else None
+    return int(digits) if len(digits) <= MAX_NUMBER_DIGITS and digits.isdigit() else None
 
 
 def end_to_end_headers(headers: list[Header] | tuple[Header, ...]) -> tuple[Header, ...]:
--- a/src/masticgate/connection/gateway/_response_parser.py
+++ b/src/masticgate/connection/gateway/_response_parser.py
@@ -39,11 +39,11 @@
 
     status: int
     headers: list[Header]
-    fields: dict[bytes, bytes]
+    headers_by_name: dict[bytes, bytes]
     body: bytes
     keep_alive: bool
-    ending: BodyFraming
-    repeated: frozenset[bytes]
+    framing: BodyFraming
+    repeated_names: frozenset[bytes]
 
 
 class TruncatedResponseError(Exception):
@@ -90,43 +90,51 @@
 
     def feed_eof(self) -> None:
         """Complete a response without a length, whose connection ended in order."""
-        if self.in_message and self.in_body and not self.framed and not self._contains_head():
-            self._complete(BodyFraming.CLOSE, keep_alive=False)
+        if (
+            self.in_message
+            and self.in_body
+            and not self.has_framing_header
+            and not self._contains_head()
+        ):
+            self._queue_response(BodyFraming.CLOSE, keep_alive=False)
 
     def _reset(self) -> None:
         self.in_message = False
         self.in_body = False
-        self.framed = False
-        self.reason = b""
+        self.has_framing_header = False
+        self.reason_phrase = b""
         self.headers: list[Header] = []
-        self.fields: dict[bytes, bytes] = {}
-        self.repeated: frozenset[bytes] = frozenset()
+        self.headers_by_name: dict[bytes, bytes] = {}
+        self.repeated_names: frozenset[bytes] = frozenset()
         self.chunks: list[bytes] = []
 
     def on_message_begin(self) -> None:
         """Note the first byte of a response."""
         self.in_message = True
 
-    def on_status(self, reason: bytes) -> None:
+    def on_status(self, reason_phrase: bytes) -> None:
         """Check the next part of the reason phrase."""
-        self.reason += reason
-        _check_field(self.reason)
+        self.reason_phrase += reason_phrase
+        _reject_status_line(self.reason_phrase)
 
     def on_header(self, name: bytes, value: bytes) -> None:
         """Collect one header; trailers are none."""
         if self.in_body:
             return
-        _check_field(value)
+        _reject_status_line(value)
         self.headers.append((name, value))
         key = name.lower()
-        if key in self.fields:
-            self.repeated |= {key}
-        self.fields[key] = value
+        if key in self.headers_by_name:
+            self.repeated_names |= {key}
+        self.headers_by_name[key] = value
 
     def on_headers_complete(self) -> None:
         """Note whether the response says where it ends."""
         self.in_body = True
-        self.framed = b"content-length" in self.fields or b"transfer-encoding" in self.fields
+        self.has_framing_header = (
+            b"content-length" in self.headers_by_name
+            or b"transfer-encoding" in self.headers_by_name
+        )
 
     def on_body(self, body: bytes) -> None:
         """Collect a part of the body."""
@@ -137,8 +145,12 @@
         """Queue the response, unless it is an interim one."""
         if self._contains_head():
             raise TruncatedResponseError("a response is filled up by the bytes of another")
-        ending = BodyFraming.CHUNKS if b"transfer-encoding" in self.fields else BodyFraming.LENGTH
-        self._complete(ending, keep_alive=self.parser.should_keep_alive())
+        framing = (
+            BodyFraming.CHUNKS
+            if b"transfer-encoding" in self.headers_by_name
+            else BodyFraming.LENGTH
+        )
+        self._queue_response(framing, keep_alive=self.parser.should_keep_alive())
 
     def _contains_head(self) -> bool:
         """Tell whether the body holds the head of another response, or ends within one."""
@@ -158,20 +170,22 @@
 
         The same server's heads have the same header names but for the framing.
         """
-        head, blank, _ = text.partition(b"\r\n\r\n")
+        head, separator, _ = text.partition(b"\r\n\r\n")
         names = [line.partition(b":")[0].lower() for line in head.split(b"\r\n")[1:]]
-        if blank:
-            return self.fields.keys() - FRAMING_HEADERS <= set(names)
+        if separator:
+            return self.headers_by_name.keys() - FRAMING_HEADERS <= set(names)
         if not names:
             return False
-        *whole, last = names
-        known = self.fields.keys() | FRAMING_HEADERS
-        return known.issuperset(whole) and any(name.startswith(last) for name in known)
+        *complete_names, last_name = names
+        known = self.headers_by_name.keys() | FRAMING_HEADERS
+        return known.issuperset(complete_names) and any(
+            name.startswith(last_name) for name in known
+        )
 
     def _ends_in_status_line(self, body: bytes) -> bool:
         """Tell whether the body ends like this response began."""
         version = self.parser.get_http_version().encode()
-        line = b"HTTP/%s %d %s\r" % (version, self.parser.get_status_code(), self.reason)
+        line = b"HTTP/%s %d %s\r" % (version, self.parser.get_status_code(), self.reason_phrase)
         return body.endswith(
             tuple(line[:size] for size in range(MIN_STATUS_LINE_BYTES, len(line) + 1))
         )
@@ -182,18 +196,24 @@
         if self.ready and self.ready[-1].body.endswith(starts):
             self.ready.pop()
 
-    def _complete(self, ending: BodyFraming, *, keep_alive: bool) -> None:
+    def _queue_response(self, framing: BodyFraming, *, keep_alive: bool) -> None:
         status = self.parser.get_status_code()
         if status >= 200:
             body = b"".join(self.chunks)
             response = ParsedResponse(
-                status, self.headers, self.fields, body, keep_alive, ending, self.repeated
+                status,
+                self.headers,
+                self.headers_by_name,
+                body,
+                keep_alive,
+                framing,
+                self.repeated_names,
             )
             self.ready.append(response)
         self._reset()
 
 
-def _check_field(value: bytes) -> None:
+def _reject_status_line(value: bytes) -> None:
     """Raise where a part of a head holds the beginning of another response."""
     if b"HTTP/" in value and STATUS_LINE.search(value):
         raise TruncatedResponseError("a response begins within a head")
--- a/src/masticgate/connection/gateway/_searcher_task.py
+++ b/src/masticgate/connection/gateway/_searcher_task.py
@@ -61,7 +61,7 @@
 ProtocolViolation = SkippedResponse | UnrequestedBytes | TrailingBytes
 
 
-class TaskOwner(Protocol):
+class SearcherTaskHandler(Protocol):
     """Who decides what the tasks of a searcher's connections do."""
 
     def handle_open(self, task: "SearcherTask") -> None:
@@ -94,7 +94,7 @@
         self,
         searcher: SearcherId,
         address: Address,
-        owner: TaskOwner,
+        handler: SearcherTaskHandler,
         header_names: HeaderNames,
         clock: Clock,
         initial_call: Call | None = None,
@@ -103,7 +103,7 @@
         self.number = number
         self.skipped = 0
         self.searcher = searcher
-        self.owner = owner
+        self.handler = handler
         self.header_names = header_names
         self.clock = clock
         self.client = HttpClient(address, clock)
@@ -136,7 +136,7 @@
         self._send_initial_call()
         self._finish(self._receive_responses(), connected=True)
 
-    def assign(self, call: Call) -> bool:
+    def dispatch(self, call: Call) -> bool:
         """Send ``call`` over the idle connection; return ``False`` if it has just ended."""
         with self.lock:
             if self.ended:
@@ -164,7 +164,7 @@
         self.client.socket.settimeout(None)
         call = self.current_call
         if call is None:
-            self.owner.handle_open(self)
+            self.handler.handle_open(self)
         elif self._mark_started(call):
             self._send(call)
         else:
@@ -223,7 +223,7 @@
             if not count:
                 return self._outcome_at_close()
             if self.current_call is None:
-                self.owner.record_violation(self, UnrequestedBytes(count))
+                self.handler.record_violation(self, UnrequestedBytes(count))
                 return Lost(self.searcher, True, "bytes that nobody asked for")
             problem = self.parser.feed(buffer[:count])
             reusable = problem is None and not self.parser.in_message
@@ -246,10 +246,10 @@
                 self._record_skipped(call, response)
                 continue
             if not reusable or index + 1 < len(responses):
-                self.owner.record_violation(self, TrailingBytes(call.request.id))
+                self.handler.record_violation(self, TrailingBytes(call.request.id))
             keep_alive = reusable and response.keep_alive and index + 1 == len(responses)
             self.parser.reset_byte_counts()
-            self.keep_alive_timeout = parse_keep_alive_timeout(response.fields)
+            self.keep_alive_timeout = parse_keep_alive_timeout(response.headers_by_name)
             self._complete_call(
                 call,
                 self._decode_outcome(response),
@@ -272,14 +272,18 @@
 
     def _record_skipped(self, call: Call, response: ParsedResponse) -> None:
         self.skipped += 1
-        response_id = response.fields.get(self.header_names.request_id, b"").decode("latin-1")
-        self.owner.record_violation(self, SkippedResponse(RequestId(response_id), call.request.id))
+        response_id = response.headers_by_name.get(self.header_names.request_id, b"").decode(
+            "latin-1"
+        )
+        self.handler.record_violation(
+            self, SkippedResponse(RequestId(response_id), call.request.id)
+        )
 
     def _is_response_to(self, call: Call, response: ParsedResponse) -> bool:
         """Tell whether an answer bears the call's id and no second id or stamp."""
         expected = call.request.id.encode("latin-1")
-        own = response.fields.get(self.header_names.request_id) == expected
-        return own and response.repeated.isdisjoint(
+        own = response.headers_by_name.get(self.header_names.request_id) == expected
+        return own and response.repeated_names.isdisjoint(
             (self.header_names.request_id, self.header_names.stamp)
         )
 
@@ -290,7 +294,7 @@
         with self.lock:
             self.current_call = None
             self.ended = not reusable or self.client.aborted
-        self.owner.handle_outcome(self, call, load, reusable=not self.ended)
+        self.handler.handle_outcome(self, call, load, reusable=not self.ended)
         call.inbox.put(call)
 
     def _finish(self, outcome: Outcome, *, connected: bool) -> None:
@@ -299,24 +303,24 @@
         if self.current_call is not None:
             self._complete_call(self.current_call, outcome, None, reusable=False)
         self.client.close()
-        self.owner.handle_close(self, connected=connected)
+        self.handler.handle_close(self, connected=connected)
 
     def _decode_outcome(self, response: ParsedResponse) -> Outcome:
         if response.status == 421:
             return Declined(self.searcher, Reason.NO_SEARCHER)
-        if self.header_names.not_run in response.fields:
+        if self.header_names.not_run in response.headers_by_name:
             return Declined(self.searcher, Reason.SEARCHER_SHED)
-        stamp = response.fields.get(self.header_names.stamp, b"").decode("latin-1")
+        stamp = response.headers_by_name.get(self.header_names.stamp, b"").decode("latin-1")
         latency = Millis(self.clock.now() - self.started_at)
         headers = tuple(response.headers)
-        receive_info = ReceiveInfo(self.number, response.ending, self.skipped)
+        receive_info = ReceiveInfo(self.number, response.framing, self.skipped)
         self.skipped = 0
         return Answered(
             self.searcher, response.status, headers, response.body, stamp, latency, receive_info
         )
 
     def _decode_load(self, response: ParsedResponse) -> Load | None:
-        parts = response.fields.get(self.header_names.load, b"").split(b",")
+        parts = response.headers_by_name.get(self.header_names.load, b"").split(b",")
         match [parse_number(part) for part in parts]:
             case [int(running), int(waiting), int(slots)]:
                 return Load(running, waiting, slots)
--- a/src/masticgate/process/gateway/_fleet.py
+++ b/src/masticgate/process/gateway/_fleet.py
@@ -146,7 +146,7 @@
                     return NotRun(Reason.OVERLOAD, Step.CONNECT, call.service, "no task can start")
                 replica.in_flight += 1
                 replica.last_used_at = self.clock.now()
-            if idle is None or idle.assign(call):
+            if idle is None or idle.dispatch(call):
                 break
             with self.lock:
                 replica.in_flight -= 1
--- a/tests/gateway/test_answers.py
+++ b/tests/gateway/test_answers.py
@@ -209,7 +209,7 @@
         call = self.last if self.last and not self.waiting else None
         call = call or make_call(exchange.message.identity)
         self.calls.append((exchange, call))
-        assert self.task.assign(call)
+        assert self.task.dispatch(call)
 
     def _play(self) -> Iterator[None]:
         """Do what the searcher does, until the connection ends; each step is one to receive."""
--- a/tests/gateway/test_answers_without_end.py
+++ b/tests/gateway/test_answers_without_end.py
@@ -219,7 +219,7 @@
         head = OWN + b"x-gateway-stamps: %s\r\n" % stamps.encode()
         parser = ResponseParser()
         assert take(parser, head + b"Content-Length: 2\r\n\r\nok") is None
-        assert parser.ready[0].fields[b"x-gateway-stamps"] == stamps.encode()
+        assert parser.ready[0].headers_by_name[b"x-gateway-stamps"] == stamps.encode()
 
 
 class HurriedClock(ManualClock):
--- a/tests/gateway/test_buffers.py
+++ b/tests/gateway/test_buffers.py
@@ -86,7 +86,7 @@
         threading.Thread(target=task._receive_responses, daemon=True).start()
         for number in range(ANSWERS):
             call = self.make_call(f"q{number}")
-            assert task.assign(call)
+            assert task.dispatch(call)
             far.sendall(reply_to(far.recv(65_536), bytes(37 * number)))
             assert owner.finished.acquire(timeout=5)
             assert isinstance(call.outcome, Answered)
@@ -102,7 +102,7 @@
         task.client.socket = near
         threading.Thread(target=task._receive_responses, daemon=True).start()
         call = self.make_call("q1")
-        assert task.assign(call)
+        assert task.dispatch(call)
         body = bytes(range(256)) * 100
         far.sendall(reply_to(far.recv(65_536), body))
         assert owner.finished.acquire(timeout=5)
--- a/tests/gateway/test_descriptors.py
+++ b/tests/gateway/test_descriptors.py
@@ -115,11 +115,11 @@
         large = type(large)(
             large.id, b"POST", large.target, large.host, (), b"x" * 4_000_000, None, Millis(0.0)
         )
-        first = threading.Thread(target=task.assign, args=(make_call(large),), daemon=True)
+        first = threading.Thread(target=task.dispatch, args=(make_call(large),), daemon=True)
         first.start()
         received = far.recv(65_536)
         task.current_call = None
-        second = threading.Thread(target=task.assign, args=(make_call(),), daemon=True)
+        second = threading.Thread(target=task.dispatch, args=(make_call(),), daemon=True)
         second.start()
         while not received.endswith(b"\r\n\r\n") or received.count(b"HTTP/1.1") < 2:
             received += far.recv(65_536)
--- a/tests/gateway/test_filled_answers.py
+++ b/tests/gateway/test_filled_answers.py
@@ -27,7 +27,7 @@
     )
     task.client.socket = near
     call = Call(make_request("q1"), make_route(), ServiceId("orders"), Millis(400.0), Mailbox())
-    assert task.assign(call)
+    assert task.dispatch(call)
     assert far.recv(65_536).endswith(b"\r\n\r\n")
     far.sendall(data)
     far.close()
--- a/tests/gateway/test_irregular_answers.py
+++ b/tests/gateway/test_irregular_answers.py
@@ -68,7 +68,7 @@
             Millis(400.0),
             Mailbox(),
         )
-        assert self.task.assign(call)
+        assert self.task.dispatch(call)
         assert self.far.recv(65_536).endswith(b"\r\n\r\n")
         self.far.sendall(answer)
 
--- a/tests/gateway/test_trailers.py
+++ b/tests/gateway/test_trailers.py
@@ -30,5 +30,5 @@
         parser = ResponseParser()
         assert parser.feed(b"HTTP/1.1 200 OK\r\nx-id: q1\r\n" + CHUNKS + trailers + b"\r\n") is None
         assert [name for name, _ in parser.ready[0].headers] == [b"x-id", b"Transfer-Encoding"]
-        assert b"x-stamp" not in parser.ready[0].fields
+        assert b"x-stamp" not in parser.ready[0].headers_by_name
         assert parser.ready[0].body == b"other"
