--- a/src/masticgate/platform/__init__.py
+++ b/src/masticgate/platform/__init__.py
@@ -1,4 +1,5 @@
-"""Translates between a gateway and the users' platform; it decides nothing.
+"""The adapter between a gateway and the platform on which it runs.
 
-Nothing outside this package knows the platform's names.
+It only translates, and makes no decisions. The names of the platform's headers, keys and fields
+occur only in this package.
 """
--- a/src/masticgate/platform/__main__.py
+++ b/src/masticgate/platform/__main__.py
@@ -1,4 +1,4 @@
-"""Runs a gateway on the users' platform: ``python -m masticgate.platform``."""
+"""The entry point of ``python -m masticgate.platform``, which runs a gateway on the platform."""
 
 from ._serve import main
 
--- a/src/masticgate/platform/_configuration.py
+++ b/src/masticgate/platform/_configuration.py
@@ -1,4 +1,4 @@
-"""Decodes the operators' configuration."""
+"""Decoding of the operators' configuration, which the platform publishes."""
 
 from .._ids import ConfigurationVersion, Millis, RouteId, ServiceId
 from ..version.gateway import (
@@ -22,10 +22,11 @@
 DEFAULT_TIMEOUT_MS = 30_000.0
 DEFAULT_OBJECTIVE_MS = 1_000.0
 DEFAULT_RANK = 9
+"""The rank of a route that states none; 0 is the most urgent."""
 
 
 def decode_configuration(value: object) -> RouteTable:
-    """Return the typed configuration.
+    """Return the configuration that the decoded JSON ``value`` describes.
 
     :raises FieldError: a field is missing or has another type.
     """
--- a/src/masticgate/platform/_items.py
+++ b/src/masticgate/platform/_items.py
@@ -1,4 +1,4 @@
-"""Decodes the items of the platform's store."""
+"""Decoding of the items in the platform's store: the configuration and the listings."""
 
 import json
 from base64 import b64decode
@@ -23,7 +23,11 @@
 
 
 def decode_item(item: Any) -> Change | None:
-    """Return what one item or one event of a watch says, ``None`` for keys of no concern."""
+    """Return the change that one item or one event of a watch describes.
+
+    Return ``None`` for a key that is neither the configuration nor a listing, and for the removal
+    of the configuration.
+    """
     if not isinstance(item, dict) or not isinstance(item.get("key"), str):
         return UnreadableItem("", "an item without a key")
     key = item["key"]
@@ -56,7 +60,7 @@
     fields.integer("sequence")
     phase = PHASES.get(fields.text("state"))
     if phase is None:
-        raise fields.error("state", "a known state")
+        raise fields.error("state", "'ready' or 'draining'")
     slots = fields.integer("slots")
     if slots < 1:
         raise fields.error("slots", "a positive number")
@@ -77,12 +81,12 @@
     host, _, port = text.rpartition(":")
     IPv4Address(host)
     if not port.isdigit() or not 0 < int(port) < 65_536:
-        raise fields.error("address", "a port")
+        raise fields.error("address", "an IPv4 address and a port")
     return Address(text)
 
 
 def _decode_value(item: dict[str, Any]) -> Any:
     value = item.get("value")
     if not isinstance(value, str):
-        raise FieldError("item.value: text is needed")
+        raise FieldError("item.value: must be a string")
     return json.loads(b64decode(value, validate=True))
--- a/src/masticgate/platform/_names.py
+++ b/src/masticgate/platform/_names.py
@@ -1,4 +1,4 @@
-"""The header names of the platform."""
+"""The names that the platform defines: its HTTP headers and the keys of its store."""
 
 from ..connection.gateway import HeaderNames
 
@@ -6,9 +6,9 @@
     request_id=b"x-masticgate-request-id",
     # The header holds a duration, not a point in time.
     caller_timeout=b"x-masticgate-deadline-ms",
-    # A code that authenticates one answer to one request.
+    # A code that authenticates the answer to one request.
     stamp=b"x-masticgate-server-stamp",
-    # Names one start of a searcher.
+    # Identifies one start of a searcher.
     expected_searcher=b"x-masticgate-expected-instance",
     load=b"x-masticgate-server-load",
     not_run=b"x-masticgate-not-executed",
--- a/src/masticgate/platform/_node_file.py
+++ b/src/masticgate/platform/_node_file.py
@@ -1,4 +1,4 @@
-"""The settings file that the platform writes for a process."""
+"""Reading of the settings file that the platform writes for a gateway process."""
 
 import tomllib
 from dataclasses import dataclass
@@ -12,13 +12,16 @@
 
 @dataclass(frozen=True, slots=True)
 class InvalidNodeFile:
-    """The settings file cannot be used."""
+    """The settings file cannot be used; ``detail`` says why."""
 
     detail: str
 
 
 def read_node_file(path: Path, metrics_port: int | None) -> GatewaySettings | InvalidNodeFile:
-    """Read the settings file at ``path``; unknown fields are ignored."""
+    """Read the settings file at ``path``; ignore unknown fields.
+
+    The gateway serves its metrics on ``metrics_port``, or not at all if that is ``None``.
+    """
     try:
         fields = Fields.of("settings", tomllib.loads(path.read_text(encoding="utf-8")))
         return _decode_settings(fields, metrics_port)
--- a/src/masticgate/platform/_serve.py
+++ b/src/masticgate/platform/_serve.py
@@ -1,4 +1,4 @@
-"""The program that the platform starts on each machine."""
+"""The gateway program that the platform starts on each machine."""
 
 import os
 import signal
@@ -16,14 +16,14 @@
 
 NODE_FILE_VARIABLE = "MASTICGATE_NODE_FILE"
 RELOAD_INTERVAL_S = 5.0
-"""The settings file may change without a signal; it is read again so often."""
+"""The interval at which the settings file is read again, since it may change without a signal."""
 
 EXIT_START_FAILED = 1
 EXIT_USAGE = 2
 
 
 def main() -> None:
-    """Run a gateway until SIGTERM."""
+    """Run a gateway until SIGTERM or SIGINT; the port for metrics is an optional argument."""
     metrics_port = int(sys.argv[1]) if len(sys.argv) > 1 else None
     path = Path(os.environ.get(NODE_FILE_VARIABLE, "/etc/masticgate/local.toml"))
     settings = read_node_file(path, metrics_port)
@@ -54,7 +54,7 @@
     metrics_port: int | None,
     signals: SimpleQueue[int],
 ) -> None:
-    """Reload changed settings until asked to stop."""
+    """Reload changed settings on SIGHUP and regularly, until a signal to stop arrives."""
     while True:
         try:
             received = signals.get(timeout=RELOAD_INTERVAL_S)
--- a/src/masticgate/platform/_store.py
+++ b/src/masticgate/platform/_store.py
@@ -1,4 +1,4 @@
-"""The platform's store: reads and watches over one connection."""
+"""The client of the platform's store, which holds the configuration and the listings."""
 
 import json
 from typing import Any
@@ -18,17 +18,18 @@
 from ._names import ALL_KEYS_PREFIX, CONFIGURATION_KEY
 
 READ_TIMEOUT = Millis(1_000.0)
-"""A read is answered in milliseconds; a slow store takes some hundred."""
+"""The timeout of a read, which takes a few milliseconds, or some hundred at a slow store."""
 
 WATCH_MARGIN = Millis(700.0)
-"""How much later than its wait a watch may be answered."""
+"""How much longer than its wait a watch may take."""
 
 CONNECT_TIMEOUT = Millis(500.0)
 HISTORY_GONE = 410
+"""The status of a watch after a revision from which changes are no longer available."""
 
 
 class PlatformStore:
-    """One connection to the store; its own task uses it."""
+    """Reads and watches the store over one connection; only one task uses it."""
 
     def __init__(self, address: Address, clock: Clock) -> None:
         self.address = address
@@ -36,7 +37,7 @@
         self.client = HttpClient(address, clock)
 
     def read_table(self) -> PublishedConfiguration | Unavailable:
-        """Read the item that holds the configuration."""
+        """Return the configuration without the listings."""
         item = self._get("/v1/kv-key", {"key": CONFIGURATION_KEY}, READ_TIMEOUT)
         if isinstance(item, int | Unavailable):
             return _unavailable(item)
@@ -48,9 +49,10 @@
         )
 
     def read(self) -> Contents | Unavailable:
-        """Read every item, page by page.
+        """Return the whole catalogue, which is read page by page.
 
-        Pages are no snapshot: changes are followed from the first page's revision on.
+        The pages are not a consistent snapshot, since the store may change between two of them. The
+        returned revision is that of the first page, so that a watch from it misses no change.
         """
         changes: list[Change] = []
         first_revision: Revision | None = None
@@ -70,7 +72,7 @@
             after = items[-1]["key"]
 
     def watch(self, after: Revision, wait: Millis) -> Changes | HistoryGone | Unavailable:
-        """Wait for changes after a revision."""
+        """Wait at most ``wait`` for changes after the revision ``after``, and return them."""
         query = {"prefix": ALL_KEYS_PREFIX, "after": after, "waitMs": int(wait)}
         page = self._get("/v1/kv-watch", query, Millis(wait + WATCH_MARGIN))
         if page == HISTORY_GONE:
@@ -83,7 +85,7 @@
     def _get(
         self, path: str, query: dict[str, Any], timeout: Millis
     ) -> dict[str, Any] | int | Unavailable:
-        """Return the decoded body, the status of a failure, or why there is no answer."""
+        """Return the decoded body, the status if it is not 200, or why there is no usable body."""
         timeouts = GetTimeouts(CONNECT_TIMEOUT, timeout)
         response = self.client.get(self.address, path, query, timeouts)
         if isinstance(response, NoResponse | InvalidResponse):
