--- a/src/masticgate/process/_detector.py
+++ b/src/masticgate/process/_detector.py
@@ -1,4 +1,4 @@
-"""Failure detection: a watched host that stays silent becomes suspect, then dead."""
+"""Failure detection: a watched host that stays silent is declared suspect, then dead."""
 
 from collections.abc import Callable, Iterable
 
@@ -9,20 +9,28 @@
 from ._timeline import EventKind, TimeLine
 
 SUSPECT_INTERVALS = 3
-"""A watched host is suspect after this many heartbeat intervals of silence."""
+"""A watched host is declared suspect after this many heartbeat intervals of silence."""
 
 DEAD_INTERVALS = 4
-"""A suspect host that stays silent is dead after this many intervals more."""
+"""A suspect host that stays silent is declared dead after this many further intervals."""
 
 PAUSE_INTERVALS = 2.5
-"""A gap of this many intervals between two checks means that this process was paused."""
+"""A longer gap than this many intervals between two checks means that this process was paused."""
 
 MAX_TIMEOUT_FACTOR = 16
-"""How many times longer a host is waited for that refutes what this host suspects."""
+"""The most times that the timeout for a host is lengthened.
+
+Each time this host suspects another, it doubles the timeout for it, so that a slow host that
+refutes the suspicion is not suspected again and again. A host that sends within an interval gets
+the normal timeout back.
+"""
 
 
 class FailureDetector:
-    """Watches the neighbours; only the heartbeat task calls it."""
+    """Declares silent neighbours suspect or dead; called only by the heartbeat task.
+
+    ``last_received`` returns when a host last sent something, ``None`` without a link to it.
+    """
 
     def __init__(
         self,
@@ -41,7 +49,11 @@
         self.timeout_factors: dict[HostId, int] = {}
 
     def check(self, neighbours: Iterable[Member], interval: Millis) -> None:
-        """Declare silent neighbours suspect or dead; after a pause give all a fresh interval."""
+        """Declare silent neighbours suspect or dead; after a pause, count silence from now.
+
+        This process receives nothing while it is paused, so the silence of others during a pause
+        says nothing about them.
+        """
         now = self.clock.now()
         gap = Millis(now - self.checked_at)
         if gap > PAUSE_INTERVALS * interval:
--- a/src/masticgate/process/_heartbeats.py
+++ b/src/masticgate/process/_heartbeats.py
@@ -1,4 +1,7 @@
-"""The task that sends heartbeats, watches the neighbours and looks for lost hosts."""
+"""The task that sends heartbeats to peers, watches the neighbours and probes dead hosts.
+
+The neighbours of a host are the bounded number of other hosts whose liveness it watches.
+"""
 
 from collections.abc import Callable
 from threading import Event
@@ -16,20 +19,23 @@
 SHORT_INTERVAL = Millis(500.0)
 LONG_INTERVAL = Millis(1000.0)
 MAX_SHORT_INTERVAL_HOSTS = 16
-"""Up to this many hosts heartbeats go at the short interval."""
+"""With at most this many usable hosts, heartbeats are sent at the short interval."""
 
 HEARTBEATS_PER_KEEPALIVE = 2
-"""Links to hosts that are no neighbours get every second heartbeat, which keeps them open."""
+"""A host that is no neighbour gets one in this many heartbeats, which keeps its link open."""
 
 HEARTBEATS_PER_DIGEST = 4
-"""A digest goes to one neighbour in turn each this many heartbeats."""
+"""One in this many heartbeats carries a digest of the usable hosts, to one neighbour in turn."""
 
 HEARTBEATS_PER_PROBE = 4
-"""A lost host is tried, one in turn, each this many heartbeats."""
+"""Once in this many heartbeats, one dead host in turn is probed."""
 
 
 class Heartbeats:
-    """Keeps up the links and the beliefs of this host."""
+    """Maintains the links to the neighbours and the membership table of this host.
+
+    ``on_heartbeat`` is called after each round of heartbeats.
+    """
 
     def __init__(
         self,
@@ -59,12 +65,12 @@
             self.on_heartbeat()
 
     def interval(self) -> Millis:
-        """Return the time between two heartbeats."""
+        """Return the time between two rounds of heartbeats."""
         small = len(self.members.list_usable()) <= MAX_SHORT_INTERVAL_HOSTS
         return SHORT_INTERVAL if small else LONG_INTERVAL
 
     def beat(self) -> None:
-        """Do what is due once an interval."""
+        """Do one interval's work: check the neighbours, then send the heartbeats that are due."""
         self.sequence += 1
         self.detector.check(self._watched_members(), self.interval())
         for member in self._watched_members():
@@ -79,12 +85,12 @@
         self.members.remove_expired()
 
     def announce(self) -> None:
-        """Tell every host with an open link at once what a heartbeat would tell later."""
+        """Send a heartbeat over every open link at once, without waiting for the next interval."""
         for host in self.links.open_hosts():
             self._send(host, with_digest=False)
 
     def _watched_members(self) -> list[Member]:
-        """Return the neighbours, chosen anew where the usable hosts changed."""
+        """Return the usable neighbours; choose the neighbours again if the usable hosts changed."""
         usable_hosts = self.members.list_usable()
         if usable_hosts is not self.usable_hosts:
             others = [m for host in usable_hosts if (m := self.members.get(host)) is not None]
@@ -96,7 +102,7 @@
         return [member for member in watched if member is not None and is_usable(member)]
 
     def _digest_peer(self) -> HostId | None:
-        """Return the neighbour whose turn it is to compare digests."""
+        """Return the neighbour that gets a digest in this interval, ``None`` if none is due."""
         turn, rest = divmod(self.sequence, HEARTBEATS_PER_DIGEST)
         if rest or not self.neighbours:
             return None
@@ -112,7 +118,10 @@
         self.links.send(host, heartbeat)
 
     def _probe_dead(self) -> None:
-        """Try one host that is believed dead: a split may have healed."""
+        """Open a link to one host that is dead or unknown: a network partition may have healed.
+
+        Seeds that are not in the membership table are tried too.
+        """
         dead = [m for m in self.members.list_members() if m.state is MemberState.DEAD]
         known = {member.host for member in dead}
         dead += [
--- a/src/masticgate/process/_host_list.py
+++ b/src/masticgate/process/_host_list.py
@@ -1,4 +1,7 @@
-"""The platform's host list as beliefs; the list lags and knows no incarnations."""
+"""Conversion of the platform's host list to entries for the membership table.
+
+The list lags behind and doesn't name incarnations (runs of a host's process).
+"""
 
 from collections.abc import Callable, Iterable
 from dataclasses import replace
@@ -8,14 +11,16 @@
 from ._messages import Member, MemberState
 
 MAX_HOST_LIST_LAG = Millis(10_000.0)
-"""The host list may lag by this much."""
+"""The longest time by which the host list may lag behind."""
 
 
 class HostList:
-    """Turns each reading of the host list into beliefs; only the reading task calls it.
+    """Converts each read of the host list; called only by the task that reads the list.
 
-    The list marks a host as leaving, which counts for an incarnation that has been known for
-    ``LIST_LAG``; for a younger one the mark may be late and mean the run before.
+    A host that the list marks as leaving is taken to leave only if its incarnation has been known
+    for ``MAX_HOST_LIST_LAG``. For a younger one the mark may be late and mean the incarnation
+    before it. ``known_since`` holds when the current incarnation of each listed host was first
+    seen.
     """
 
     def __init__(self, get_member: Callable[[HostId], Member | None]) -> None:
@@ -23,7 +28,7 @@
         self.known_since: dict[HostId, tuple[Incarnation, Millis]] = {}
 
     def to_members(self, hosts: Iterable[ListedHost], now: Millis) -> list[Member]:
-        """Return the beliefs that ``hosts`` gives rise to."""
+        """Return the membership entries that follow from ``hosts``, as read at ``now``."""
         members = [self._to_member(host, now) for host in hosts]
         named = {member.host for member in members}
         self.known_since = {
--- a/src/masticgate/process/_links.py
+++ b/src/masticgate/process/_links.py
@@ -1,4 +1,4 @@
-"""The links to peers, and the sending of messages over them."""
+"""The links to peers (other hosts), and the sending of messages over them."""
 
 from collections.abc import Callable, Collection
 from threading import Lock
@@ -10,20 +10,30 @@
 from ..request import Ask, Book, Forward
 
 SILENCE_TIMEOUT = Millis(60.0)
-"""A host that has left a heartbeat unanswered for this long counts as silent."""
+"""A host that has left a heartbeat unanswered for longer than this counts as silent."""
 
 PROBE_DELAY = Millis(20.0)
-"""A host that has sent nothing for this long is asked for a reply with the next work."""
+"""A host that has sent nothing for longer than this gets a heartbeat along with the next request.
+
+The reply to the heartbeat tells a slow host from one that is lost.
+"""
 
 RESPONSIVE_WINDOW = Millis(1000.0)
-"""A host that has sent something within this time keeps its link, and refutes that it is dead."""
+"""A host that has sent something within this time keeps its link although it is declared dead.
+
+Over the link it can refute that it is dead.
+"""
 
 LINK_IDLE_TIMEOUT = Millis(30_000.0)
-"""A link that is not to a neighbour is closed after this long without work."""
+"""A link to a host that is no neighbour is closed after this long without a request."""
 
 
 class Links:
-    """One link to each neighbour, and to each other host that work is sent to."""
+    """One link to each neighbour, and to each other host that requests are sent to.
+
+    The neighbours of a host are the other hosts that it watches. ``handler`` handles the messages
+    that arrive over the links, and ``start_task`` starts the task of a new link.
+    """
 
     def __init__(
         self, handler: PeerHandler, clock: Clock, start_task: Callable[[Callable[[], None]], None]
@@ -36,7 +46,7 @@
         self.stopping = False
 
     def ensure(self, host: HostId, address: Address) -> None:
-        """Open a link to ``host`` at ``address`` unless there is one."""
+        """Open a link to ``host`` at ``address`` unless there is one to that address."""
         with self.lock:
             known = self.links.get(host)
             if self.stopping or (known is not None and known.address == address):
@@ -48,36 +58,36 @@
         self.start_task(link.run)
 
     def close(self, host: HostId) -> None:
-        """Close the link to a host that is gone."""
+        """Close the link to ``host``, if there is one."""
         with self.lock:
             link = self.links.pop(host, None)
         if link is not None:
             link.stop()
 
     def close_idle(self, neighbours: Collection[HostId]) -> None:
-        """Close the links to hosts, other than ``neighbours``, that no work goes to any more."""
+        """Close the links to hosts other than ``neighbours`` that got no request for long."""
         limit = self.clock.now() - LINK_IDLE_TIMEOUT
         for link in self.list_links():
             if link.host not in neighbours and link.last_used < limit:
                 self.close(link.host)
 
     def is_open(self, host: HostId) -> bool:
-        """Tell whether messages can be sent to ``host``."""
+        """Return whether messages can be sent to ``host``."""
         link = self.links.get(host)
         return link is not None and link.state is LinkState.OPEN
 
     def is_closed(self, host: HostId) -> bool:
-        """Tell whether there is a link to ``host`` and it is closed."""
+        """Return whether there is a link to ``host`` that has closed."""
         link = self.links.get(host)
         return link is not None and link.state is LinkState.CLOSED
 
     def is_silent(self, host: HostId) -> bool:
-        """Tell whether ``host`` has left a heartbeat unanswered for too long."""
+        """Return whether ``host`` has no link, or has left a heartbeat unanswered for too long."""
         link = self.links.get(host)
         return link is None or self._unanswered_time(link) > SILENCE_TIMEOUT
 
     def probe(self, host: HostId) -> None:
-        """Ask ``host`` for a reply unless it gave one lately or was asked already."""
+        """Send ``host`` a heartbeat unless it sent something lately or one is unanswered."""
         link = self.links.get(host)
         if link is None or link.unanswered_since is not None:
             return
@@ -85,17 +95,17 @@
             link.send(self.handler.probe_heartbeat())
 
     def is_responsive(self, host: HostId) -> bool:
-        """Tell whether ``host`` sent something lately, whatever others believe of it."""
+        """Return whether ``host`` sent something lately, whatever its member state is."""
         link = self.links.get(host)
         return link is not None and self.clock.now() - link.last_received < RESPONSIVE_WINDOW
 
     def last_received(self, host: HostId) -> Millis | None:
-        """Return when ``host`` last sent something over its link."""
+        """Return when ``host`` last sent something over its link, ``None`` without a link."""
         link = self.links.get(host)
         return link.last_received if link is not None else None
 
     def send(self, host: HostId, message: Message) -> NotRun | None:
-        """Send ``message``; ``NotRun`` means that the host did not receive it."""
+        """Send ``message``; return ``NotRun`` if the host did not receive it whole."""
         link = self.links.get(host)
         if link is None:
             return NotRun(Reason.OWNER_LOST, Step.FORWARD, peer=host)
@@ -121,7 +131,7 @@
             return list(self.links.values())
 
     def stop(self) -> None:
-        """Close all links."""
+        """Close all links, and open no more."""
         with self.lock:
             self.stopping = True
             links = list(self.links.values())
--- a/src/masticgate/process/_member_rules.py
+++ b/src/masticgate/process/_member_rules.py
@@ -1,4 +1,4 @@
-"""Beliefs about hosts: which of two wins, which are told apart, and who watches whom."""
+"""Rules of the membership protocol: precedence of updates, digests, and who watches whom."""
 
 from collections.abc import Iterable, Sequence
 
@@ -8,38 +8,44 @@
 from ._messages import Member, MemberState
 
 NEAR_NEIGHBOURS = 6
-"""The number of hosts that a host watches, the next on the ring of hashed ids."""
+"""The number of hosts that each host watches: those after it on the ring of hashed ids."""
 
 FOREIGN_NEIGHBOURS = 2
-"""The number of hosts in other failure domains that it watches besides."""
+"""The number of further hosts that each host watches, in other failure domains than its own.
+
+If no further host is in another failure domain, the next ones on the ring are watched.
+"""
 
 DIGEST_BUCKETS = 64
+"""The length of a digest of the usable hosts, one number for each bucket of hashed ids."""
+
 RING_SIZE = 2**64
 USABLE_STATES = (MemberState.ALIVE, MemberState.SUSPECT)
 
 
 def is_usable(member: Member) -> bool:
-    """Tell whether a host so believed may own services."""
+    """Return whether a host in the state of ``member`` may own services."""
     return member.state in USABLE_STATES
 
 
 def supersedes(new: Member, known: Member) -> bool:
-    """Tell whether ``new`` replaces ``known``, a belief about the same host.
+    """Return whether ``new`` replaces ``known``, an entry of the same host.
 
-    A later incarnation wins. Within one, leaving wins for good; then the higher counter, by which
-    the host refutes; then the worse state. The order is total, so that hosts that hear the same
-    beliefs end with the same one, in whatever order they hear them.
+    The later incarnation (run of the host's process) wins. Within one incarnation, leaving wins
+    over every other state; then the higher counter wins, which the host itself raises to refute
+    that it is suspect or dead; then the worse state. The order is total, so hosts that receive
+    the same updates end with the same entry, in whatever order the updates arrive.
     """
     return _precedence(new) > _precedence(known)
 
 
 def needs_correction(received: Member, known: Member) -> bool:
-    """Tell whether whoever believes ``told`` would route otherwise than by ``known``."""
+    """Return whether a host that holds ``received`` would route otherwise than by ``known``."""
     return received.incarnation != known.incarnation or is_usable(received) != is_usable(known)
 
 
 def choose_neighbours(own: Member, others: Iterable[Member]) -> list[Member]:
-    """Return the hosts that ``own`` watches: a bounded number, all where they are few."""
+    """Return the hosts that ``own`` watches: a bounded number, or all if there are few."""
     start = _position(own.host)
     ring = sorted(others, key=lambda member: (_position(member.host) - start) % RING_SIZE)
     rest = ring[NEAR_NEIGHBOURS:]
@@ -48,17 +54,20 @@
 
 
 def bucket_of(host: HostId) -> int:
-    """Return the place of ``host`` in a digest."""
+    """Return the index of the digest bucket that ``host`` belongs to."""
     return xxhash.xxh32_intdigest(host.encode()) % DIGEST_BUCKETS
 
 
 def fingerprint(member: Member) -> int:
-    """Return a number that stands for one incarnation of a host."""
+    """Return a hash that identifies one incarnation of a host."""
     return xxhash.xxh32_intdigest(f"{member.host}|{member.incarnation}".encode())
 
 
 def digest_of(members: Iterable[Member]) -> tuple[int, ...]:
-    """Sum up the usable hosts, one number a bucket; the order of ``members`` does not matter."""
+    """Return a digest of the usable hosts: the XOR of their fingerprints in each bucket.
+
+    The order of ``members`` does not matter.
+    """
     buckets = [0] * DIGEST_BUCKETS
     for member in members:
         if is_usable(member):
@@ -67,7 +76,10 @@
 
 
 def differing_buckets(own: Sequence[int], other: Sequence[int]) -> set[int]:
-    """Return the places in which two digests differ; none where there is nothing to compare."""
+    """Return the buckets in which two digests differ, none if their lengths differ.
+
+    A message without a digest carries an empty one, so there is nothing to compare then.
+    """
     if len(own) != len(other):
         return set()
     return {bucket for bucket, value in enumerate(own) if other[bucket] != value}
--- a/src/masticgate/process/_members.py
+++ b/src/masticgate/process/_members.py
@@ -1,4 +1,4 @@
-"""What this host believes of the other hosts, and what it still has to tell them."""
+"""The membership table: the state of each known host, and the updates still to be sent."""
 
 from collections import OrderedDict
 from collections.abc import Callable, Iterable, Sequence
@@ -23,20 +23,29 @@
 from ._timeline import EventKind, TimeLine
 
 RETRANSMIT_FACTOR = 3
-"""A changed belief is sent this many times the logarithm of the number of hosts."""
+"""An update is sent this many times the binary logarithm of the number of hosts, rounded up."""
 
 MAX_UPDATES_PER_MESSAGE = 20
-"""The most changed beliefs that one message carries."""
+"""The most membership updates that one message carries."""
 
 DEPARTED_MEMBER_TTL = Millis(7_200_000.0)
-"""A host that left or died is listed and probed for this long."""
+"""A host that left or died stays in the table, listed and probed, for this long."""
 
 MAX_TOMBSTONES = 10_000
-"""The number of forgotten hosts of which old beliefs are still refused, the latest."""
+"""The most removed hosts whose last state is kept to refuse older updates about them.
+
+The host that was removed first is dropped first.
+"""
 
 
 class Members:
-    """Beliefs about hosts, merged by :func:`supersedes`."""
+    """The state of each host as known to this host, merged by :func:`supersedes`.
+
+    A host's incarnation tells one run of its process from the next. ``own`` is this host's own
+    entry, ``tombstones`` holds the last state of removed hosts, and ``remaining_sends`` says how
+    often the update about a host is still to be sent. ``on_change`` is called with the entries
+    that changed, without the lock.
+    """
 
     def __init__(
         self,
@@ -59,7 +68,11 @@
         self.digest = list(digest_of([own]))
 
     def merge(self, members: Iterable[Member]) -> tuple[Member, ...]:
-        """Merge what is newer; return the newer beliefs that the sender of these lacks."""
+        """Merge the newer ones of ``members``; return corrections for their sender.
+
+        A correction is the entry known here to a host about which the sender's entry is outdated
+        in its incarnation, or in whether the host is usable.
+        """
         changed: list[Member] = []
         corrections: list[Member] = []
         with self.lock:
@@ -70,31 +83,34 @@
         return tuple(corrections)
 
     def declare(self, member: Member, state: MemberState) -> None:
-        """Believe ``state`` of the host of ``member`` unless something newer is known."""
+        """Set the state of the host of ``member`` unless a newer entry is known."""
         self.merge([replace(member, state=state)])
 
     def leave(self) -> None:
-        """Believe for good that this host leaves."""
+        """Mark this host as leaving, which lasts for the rest of its incarnation."""
         self.declare(self.own, MemberState.LEAVING)
 
     def get(self, host: HostId) -> Member | None:
-        """Return the belief about ``host``."""
+        """Return the entry of ``host``, or ``None`` if the host is not known."""
         return self.members.get(host)
 
     def list_members(self) -> list[Member]:
-        """Return all beliefs, own host included, by host."""
+        """Return the entries of all hosts, this one included, sorted by host id."""
         with self.lock:
             return sorted(self.members.values(), key=lambda member: member.host)
 
     def list_usable(self) -> list[HostId]:
-        """Return the hosts that may own services; the same list until it changes."""
+        """Return the hosts that may own services.
+
+        The list object stays the same until its content changes, so callers can compare identity.
+        """
         with self.lock:
             if self.usable_cache is None:
                 self.usable_cache = list(self.usable_hosts)
             return self.usable_cache
 
     def next_updates(self) -> tuple[Member, ...]:
-        """Return the changed beliefs for one message, and count them as sent once more."""
+        """Return the updates for one message, and count each as sent once more."""
         with self.lock:
             hosts = sorted(self.remaining_sends, key=lambda host: -self.remaining_sends[host])[
                 :MAX_UPDATES_PER_MESSAGE
@@ -106,7 +122,10 @@
             return tuple(self.members[host] for host in hosts if host in self.members)
 
     def compare_digest(self, peer_digest: Sequence[int]) -> tuple[tuple[Member, ...], bool]:
-        """Return what to tell a host with the digest ``theirs``, and whether it differs."""
+        """Return the entries to send to a host with ``peer_digest``, and whether it differs.
+
+        The entries are those of the differing buckets, tombstones included.
+        """
         with self.lock:
             differing = differing_buckets(self.digest, peer_digest)
             if not differing:
@@ -115,7 +134,7 @@
         return tuple(m for m in held if bucket_of(m.host) in differing), True
 
     def remove_expired(self) -> None:
-        """Drop hosts that left or died long ago; older beliefs about them stay refused."""
+        """Remove hosts that left or died long ago; older updates about them stay refused."""
         limit = self.clock.now() - DEPARTED_MEMBER_TTL
         with self.lock:
             for host, member in list(self.members.items()):
@@ -147,7 +166,11 @@
             corrections.append(self.own)
 
     def _refutation(self, member: Member) -> Member | None:
-        """Return the new belief about this host itself, ``None`` where nothing changes."""
+        """Return the new entry of this host in reply to ``member``, ``None`` if it stays as it is.
+
+        A report that this host is suspect or dead is refuted by a higher counter; a report that it
+        is leaving is accepted.
+        """
         own = self.own
         if member.incarnation != own.incarnation or not supersedes(member, own):
             return None
@@ -172,7 +195,7 @@
         self.timeline.add(EventKind.MEMBER_CHANGED, member.host, detail)
 
     def _update_usable(self, member: Member) -> None:
-        """Bring the digest and the list of usable hosts up to date."""
+        """Update the digest and the set of usable hosts after ``member`` was stored."""
         if is_usable(member):
             self.digest[bucket_of(member.host)] ^= fingerprint(member)
         if is_usable(member) == (member.host in self.usable_hosts):
--- a/src/masticgate/process/_messages.py
+++ b/src/masticgate/process/_messages.py
@@ -1,4 +1,4 @@
-"""The messages that hosts exchange for as long as their processes live."""
+"""Messages between hosts that belong to no single request: membership, versions, pressure."""
 
 from dataclasses import dataclass
 from enum import IntEnum
@@ -9,7 +9,7 @@
 
 
 class MemberState(IntEnum):
-    """What is believed of a host; the values are part of the protocol."""
+    """The state of a host as other hosts know it; the values are part of the protocol."""
 
     ALIVE = 0
     SUSPECT = 1
@@ -19,10 +19,11 @@
 
 @dataclass(frozen=True, slots=True)
 class Member:
-    """One belief about one host, as it spreads from host to host.
+    """The state of one host as one host knows it; sent from host to host as an update.
 
-    The host raises ``counter`` to refute that it is suspect or dead. The incarnation is 0 where
-    only the platform's host list named the host.
+    The incarnation identifies one run of the host's process; it is 0 if the host is known only
+    from the platform's host list or the settings. The host raises ``counter`` to refute that it
+    is suspect or dead.
     """
 
     host: HostId
@@ -35,9 +36,9 @@
 
 @dataclass(frozen=True, slots=True)
 class Hello:
-    """Opens a peer connection, in both directions.
+    """The first message on a connection between hosts, sent in both directions.
 
-    ``oldest_protocol`` and ``newest_protocol`` are the protocol versions that the sender speaks.
+    ``oldest_protocol`` and ``newest_protocol`` bound the protocol versions that the sender speaks.
     """
 
     host: HostId
@@ -50,10 +51,12 @@
 
 @dataclass(frozen=True, slots=True)
 class Heartbeat:
-    """Says that the sender lives; carries changed beliefs and what versions it has.
+    """Shows that the sender is alive; carries membership updates and the sender's versions.
 
-    ``events`` is the number of the latest event on the sender's time line. ``digest`` sums up the
-    hosts that the sender believes usable, where it carries one.
+    ``events`` is the sequence number of the latest event on the sender's time line. ``versions``
+    names the revision of the configuration and the snapshot catalogue that the sender has.
+    ``digest`` is a digest of the hosts that the sender knows as usable; it is empty if the
+    heartbeat carries none.
     """
 
     events: int
@@ -64,7 +67,10 @@
 
 @dataclass(frozen=True, slots=True)
 class HeartbeatReply:
-    """Answers a heartbeat; carries the beliefs that the sender of the heartbeat lacks."""
+    """Answers a heartbeat; carries the membership updates that its sender lacks.
+
+    The fields mean the same as those of :class:`Heartbeat`.
+    """
 
     events: int
     versions: Versions
@@ -74,7 +80,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RefusedCount:
-    """How many sub-queries of one service and rank an entry host refused lately."""
+    """The number of sub-queries of one service and rank that an entry host refused lately."""
 
     service: ServiceId
     rank: Rank
@@ -83,14 +89,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Demand:
-    """Tells an owner what its pressure made an entry host refuse."""
+    """Reports to an owner the sub-queries that an entry host refused because of its pressure."""
 
     refused: tuple[RefusedCount, ...]
 
 
 @dataclass(frozen=True, slots=True)
 class ServicePressure:
-    """The share of each rank's queries that a service can take, from 0 to 1, urgent first."""
+    """The share of each rank's queries that a service can admit, from 0 to 1, urgent first."""
 
     service: ServiceId
     admitted: tuple[float, float, float]
@@ -98,6 +104,6 @@
 
 @dataclass(frozen=True, slots=True)
 class Pressure:
-    """Tells an entry host what the sender's services can take."""
+    """Reports to an entry host what the sender's services can admit."""
 
     services: tuple[ServicePressure, ...]
--- a/src/masticgate/process/_peer_service.py
+++ b/src/masticgate/process/_peer_service.py
@@ -1,4 +1,4 @@
-"""Handles the messages of peers."""
+"""The handler of the messages that arrive from peers (other entry hosts)."""
 
 from collections.abc import Callable
 
@@ -25,10 +25,15 @@
 from ._versions import VersionStore
 
 ForwardRunner = Callable[[Forward, Callable[[ForwardReply], object]], None]
+"""Runs a forwarded booking and passes its reply to the second argument."""
 
 
 class PeerService:
-    """What this process does with each message, whichever link it came over."""
+    """Passes each message from a peer to the part of the process that handles it.
+
+    ``own`` is this host's own hello. The parts that need the links, or that are built after this
+    one, are set before the first message arrives.
+    """
 
     def __init__(
         self,
@@ -54,11 +59,15 @@
         return self.own
 
     def probe_heartbeat(self) -> Heartbeat:
-        """Return a heartbeat that only asks for an answer."""
+        """Return a heartbeat without updates, sent only to get a reply."""
         return Heartbeat(self.timeline.sequence, self.versions.versions(), ())
 
     def handle_link_opened(self, peer: Hello) -> None:
-        """Note that the link to ``peer`` is open; tell it what was believed of it."""
+        """Record that the link to ``peer`` is open, and send it a first heartbeat.
+
+        The heartbeat carries what this host last knew of the peer if that is outdated, so that a
+        peer that was declared dead refutes it.
+        """
         self.timeline.add(EventKind.LINK_OPENED, peer.host, f"incarnation {peer.incarnation}")
         corrections = self.members.merge([member_from_hello(peer)])
         digest = tuple(self.members.digest)
@@ -71,7 +80,7 @@
         self.links.send(peer.host, heartbeat)
 
     def handle_link_lost(self, host: HostId) -> None:
-        """Fail the requests that wait for ``host``."""
+        """Fail the requests that wait for a reply from ``host``, whose link is lost."""
         self.timeline.add(EventKind.LINK_LOST, host)
         self.reply_router.fail_pending(host)
 
@@ -131,5 +140,5 @@
 
 
 def member_from_hello(peer: Hello) -> Member:
-    """Return the belief that a hello gives rise to."""
+    """Return the membership entry of the host that sent ``peer``: alive, in its incarnation."""
     return Member(peer.host, peer.address, peer.failure_domain, peer.incarnation, MemberState.ALIVE)
--- a/src/masticgate/process/_reply_router.py
+++ b/src/masticgate/process/_reply_router.py
@@ -1,4 +1,4 @@
-"""Finds the inbox that a reply from a peer belongs to."""
+"""Routes each reply from a host to the inbox of the request that waits for it."""
 
 from collections.abc import Callable
 from dataclasses import dataclass
@@ -28,7 +28,8 @@
 class ReplyRouter:
     """The messages that await a reply, by query and by host.
 
-    ``learn`` is told of the outcomes of bookings that nobody waits for any more.
+    ``on_late_outcome`` is called with the outcome of a booking for which no request waits any
+    more.
     """
 
     def __init__(self, on_late_outcome: Callable[[QueryId, BookingOutcome], None]) -> None:
@@ -42,7 +43,7 @@
             self.pending.setdefault(message.query, {})[host] = _PendingRequest(message, inbox)
 
     def unregister(self, host: HostId, query: QueryId) -> None:
-        """Forget one message that was not sent."""
+        """Remove one message that could not be sent."""
         with self.lock:
             hosts = self.pending.get(query, {})
             hosts.pop(host, None)
@@ -50,12 +51,12 @@
                 self.pending.pop(query, None)
 
     def unregister_query(self, query: QueryId) -> None:
-        """Drop replies to ``query`` from now on."""
+        """Drop the replies to ``query`` that arrive from now on."""
         with self.lock:
             self.pending.pop(query, None)
 
     def deliver(self, host: HostId, reply: Reply | BookReply | ForwardReply) -> None:
-        """Put ``reply`` into the inbox that waits for it, if one still does."""
+        """Put ``reply`` into the inbox that waits for it; report a late booking outcome."""
         with self.lock:
             request = self.pending.get(reply.query, {}).get(host)
         if request is not None:
@@ -64,7 +65,7 @@
             self.on_late_outcome(reply.query, reply.outcome)
 
     def fail_pending(self, host: HostId) -> None:
-        """Tell every inbox that waits for ``host`` that it was lost."""
+        """Put a failed reply into every inbox that waits for ``host``, which is lost."""
         with self.lock:
             unanswered = [hosts[host] for hosts in self.pending.values() if host in hosts]
         failure = Unknown(Reason.OWNER_LOST, Step.FORWARD, peer=host)
