--- a/src/masticgate/connection/gateway/_inbox.py
+++ b/src/masticgate/connection/gateway/_inbox.py
@@ -116,7 +116,7 @@
         self.batch_size = number
 
     def wait(self, deadline: Millis) -> Call | CallerDisconnected | None:
-        """Return the next finished call, or ``None`` at ``until``."""
+        """Return the next finished call, or ``None`` at ``deadline``."""
         while True:
             self.wakeable_socket.waiting = True
             if self.finished:
--- a/src/masticgate/request/__init__.py
+++ b/src/masticgate/request/__init__.py
@@ -1,4 +1,7 @@
-"""What lives as long as one request: a search or a booking."""
+"""Code and state that last for one request, which is a search or a booking.
+
+The public names are loaded on first use, as :mod:`masticgate._lazy` describes.
+"""
 
 from typing import TYPE_CHECKING, Any
 
--- a/src/masticgate/request/_booking.py
+++ b/src/masticgate/request/_booking.py
@@ -1,4 +1,9 @@
-"""Runs one booking at most once, by the ticket that a host minted for it."""
+"""Runs a booking at most once, under the ticket that a host minted for it.
+
+A ticket allows one attempt at a time. The host that minted it, the minter, sends each attempt to
+the owner of the service, which is the host that sends requests to the service's searchers. Every
+other host forwards the booking to the minter.
+"""
 
 from collections.abc import Sequence
 from concurrent.futures import Future
@@ -15,17 +20,18 @@
 from ._runtime import Inbox, Runtime
 
 ANSWER_RESERVE = Millis(5.0)
-"""Kept back from the deadline for returning the outcome to the caller."""
+"""Time before the deadline that is reserved for returning the outcome to the caller."""
 
 CANCEL_TIMEOUT = Millis(50.0)
-"""How long an owner may take to confirm that a cancelled booking did not run."""
+"""Longest wait for an owner to confirm that a cancelled booking did not run."""
 
 
 @dataclass(frozen=True, slots=True)
 class Booking:
-    """A caller's booking or work order; it is not idempotent.
+    """A caller's booking or work order, which is not idempotent.
 
-    ``host`` and ``incarnation`` name the minter of the ticket.
+    ``host`` and ``incarnation`` identify the minter of ``ticket``: a host, and one run of it.
+    ``deadline`` is a point on this host's monotonic clock.
     """
 
     id: QueryId
@@ -39,29 +45,33 @@
 
 
 class Tickets(Protocol):
-    """The tickets that this incarnation minted."""
+    """The tickets that this run of the host minted, and the outcomes of their attempts."""
 
     def begin(self, booking: Booking) -> "Attempt | Future[BookingOutcome] | NotRun | Unknown":
-        """Start an attempt, join the one that runs, or say why neither can be."""
+        """Begin an attempt under the ticket of ``booking``.
+
+        Return a future if an attempt already runs, or has run, under this ticket: its result is
+        the outcome of that attempt. Return a failure if the ticket allows no attempt.
+        """
         ...
 
     def record_outcome(self, attempt: "Attempt", outcome: BookingOutcome) -> None:
-        """Record the outcome of ``attempt`` and tell all that joined it."""
+        """Record the outcome of ``attempt`` and pass it to every request that waits for it."""
         ...
 
 
 @dataclass(frozen=True, slots=True)
 class Attempt:
-    """The right to send a booking once."""
+    """Permission to send a booking once; ``number`` counts the attempts under one ticket."""
 
     ticket: TicketId
     number: int
 
 
 def run_booking(booking: Booking, tickets: Tickets, runtime: Runtime) -> BookingOutcome:
-    """Run ``booking``, at most once for its ticket, and return what became of it.
+    """Run ``booking`` at most once under its ticket, and return its outcome.
 
-    ``NotRun`` is returned only where the booking did not run and will not under this attempt.
+    ``NotRun`` is returned only if the booking did not run and this attempt can no longer run it.
     """
     if not runtime.is_own_ticket(booking.ticket):
         return _forward(booking, runtime)
@@ -78,7 +88,7 @@
 def _run_attempt(
     booking: Booking, attempt: Attempt, tickets: Tickets, runtime: Runtime
 ) -> BookingOutcome:
-    """Run ``attempt`` and settle it, also where an exception ends it."""
+    """Run ``attempt`` and record its outcome, also when an exception ends it."""
     outcome: BookingOutcome = Unknown(Reason.INTERNAL, Step.TICKET)
     try:
         outcome = _send_once(booking, attempt, runtime)
@@ -98,7 +108,11 @@
 
 
 def _forward(booking: Booking, runtime: Runtime) -> BookingOutcome:
-    """Ask the minter; an earlier try may have run there, so its loss leaves it unknown."""
+    """Forward ``booking`` to the minter of its ticket and return the minter's outcome.
+
+    If the minter is unreachable or does not reply, the outcome is unknown, since an earlier
+    request may have run the booking there.
+    """
     inbox = runtime.open_inbox()
     message = Forward(
         booking.id,
@@ -130,7 +144,10 @@
 def _send_to_owner(
     booking: Booking, attempt: Attempt, owners: Sequence[HostId], runtime: Runtime
 ) -> BookingOutcome:
-    """Send to the first owner that takes the message; after that nobody else is asked."""
+    """Send the booking to the first of ``owners`` to which it can be sent, and to no other.
+
+    Once the message has been sent, that owner may have run the booking.
+    """
     for owner in owners:
         inbox = runtime.open_inbox()
         if runtime.clock.now() >= booking.deadline - ANSWER_RESERVE:
--- a/src/masticgate/request/_merge.py
+++ b/src/masticgate/request/_merge.py
@@ -1,4 +1,4 @@
-"""Merges the replies of one search and counts the coverage that they truly have."""
+"""Merges the replies to one search and computes the coverage of the merged answer."""
 
 from collections.abc import Iterable
 from dataclasses import dataclass
@@ -13,7 +13,7 @@
 
 @dataclass(frozen=True, slots=True)
 class MissingShard:
-    """A shard that the answer does not cover, and why."""
+    """A shard that an answer does not cover, and the failure that caused it."""
 
     service: ServiceId
     shard: ShardId
@@ -22,11 +22,12 @@
 
 @dataclass(frozen=True, slots=True)
 class Answer:
-    """The answer to one search, all of it from ``snapshot``.
+    """The answer to one search; all hits come from ``snapshot``, one version of the index.
 
-    ``coverage`` is the weight of the merged shards over the weight of all needed shards of the
-    snapshot's own shard map, from 0 to 1. A needed service that the shard map lacks is missing:
-    it counts as much as the average of the others.
+    ``coverage`` is the weight of the merged shards divided by the weight of all needed shards,
+    from 0 to 1. The needed shards and their weights are those of the snapshot's shard map. A
+    needed service without shards in this map counts as missing, with the average weight of the
+    other needed services.
     """
 
     query: QueryId
@@ -38,12 +39,15 @@
 
     @property
     def whole(self) -> bool:
-        """Tell whether no needed shard is missing."""
+        """Return whether no needed shard is missing."""
         return not self.missing
 
 
 class Merge:
-    """Collects the replies of one attempt at one snapshot; each shard counts once."""
+    """Collects the replies to one search of one snapshot, and merges each shard at most once.
+
+    ``pending`` holds the services that have neither replied nor failed yet.
+    """
 
     def __init__(self, scope: Scope, snapshot: Snapshot) -> None:
         self.scope = scope
@@ -54,7 +58,10 @@
         self.pending = {s.id for s in scope.remaining if snapshot.shards_of(s.id)}
 
     def add_hits(self, service: ServiceId, hits: Hits) -> bool:
-        """Merge ``hits``; return ``False`` where they are late, duplicate or of another version."""
+        """Merge the ``hits`` of ``service`` and return whether they were merged.
+
+        Hits are ignored if they are late, a duplicate, or of another version of the index.
+        """
         if service not in self.pending or hits.snapshot != self.snapshot.version:
             return False
         snapshot_shards = self.snapshot.shards_of(service)
@@ -65,18 +72,18 @@
         return True
 
     def add_failure(self, service: ServiceId, failure: Failure) -> None:
-        """Give up on ``service``."""
+        """Record ``failure`` as the result of ``service``, if it is still pending."""
         if service in self.pending:
             self.pending.discard(service)
             self.failures[service] = failure
 
     def fail_pending(self, failure: Failure) -> None:
-        """Give up on every service still waited for."""
+        """Record ``failure`` as the result of every service that is still pending."""
         for service in tuple(self.pending):
             self.add_failure(service, failure)
 
     def build_answer(self, query: QueryId, rank: Rank, limit: int) -> Answer:
-        """Return the answer with its ``limit`` best hits and its true coverage."""
+        """Return the answer with the ``limit`` best hits and the coverage of the merged shards."""
         missing = tuple(self._list_missing())
         coverage = 1.0 if not missing else self._coverage()
         hits = tuple(nlargest(limit, self.hits, key=lambda hit: (hit.score, hit.id)))
@@ -103,13 +110,16 @@
                 if shard not in covered:
                     yield MissingShard(service.id, shard, self._failure_of(service.id))
         for name in self._find_services_without_shards():
-            detail = f"snapshot {self.snapshot.version} has no shards of it"
+            detail = f"snapshot {self.snapshot.version} has no shards of this service"
             yield MissingShard(
                 name, ShardId(""), NotRun(Reason.NO_SNAPSHOT, Step.PIN, name, detail)
             )
 
     def _find_services_without_shards(self) -> list[ServiceId]:
-        """Return the services to search that the shard map lacks; one for bookings needs none."""
+        """Return the needed services that the shard map lacks.
+
+        A service that runs bookings needs no shards.
+        """
         return [
             service.id
             for service in self.scope.needed
--- a/src/masticgate/request/_messages.py
+++ b/src/masticgate/request/_messages.py
@@ -1,4 +1,9 @@
-"""The messages of one request between its entry host and the owners of services."""
+"""Messages that hosts exchange about one request.
+
+The entry host received the request from its caller. It sends the parts of a search and the
+attempts of a booking to the owners of the services, which are the hosts that send requests to the
+services' searchers.
+"""
 
 from dataclasses import dataclass
 
@@ -18,7 +23,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Hit:
-    """One result; ``document`` is the searcher's own JSON text."""
+    """One hit of a search; ``document`` is the JSON text that the searcher returned for it."""
 
     id: str
     score: float
@@ -28,7 +33,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Hits:
-    """What a searcher found, in which shards, of which snapshot."""
+    """The hits of one service, the shards that were searched, and the snapshot they are from."""
 
     snapshot: SnapshotVersion
     shards: tuple[ShardId, ...]
@@ -37,7 +42,10 @@
 
 @dataclass(frozen=True, slots=True)
 class VersionGone:
-    """The searchers no longer hold, or do not yet hold, the snapshot asked for."""
+    """The searchers of a service do not hold ``snapshot``, no longer or not yet.
+
+    ``held`` lists the versions that they hold.
+    """
 
     snapshot: SnapshotVersion
     held: tuple[SnapshotVersion, ...]
@@ -48,7 +56,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ServicePart:
-    """The part of a search that one service answers."""
+    """The part of a search that is sent to one service, with the shards to search."""
 
     service: ServiceId
     shards: tuple[ShardId, ...]
@@ -56,10 +64,11 @@
 
 @dataclass(frozen=True, slots=True)
 class Ask:
-    """Asks an owner for the parts of one search; ``remaining`` is the time left.
+    """Asks an owner to run ``parts`` of one search.
 
-    ``admission_number`` is drawn once per query, uniformly from [0, 1); it orders the overloaded
-    queues of all owners alike.
+    ``remaining`` is the remaining time for the search in milliseconds. ``admission_number`` is
+    drawn once for each query, uniformly from [0, 1), so that all owners order the queries in
+    overloaded queues in the same way.
     """
 
     query: QueryId
@@ -73,7 +82,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Reply:
-    """An owner's result for one service of a search."""
+    """The result of one service of a search, sent by its owner."""
 
     query: QueryId
     service: ServiceId
@@ -82,14 +91,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Cancel:
-    """Tells an owner that nobody waits for a query or a booking attempt any more."""
+    """Asks an owner to cancel a query or a booking attempt whose outcome is no longer needed."""
 
     query: QueryId
 
 
 @dataclass(frozen=True, slots=True)
 class Ran:
-    """A booking ran; ``result`` is the searcher's own JSON text."""
+    """The outcome of a booking that ran; ``result`` is the JSON text that the searcher returned."""
 
     result: str
 
@@ -112,7 +121,7 @@
 
 @dataclass(frozen=True, slots=True)
 class BookReply:
-    """An owner's outcome for one attempt of a booking."""
+    """The outcome of one attempt of a booking, sent by the owner that ran it."""
 
     query: QueryId
     outcome: BookingOutcome
@@ -120,7 +129,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Forward:
-    """Hands a booking to the host whose incarnation minted its ticket."""
+    """Forwards a booking to the host that minted its ticket.
+
+    ``incarnation`` identifies the run of that host in which it minted the ticket.
+    """
 
     query: QueryId
     incarnation: Incarnation
@@ -133,7 +145,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ForwardReply:
-    """The minting host's outcome for a forwarded booking."""
+    """The outcome of a forwarded booking, sent by the host that minted its ticket."""
 
     query: QueryId
     outcome: BookingOutcome
@@ -141,7 +153,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Delivery:
-    """One message that reached the inbox of a request, and the host it came from."""
+    """A message in the inbox of a request, and the host that sent it."""
 
     source: HostId
     message: Reply | BookReply | ForwardReply
--- a/src/masticgate/request/_public.py
+++ b/src/masticgate/request/_public.py
@@ -1,4 +1,4 @@
-"""The public names of :mod:`masticgate.request`, loaded on first use."""
+"""The public names of :mod:`masticgate.request`, which are loaded on first use."""
 
 from ._booking import Attempt as Attempt
 from ._booking import Booking as Booking
--- a/src/masticgate/request/_runtime.py
+++ b/src/masticgate/request/_runtime.py
@@ -1,4 +1,7 @@
-"""What a request needs of the process that runs it."""
+"""Interfaces through which a request uses the process that runs it.
+
+They keep sockets, codecs and threads out of the code that runs searches and bookings.
+"""
 
 from collections.abc import Sequence
 from typing import Protocol
@@ -12,47 +15,53 @@
 
 
 class Inbox(Protocol):
-    """Where the replies to one request arrive, from any task."""
+    """Queue of the replies to one request; any task may add to it."""
 
     def put(self, item: Delivery) -> None:
         """Add a delivery."""
         ...
 
     def get(self, block: bool = True, timeout: float | None = None) -> Delivery:
-        """Wait up to ``timeout`` seconds for the next delivery.
+        """Wait up to ``timeout`` seconds for the next delivery and return it.
 
-        :raises queue.Empty: none came in time.
+        :raises queue.Empty: no delivery arrived within ``timeout``.
         """
         ...
 
 
 class Runtime(Protocol):
-    """The process around a request; it hides sockets, codecs and threads."""
+    """What the process provides to a request: state, messages to other hosts, and budgets."""
 
     clock: Clock
 
     def configuration(self) -> Configuration | None:
-        """Return the configuration in force, ``None`` before the first."""
+        """Return the configuration in force, or ``None`` before the first one is applied."""
         ...
 
     def pin_snapshot(
         self, services: Sequence[ServiceId], tried: frozenset[SnapshotVersion]
     ) -> Snapshot | None:
-        """Return the snapshot to search, none of ``tried``; ``None`` where there is no other."""
+        """Return the snapshot of the index in which to search ``services``.
+
+        Snapshots in ``tried`` are not returned again. Return ``None`` if there is no other one.
+        """
         ...
 
     def record_version_gone(
         self, service: ServiceId, snapshot: SnapshotVersion, held: Sequence[SnapshotVersion]
     ) -> None:
-        """Remember that ``service`` holds ``held`` and not ``snapshot``."""
+        """Record that the searchers of ``service`` hold ``held`` and do not hold ``snapshot``."""
         ...
 
     def admit(self, rank: Rank, admission_number: float, scope: Scope) -> NotRun | None:
-        """Refuse a query that would not finish, or return ``None``."""
+        """Return a refusal if the services of ``scope`` could not finish the query, else ``None``.
+
+        ``admission_number`` is the random number of the query, as in :class:`Ask`.
+        """
         ...
 
     def owners(self, service: ServiceId) -> Sequence[HostId]:
-        """Return the hosts to ask for ``service``, the owner first."""
+        """Return the hosts to which requests for ``service`` may be sent, the owner first."""
         ...
 
     def open_inbox(self) -> Inbox:
@@ -62,25 +71,32 @@
     def send(
         self, host: HostId, message: Ask | Book | Cancel | Forward, inbox: Inbox | None
     ) -> NotRun | None:
-        """Send to ``host``; replies go to ``inbox``. ``NotRun`` means that nothing was sent."""
+        """Send ``message`` to ``host`` and deliver the replies to ``inbox``.
+
+        Return ``NotRun`` if the message was not sent.
+        """
         ...
 
     def discard_replies(self, query: QueryId) -> None:
-        """Drop replies to ``query`` from now on."""
+        """Discard replies to ``query`` that arrive from now on."""
         ...
 
     def is_silent(self, host: HostId) -> bool:
-        """Tell whether ``host`` has sent nothing for longer than a live host would."""
+        """Return whether ``host`` has sent nothing for longer than a live host would."""
         ...
 
     def allow_repeats(self, parts: int) -> bool:
-        """Take ``parts`` from the budget of work that is asked of a second owner meanwhile."""
+        """Spend ``parts`` of the budget for repeats, and return whether it covers them.
+
+        A repeat sends parts of a search to a second owner while the first, silent owner may still
+        answer.
+        """
         ...
 
     def probe(self, host: HostId) -> None:
-        """Ask ``host`` for a reply, which tells a slow host from a lost one."""
+        """Request a reply from ``host``, to distinguish a slow host from a lost one."""
         ...
 
     def is_own_ticket(self, ticket: TicketId) -> bool:
-        """Tell whether this incarnation minted ``ticket``."""
+        """Return whether this run of the host minted ``ticket``."""
         ...
--- a/src/masticgate/request/_search.py
+++ b/src/masticgate/request/_search.py
@@ -1,4 +1,8 @@
-"""Runs one search: admission, snapshot, fan-out, collection, merge."""
+"""Runs one search: admits it, pins a snapshot, sends the parts to owners, merges the replies.
+
+An owner is the host that sends requests to the searchers of a service. Pinning a snapshot fixes
+the version of the index that the whole answer comes from.
+"""
 
 from collections import defaultdict
 from collections.abc import Iterable
@@ -16,15 +20,16 @@
 from ._runtime import Inbox, Runtime
 
 ANSWER_RESERVE = Millis(4.0)
-"""Kept back from the deadline for the merge and for returning the answer to the caller."""
+"""Time before the deadline that is reserved for merging and for returning the answer."""
 
 SILENCE_CHECK_INTERVAL = Millis(40.0)
-"""How often a waiting search looks for owners that have gone silent."""
+"""Interval at which a waiting search checks for owners that no longer send anything."""
 
 MIN_RESTART_TIME = Millis(25.0)
-"""A search restarts on another snapshot only with at least this much time left."""
+"""A search restarts on another snapshot only if at least this long remains to its deadline."""
 
 MAX_OWNERS_TRIED = 3
+"""Number of owners to which one search sends the part of one service, at most."""
 
 OWNER_FAILURES = frozenset(
     {
@@ -36,9 +41,10 @@
         Reason.UNKNOWN_SERVICE,
     }
 )
-"""Failures of an owner, after which another host may be asked: a search is idempotent.
+"""Failures of an owner after which the search tries another host; a search is idempotent.
 
-An owner that has just started, or hears of an edit later, knows fewer services than this host.
+An owner may lack a service that this host knows, if it has just started or receives an edit of
+the configuration later.
 """
 
 
@@ -56,10 +62,11 @@
 
 
 def run_search(query: Query, runtime: Runtime) -> Answer | NotRun:
-    """Run ``query`` and return its answer, or why it did not run.
+    """Run ``query`` and return its answer, or a failure if it did not run.
 
-    The answer comes whole from one snapshot. Where the snapshot goes away meanwhile, the search
-    starts again whole on another while the deadline allows, else it answers with less coverage.
+    All hits of the answer come from one snapshot. If searchers no longer hold this snapshot, the
+    whole search restarts on another one. If the deadline does not allow that, or no other snapshot
+    is left, the answer has less coverage.
     """
     configuration = runtime.configuration()
     if configuration is None:
@@ -94,7 +101,12 @@
 
 
 class _Attempt:
-    """One fan-out of a query at one snapshot."""
+    """One run of a query over one snapshot.
+
+    ``pinned`` holds every snapshot that was tried for the query, this one included. ``tried``
+    lists the owners that were tried for each service, in order, and ``unanswered`` holds those
+    that have not replied.
+    """
 
     def __init__(
         self,
@@ -117,7 +129,10 @@
         self.next_silence_check = Millis(runtime.clock.now() + SILENCE_CHECK_INTERVAL)
 
     def run(self) -> bool:
-        """Ask, collect until done or late; return ``False`` to restart on another snapshot."""
+        """Send the parts to owners and collect replies until all are there or time is up.
+
+        Return ``False`` if the search should restart on another snapshot.
+        """
         collection_end = Millis(self.query.deadline - ANSWER_RESERVE)
         self._ask_next_owners(tuple(self.merge.pending))
         while self.merge.pending and not self.restart_needed:
@@ -194,7 +209,7 @@
                 self._handle_failure(service, failure, delivery.source)
 
     def _can_restart(self) -> bool:
-        """Tell whether another snapshot and the time for it are left."""
+        """Return whether another snapshot exists and enough time remains to search it."""
         if self.runtime.clock.now() > self.query.deadline - MIN_RESTART_TIME:
             return False
         needed = [service.id for service in self.merge.scope.remaining]
@@ -221,7 +236,7 @@
             self._ask_next_owners(silent)
 
     def _cancel_unanswered(self) -> None:
-        """Cancel what is still asked for, at silent owners that were left too."""
+        """Cancel every part without a reply, also at silent owners that were replaced."""
         for host in {host for _, host in self.unanswered}:
             self.runtime.send(host, Cancel(self.id), None)
         for service in tuple(self.merge.pending):
