--- a/src/masticgate/request/gateway/__init__.py
+++ b/src/masticgate/request/gateway/__init__.py
@@ -1,4 +1,4 @@
-"""What lives for one request of a gateway: its sends, their outcomes and its reply."""
+"""Code and state for one request that a gateway serves: attempts, their outcomes, the reply."""
 
 from ._attempts import Attempts as Attempts
 from ._exchange import Answered as Answered
--- a/src/masticgate/request/gateway/_attempts.py
+++ b/src/masticgate/request/gateway/_attempts.py
@@ -1,4 +1,8 @@
-"""The sends of one request to one service: the first, and at most a few repeats."""
+"""The attempts of one request at one service: the first one and a few repeats.
+
+An attempt sends the request to one searcher. A repeat is a hedge, sent while an earlier attempt
+is slow, or a retry, sent after an attempt failed.
+"""
 
 from dataclasses import replace
 
@@ -19,7 +23,11 @@
 
 
 class Attempts:
-    """Sends one request to searchers of one service within the route's bound of attempts."""
+    """Sends one request to searchers of one service, at most as often as the route allows.
+
+    ``tried`` holds the searchers that were sent to. ``failure`` is the latest reason for which
+    there is no answer, and ``repeat_failure`` the reason for which the latest repeat was not sent.
+    """
 
     def __init__(
         self,
@@ -49,37 +57,40 @@
 
     @property
     def pending(self) -> bool:
-        """Tell whether a send is on its way."""
+        """Return whether an attempt has no outcome yet."""
         return bool(self.in_flight_calls)
 
     @property
     def pending_started(self) -> bool:
-        """Tell whether a byte of a send on its way may have left."""
+        """Return whether a byte of an attempt without an outcome may have been sent."""
         return any(in_flight_call.call.started for in_flight_call in self.in_flight_calls.values())
 
     @property
     def started(self) -> bool:
-        """Tell whether a searcher may have received the request."""
+        """Return whether a searcher may have received the request."""
         return self.reached_searcher or self.cancelled_after_start or self.pending_started
 
     @property
     def may_have_run(self) -> bool:
-        """Tell whether a searcher may have run the request; final after :meth:`cancel`."""
+        """Return whether a searcher may have run the request; final after :meth:`cancel`."""
         return self.possibly_ran or self.cancelled_after_start
 
     def send_first(self) -> bool:
-        """Send for the first time; return ``False`` where no searcher can take it."""
+        """Send the first attempt; return ``False`` if no searcher can accept it."""
         return self._send(None)
 
     def send_hedge(self) -> bool:
-        """Repeat a slow send at another searcher, where the bound and the budget allow it."""
+        """Send a hedge to another searcher, if the route's limit and the budget allow it.
+
+        At most one hedge is sent. Return whether it was.
+        """
         if self.hedged:
             return False
         self.hedged = True
         return self._repeat(Repeat.HEDGE)
 
     def handle_outcome(self, call: Call) -> bool:
-        """Take the outcome of one of the sends; return ``False`` if it is not one of these."""
+        """Record the outcome of ``call``; return ``False`` if it is not one of these attempts."""
         in_flight_call = self.in_flight_calls.pop(id(call), None)
         if in_flight_call is None:
             return False
@@ -99,32 +110,35 @@
         return True
 
     def retry(self) -> bool:
-        """Send again after a failure, where the bound and the budget allow it."""
+        """Send a retry after a failure, if the route's limit and the budget allow it."""
         return self._repeat(Repeat.RETRY)
 
     def build_failure(self) -> NotRun:
-        """Return why there is no answer, and how many searchers were asked."""
+        """Return the reason for which there is no answer, with the number of attempts."""
         detail = "; ".join(filter(None, (self.failure.detail, self.describe_attempts())))
         return replace(self.failure, detail=detail)
 
     def describe_attempts(self) -> str:
-        """Return how often the request was sent, and why not once more."""
+        """Return the number of attempts, and the reason for which a repeat was not sent."""
         if self.repeat_failure is None:
-            return f"sent {self.attempt_count}"
-        return f"sent {self.attempt_count}, repeat {describe_failure(self.repeat_failure)}"
+            return f"attempts: {self.attempt_count}"
+        return f"attempts: {self.attempt_count}, repeat {describe_failure(self.repeat_failure)}"
 
     def describe_missing_answer(self) -> str:
-        """Return in a few words why there is no answer."""
+        """Return a short text that says why the service has not answered."""
         if not self.in_flight_calls:
-            return f"{self.service}: {describe_failure(self.failure)}, sent {self.attempt_count}"
+            return (
+                f"{self.service}: {describe_failure(self.failure)}, "
+                f"attempts: {self.attempt_count}"
+            )
         asked = ", ".join(
             f"{s.searcher}{'' if s.call.started else ' (connecting)'}"
             for s in self.in_flight_calls.values()
         )
-        return f"{self.service}: no answer yet of {asked}, {self.describe_attempts()}"
+        return f"{self.service}: no answer yet from {asked}, {self.describe_attempts()}"
 
     def cancel(self) -> None:
-        """Cut every send on its way; one that has not started never will."""
+        """Cancel every attempt without an outcome; one that has not been sent never will be."""
         for in_flight_call in self.in_flight_calls.values():
             in_flight_call.cancel()
         self.cancelled_after_start = self.cancelled_after_start or self.pending_started
--- a/src/masticgate/request/gateway/_exchange.py
+++ b/src/masticgate/request/gateway/_exchange.py
@@ -1,4 +1,8 @@
-"""What a request sends to searchers, and what comes back."""
+"""Requests, the calls that send them to searchers, and the outcomes of the calls.
+
+The protocols describe what a request needs of the gateway: a queue of outcomes and a client that
+sends calls over the gateway's connections to searchers.
+"""
 
 from dataclasses import dataclass, field
 from enum import Enum
@@ -20,14 +24,15 @@
 
 @dataclass(frozen=True, slots=True)
 class Request:
-    """One attempt of a caller at a request.
-
-    ``target`` is the path with its query string, as received; ``headers`` are those to forward.
-    ``caller_timeout`` is how long the caller waits for its answer, counted from ``arrived_at``, in
-    milliseconds. ``is_first_on_connection`` is whether the caller opened its connection for this
-    request. ``network_time`` is the estimated part of the route's objective that passes on the
-    network between caller and gateway, both directions together. A request from another gateway
-    names the ``version`` of the configuration to serve it by.
+    """A request as a gateway received it, from a caller or from another gateway.
+
+    ``id`` is the caller's name for this attempt at the request. ``target`` is the path with its
+    query string, as received; ``headers`` are those to forward. ``caller_timeout`` is how long the
+    caller waits for its answer, counted from ``arrived_at``, in milliseconds.
+    ``is_first_on_connection`` is whether the caller opened its connection for this request.
+    ``network_time`` is the estimated part of the route's objective that the network between caller
+    and gateway takes, both directions together. A request from another gateway names the
+    ``version`` of the configuration by which it is served.
     """
 
     id: RequestId
@@ -44,17 +49,23 @@
 
     @property
     def path(self) -> str:
-        """The path without the query."""
+        """The path without the query string."""
         return self.target.partition(b"?")[0].decode("latin-1")
 
     def deadline(self, route: Route) -> Millis:
-        """Return when to give up: the caller's patience and the route's timeout bound it."""
+        """Return the time at which the request times out on ``route``.
+
+        The caller timeout applies if it is shorter than the route's timeout.
+        """
         caller_timeout = route.timeout if self.caller_timeout is None else self.caller_timeout
         return Millis(self.arrived_at + min(caller_timeout, route.timeout))
 
 
 class BodyFraming(Enum):
-    """What told that an answer was whole."""
+    """How the end of an answer's body was marked.
+
+    The body had a ``Content-Length``, came in chunks, or ended when the connection was closed.
+    """
 
     LENGTH = "length"
     CHUNKS = "chunks"
@@ -65,7 +76,8 @@
 class ReceiveInfo:
     """How an answer was received.
 
-    ``skipped`` counts the answers to other requests that came on its connection since the last.
+    ``skipped`` counts the answers to other requests that were discarded on the same connection
+    since its previous accepted answer.
     """
 
     connection: ConnectionNumber = ConnectionNumber(0)
@@ -74,7 +86,7 @@
 
     @property
     def is_regular(self) -> bool:
-        """Tell whether the answer said where it ends, and came alone."""
+        """Return whether the answer stated where it ends and no others were discarded before it."""
         return self.framing is not BodyFraming.CLOSE and not self.skipped
 
     def __str__(self) -> str:
@@ -88,9 +100,9 @@
 
 @dataclass(frozen=True, slots=True)
 class Answered:
-    """A searcher's whole answer, a failure of its own included.
+    """A complete answer of a searcher, which may report an error of the searcher.
 
-    ``stamp`` authenticates the answer; it is empty where the searcher sent none.
+    ``stamp`` authenticates the answer; it is empty if the searcher sent none.
     """
 
     searcher: SearcherId
@@ -103,13 +115,13 @@
 
     @property
     def is_success(self) -> bool:
-        """Tell whether a caller may take it as a success."""
+        """Return whether the answer may be returned to a caller as a success."""
         return 200 <= self.status < 300 and bool(self.stamp)
 
 
 @dataclass(frozen=True, slots=True)
 class Declined:
-    """The searcher said that it did not run the request."""
+    """The searcher reported that it did not run the request."""
 
     searcher: SearcherId
     reason: Reason
@@ -117,7 +129,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Lost:
-    """No answer came; the request may have run unless ``sent`` is ``False``."""
+    """No answer was received; the request may have run unless ``sent`` is ``False``."""
 
     searcher: SearcherId
     sent: bool
@@ -133,7 +145,10 @@
 
 
 class Repeat(Enum):
-    """Why a send is repeated."""
+    """Why a request is sent to a service again.
+
+    A hedge is sent while an earlier attempt is slow, a retry after an attempt failed.
+    """
 
     HEDGE = "hedge"
     RETRY = "retry"
@@ -141,10 +156,11 @@
 
 @dataclass(slots=True)
 class Call:
-    """One send of a request to one searcher; the connection's task fills in the outcome.
+    """One attempt: a request that is sent to one searcher.
 
-    ``deadline`` is on the gateway's clock. ``started`` turns ``True`` before the first byte is
-    sent, and ``cancelled`` when nobody waits for the outcome any more.
+    The task of the searcher's connection sets ``outcome``. ``deadline`` is a point on the
+    gateway's clock. ``started`` is set before the first byte is sent, and ``cancelled`` when the
+    outcome is no longer needed.
     """
 
     request: Request
@@ -159,51 +175,60 @@
 
 
 class Inbox(Protocol):
-    """Where the task of one request waits for outcomes and for its caller to leave."""
+    """Queue on which the task of one request waits for outcomes of its calls.
+
+    The wait also ends if the caller closes its connection.
+    """
 
     def put(self, call: Call) -> None:
-        """Hand over a call whose outcome is known; any task may call this."""
+        """Add a call that has an outcome; any task may call this."""
         ...
 
     def set_batch_size(self, number: int) -> None:
-        """Let a wait go on until so many calls finished, or one of them without success."""
+        """End a wait only when ``number`` calls have finished, or one without success."""
         ...
 
     def wait(self, deadline: Millis) -> Call | CallerDisconnected | None:
-        """Return the next finished call, or ``None`` at ``until``."""
+        """Return the next finished call, or ``None`` if none has finished at ``deadline``."""
         ...
 
 
 class InFlightCall(Protocol):
-    """A call on its way."""
+    """A call that was passed to the connection of ``searcher`` and has no outcome yet."""
 
     call: Call
     searcher: SearcherId
 
     def cancel(self) -> None:
-        """Cut the connection, so that the searcher drops the request."""
+        """Close the connection, so that the searcher cancels the request."""
         ...
 
 
 class UpstreamClient(Protocol):
-    """Sends calls to the searchers of services."""
+    """Client that sends calls to the searchers of services and limits the repeats."""
 
     def now(self) -> Millis:
-        """Return the gateway's clock."""
+        """Return the time on the gateway's clock."""
         ...
 
     def send(self, call: Call, tried: set[SearcherId]) -> InFlightCall | NotRun:
-        """Send ``call`` to a searcher of its service that is not in ``tried``."""
+        """Send ``call`` to a searcher of its service that is not in ``tried``.
+
+        Return ``NotRun`` if no searcher can accept it.
+        """
         ...
 
     def hedge_delay(self, route: Route) -> Millis:
-        """Return the age at which a send on ``route`` is repeated elsewhere."""
+        """Return how long after its start an attempt on ``route`` is hedged."""
         ...
 
     def allow_hedge(self, service: ServiceId) -> bool:
-        """Take one repeat of ``service`` from the budget, leaving the reserve of retries."""
+        """Spend one repeat of the budget of ``service`` on a hedge, and return whether it may.
+
+        A hedge may not use the part of the budget that is reserved for retries.
+        """
         ...
 
     def allow_retry(self, service: ServiceId) -> bool:
-        """Take one repeat of ``service`` from the budget after a send that failed."""
+        """Spend one repeat of the budget of ``service`` on a retry, and return whether it may."""
         ...
--- a/src/masticgate/request/gateway/_forward.py
+++ b/src/masticgate/request/gateway/_forward.py
@@ -1,4 +1,4 @@
-"""One request to one searcher of one service."""
+"""Serves a request by sending it to one searcher of a service and relaying the answer."""
 
 from dataclasses import replace
 
@@ -10,23 +10,34 @@
 from ._reply import Abandoned, Failed, Refused, Relayed, Reply
 
 RETRY_AFTER = Millis(50.0)
-"""A slot of a full searcher is free again after about half of the work of one request."""
+"""Time after which a refused caller should try again.
+
+A slot of a full searcher is free again after about half the running time of one request.
+"""
 
 NOT_RUN_STATUSES = frozenset({408, 421, 429, 503})
-"""A caller reads these as "not run", so an answer of a request that ran must not bear them."""
+"""HTTP statuses that tell a caller that its request did not run.
+
+The answer to a request that may have run must not have one of them.
+"""
 
 RELAYED_FAILURES = frozenset(range(300, 600)) - NOT_RUN_STATUSES
+"""HTTP statuses of a searcher's error that are relayed to the caller unchanged."""
 
 
 def run_forward(
     request: Request, route: Route, service: ServiceId, upstream: UpstreamClient, inbox: Inbox
 ) -> Reply:
-    """Send the request to one searcher; repeat it only where its kind allows that."""
+    """Send ``request`` to one searcher of ``service`` and return the reply for its caller.
+
+    An idempotent request may be sent to another searcher while an attempt is slow or after one
+    failed. Any other request is repeated only if it did not run.
+    """
     return _Forward(request, route, service, upstream, inbox).run()
 
 
 class _Forward:
-    """The state of one request, used by the task of its caller's connection only."""
+    """The state of one request, which only the task of its caller's connection uses."""
 
     def __init__(
         self,
@@ -46,7 +57,7 @@
             self.hedge_at = Millis(request.arrived_at + upstream.hedge_delay(route))
 
     def run(self) -> Reply:
-        """Wait for the answer, until the deadline at most."""
+        """Wait for an answer, at most to the deadline, and return the reply."""
         self.attempts.send_first()
         while self.attempts.pending and self.upstream.now() < self.deadline:
             wake_at = self.deadline if self.hedge_at is None else min(self.deadline, self.hedge_at)
--- a/src/masticgate/request/gateway/_gather.py
+++ b/src/masticgate/request/gateway/_gather.py
@@ -1,4 +1,8 @@
-"""One query over many shards: fan-out, hedges, and the merge of the greatest records."""
+"""Serves a query over many shards: sends it to every shard, hedges slow ones, merges records.
+
+The services of a query's route are the shards. A record is a fixed number of bytes, and the
+greatest records of all shards are the answer.
+"""
 
 from collections.abc import Iterable
 from heapq import nlargest
@@ -13,29 +17,40 @@
 from ._reply import Abandoned, Failed, Merged, Refused, Reply
 
 RECORD_BYTES = 16
-"""The size of one record on the wire; a shorter remainder is none."""
+"""Size of one record on the wire; a shorter remainder at the end of a body is ignored."""
 
 ANSWER_MARGIN = Millis(5.0)
-"""Left of the objective for merging and writing, beside the ways to and from the caller."""
+"""Part of the route's objective that is reserved for merging and writing the answer.
+
+The time on the network between caller and gateway is reserved in addition.
+"""
 
 MIN_ANSWER_TIME = Millis(5.0)
+"""Shortest time for which answers of shards are awaited, whatever the objective."""
 
 MAX_LOGGED_SHARDS = 4
-"""Missing shards whose cause, and unusual parts whose receipt, is kept for the log."""
+"""Number of missing shards, and of irregular parts, that are described in the log."""
 
 RETRY_AFTER = Millis(30.0)
-"""A refused query is worth another try once the next catalogue event may have come."""
+"""Time after which a refused caller should try again.
+
+By then the next change of the catalogue of searchers may have arrived.
+"""
 
 
 def run_gather(
     request: Request, route: Route, shards: Shards, upstream: UpstreamClient, inbox: Inbox
 ) -> Reply:
-    """Ask one searcher of each shard and merge what answers in time."""
+    """Send ``request`` to one searcher of each shard and merge the answers that are in time."""
     return _Gather(request, route, shards, upstream, inbox).run()
 
 
 class _Gather:
-    """The state of one query, used by the task of its caller's connection only."""
+    """The state of one query, which only the task of its caller's connection uses.
+
+    ``answer_at`` is the time at which the query is answered without the missing shards, provided
+    that ``min_answers`` shards have answered.
+    """
 
     def __init__(
         self, request: Request, route: Route, shards: Shards, upstream: UpstreamClient, inbox: Inbox
@@ -57,7 +72,7 @@
         self.answered: list[Attempts] = []
 
     def run(self) -> Reply:
-        """Wait until every shard answered or the time is up."""
+        """Wait until every shard has answered or the time is up, and return the reply."""
         for attempts in self.unanswered:
             attempts.send_first()
         while not self._is_finished():
@@ -126,7 +141,7 @@
         return Merged(stamps, self.shard_count - len(answers), records, missing_causes, received)
 
     def _build_failure(self) -> Reply:
-        detail = f"{len(self.answered)} of {self.shard_count} shards"
+        detail = f"{len(self.answered)} of {self.shard_count} shards answered"
         if not any(attempts.started for attempts in (*self.unanswered, *self.answered)):
             first = self.unanswered[0].failure
             refused = NotRun(first.reason, first.step, first.peer, detail)
--- a/src/masticgate/request/gateway/_reply.py
+++ b/src/masticgate/request/gateway/_reply.py
@@ -1,4 +1,4 @@
-"""The final answers of a gateway to one request."""
+"""The replies with which a gateway can answer a request."""
 
 from dataclasses import dataclass, field
 
@@ -9,7 +9,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Relayed:
-    """A searcher's answer, passed on unchanged; ``send_summary`` describes the sends behind it."""
+    """A searcher's answer, relayed unchanged; ``attempts_summary`` describes its attempts."""
 
     answer: Answered
     attempts_summary: str = field(default="", compare=False)
@@ -17,11 +17,12 @@
 
 @dataclass(frozen=True, slots=True)
 class Merged:
-    """The merged records of some shards; ``stamps`` names the answers that are included.
+    """The merged records of the shards that answered.
 
-    ``missing_causes`` gives, for some of the missing shards, why they are missing, or which gateway
-    gathered the answer. ``irregular_parts`` describes how some parts were received that were
-    delimited by the end of their connection or came after responses to other requests.
+    ``stamps`` holds the stamps of the merged answers and ``missing`` counts the shards without an
+    answer. ``missing_causes`` says why some of these shards are missing, or which gateway gathered
+    the answer. ``irregular_parts`` describes how some parts were received that ended with their
+    connection or came after responses to other requests.
     """
 
     stamps: tuple[str, ...]
@@ -33,7 +34,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Refused:
-    """The request did not run and never will; the caller may come back after ``retry_after``."""
+    """The request did not run and never will.
+
+    ``retry_after`` is how long the caller should wait before it tries again.
+    """
 
     status: int
     failure: NotRun
@@ -42,7 +46,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Failed:
-    """The request may have run."""
+    """The request failed and may have run."""
 
     status: int
     failure: Unknown
@@ -50,7 +54,7 @@
 
 @dataclass(frozen=True, slots=True)
 class LocalPage:
-    """An answer of the gateway's own pages."""
+    """An answer that the gateway produces itself, such as its metrics."""
 
     status: int
     body: bytes
@@ -58,7 +62,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Abandoned:
-    """The caller left; there is nobody to answer."""
+    """The caller closed its connection, so no reply is sent."""
 
 
 Reply = Relayed | Merged | Refused | Failed | LocalPage | Abandoned
