--- a/src/masticgate/process/_admission.py
+++ b/src/masticgate/process/_admission.py
@@ -1,4 +1,9 @@
-"""Refuses whole queries at their entry host where a service could not finish them."""
+"""Refuses whole queries at their entry host if a service could not finish its part of them.
+
+The entry host of a query is the host that received it from the caller. The owner of a service,
+which queues the service's work, reports its pressure: the share of the queries of each rank that
+the service can take. The rank of a query is its urgency.
+"""
 
 from collections.abc import Iterable
 from dataclasses import dataclass
@@ -12,7 +17,7 @@
 from ._messages import RefusedCount, ServicePressure
 
 PRESSURE_TTL = Millis(1500.0)
-"""A pressure report that is older than this no longer counts."""
+"""A pressure report that is older than this is ignored."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -23,10 +28,11 @@
 
 
 class AdmissionControl:
-    """Remembers what the owners can take, and what was refused because of it.
+    """Keeps the owners' pressure reports, and counts the queries refused because of them.
 
-    A query is admitted where its number is below the admitted share of each service it needs.
-    The number is drawn once a query, so all its services agree and nothing fans out in vain.
+    A query is admitted if its admission number is below the admitted share of every service that
+    it needs. The number is drawn once per query, so that all its services agree and no query is
+    sent to some of its services in vain.
     """
 
     def __init__(self, clock: Clock) -> None:
@@ -36,7 +42,7 @@
         self.refused: dict[tuple[ServiceId, Rank], int] = {}
 
     def record_pressure(self, owner: HostId, services: Iterable[ServicePressure]) -> None:
-        """Remember what an owner says that its services can take."""
+        """Record an owner's report of the share of queries that its services can take."""
         now = self.clock.now()
         with self.lock:
             for item in services:
@@ -45,7 +51,10 @@
     def admit(
         self, rank: Rank, admission_number: float, services: Iterable[Service]
     ) -> NotRun | None:
-        """Refuse a query, or return ``None``."""
+        """Return why a query is refused, or ``None`` to admit it.
+
+        A refused query is counted as demand of every service that it needs.
+        """
         limits = self.limits
         if not limits:
             return None
@@ -64,7 +73,10 @@
         return None
 
     def pop_refused(self) -> dict[HostId, list[RefusedCount]]:
-        """Return and clear what was refused since the last call, by owner."""
+        """Return the counts of refused queries since the last call, by owner, and reset them.
+
+        Also discard the outdated pressure reports.
+        """
         with self.lock:
             refused, self.refused = self.refused, {}
             oldest = self.clock.now() - PRESSURE_TTL
--- a/src/masticgate/process/_booking_log.py
+++ b/src/masticgate/process/_booking_log.py
@@ -1,4 +1,7 @@
-"""The booking attempts that have reached this host as their owner."""
+"""The booking attempts that this host received as the owner of their service.
+
+A booking is identified by its ticket and may be attempted again after an attempt did not run.
+"""
 
 from itertools import islice
 from threading import Lock
@@ -7,16 +10,19 @@
 from .._ids import Millis, TicketId
 
 ATTEMPT_TTL = Millis(300_000.0)
-"""How long an attempt is remembered, longer than the outcome of a ticket is kept."""
+"""The time for which an attempt is kept, longer than the outcome of its ticket is kept."""
 
 MAX_ATTEMPTS = 100_000
+"""The number of attempts from which on the oldest are removed, whatever their age."""
+
 MAX_REMOVED_AT_ONCE = 2
+"""The most attempts that are removed each time that one is recorded."""
 
 
 class BookingLog:
-    """Lets each attempt through once, also where the pool of its service is opened anew.
+    """Accepts each attempt once, even if the pool of its service is closed and opened again.
 
-    The attempt is remembered before anything is decided about it, so that a second copy of its
+    An attempt is recorded before anything is decided about it, so that a second copy of its
     message can never run after the first one was refused as "not run".
     """
 
@@ -26,7 +32,7 @@
         self.received: dict[tuple[TicketId, int], Millis] = {}
 
     def record_attempt(self, ticket: TicketId, attempt: int) -> bool:
-        """Remember the attempt; return ``False`` where it has come before."""
+        """Record an attempt; return ``False`` if it was received before."""
         now = self.clock.now()
         with self.lock:
             self._remove_old(now)
--- a/src/masticgate/process/_caller_service.py
+++ b/src/masticgate/process/_caller_service.py
@@ -1,4 +1,7 @@
-"""What the process does for callers and operators."""
+"""Handles the requests of callers and operators that reach this host.
+
+Callers search and book; operators ask for the host's status and its latest events.
+"""
 
 import random
 from typing import Any
@@ -30,7 +33,10 @@
 
 
 class CallerService:
-    """Runs the callers' requests on this host."""
+    """Runs the requests of callers and operators, and counts their results.
+
+    A booking changes data at a searcher. Its ticket makes sure that it runs at most once.
+    """
 
     def __init__(
         self,
@@ -53,7 +59,7 @@
         self.concurrency = ConcurrencyLimit(clock)
 
     def search(self, request: SearchRequest) -> Answer | NotRun:
-        """Run a search."""
+        """Run a search and return its answer, or why it was not run."""
         started = self.clock.now()
         query = Query(
             self._new_id(),
@@ -69,13 +75,13 @@
         return result
 
     def mint_ticket(self) -> TicketId | NotRun:
-        """Return a ticket for one booking."""
+        """Return a new ticket for one booking, or why none is issued."""
         if self.runtime.owner.stopping:
             return NotRun(Reason.SHUTTING_DOWN, Step.TICKET, peer=self.host)
         return self.tickets.mint()
 
     def book(self, request: BookingRequest) -> BookingOutcome:
-        """Run a booking at most once."""
+        """Run a booking, at most once for its ticket, and return its outcome."""
         parts = parse_ticket(request.ticket)
         if parts is None:
             return NotRun(Reason.BAD_REQUEST, Step.TICKET, detail="no ticket of this deployment")
@@ -94,7 +100,11 @@
         return outcome
 
     def run_forwarded(self, forward: Forward) -> BookingOutcome:
-        """Run a booking that another host forwarded here, where its ticket was minted."""
+        """Run a booking that another host forwarded, since this host issued its ticket.
+
+        If the ticket is from an earlier run of this host, the outcome is unknown, as its records
+        are lost.
+        """
         if forward.incarnation != self.runtime.incarnation:
             return Unknown(Reason.MINTER_LOST, Step.TICKET, peer=self.host)
         booking = Booking(
@@ -110,11 +120,11 @@
         return run_booking(booking, self.tickets, self.runtime)
 
     def status(self) -> dict[str, Any]:
-        """Return what ``masticgate status`` shows."""
+        """Return the fields that ``masticgate status`` shows."""
         return status_fields(self.runtime, self.role, self.metrics)
 
     def events(self) -> list[dict[str, Any]]:
-        """Return the time line's events."""
+        """Return the latest changes of state of this host, oldest first."""
         return [event_fields(event) for event in self.timeline.list_events()]
 
     def _run_search(self, query: Query) -> Answer | NotRun:
@@ -162,7 +172,7 @@
 
 
 def is_late(result: Answer | NotRun) -> bool:
-    """Tell whether the deadline cut a search short."""
+    """Return whether a search ended at its deadline, with no answer or an incomplete one."""
     match result:
         case NotRun(reason=reason):
             return reason is Reason.DEADLINE
@@ -171,5 +181,5 @@
 
 
 def is_refused(result: Answer | NotRun) -> bool:
-    """Tell whether a search was refused before its fan-out."""
+    """Return whether a search was refused before it was sent to any service."""
     return isinstance(result, NotRun) and result.reason is not Reason.DEADLINE
--- a/src/masticgate/process/_command_book.py
+++ b/src/masticgate/process/_command_book.py
@@ -1,4 +1,4 @@
-"""``masticgate book``: a caller's booking, at most once."""
+"""``masticgate book``: runs a booking at most once."""
 
 import json
 from typing import Any
@@ -21,9 +21,9 @@
 
 @click.command()
 @click.argument("hosts", nargs=-1, required=True, metavar="HOST...")
-@click.option("--service", required=True, help="The service that takes the booking.")
+@click.option("--service", required=True, help="The service to book at.")
 @click.option("--payload", default="{}", show_default=True, help="The booking, a JSON object.")
-@click.option("--ticket", help="The ticket of an earlier try, to learn or finish its outcome.")
+@click.option("--ticket", help="The ticket of an earlier call, to get its outcome or finish it.")
 @click.option("--rank", type=RANKS, default=Rank.STANDARD.label, show_default=True)
 @click.option("--remaining-ms", type=float, default=2000.0, show_default=True)
 @click.option("--json", "as_json", is_flag=True, help="Print the outcome as JSON.")
@@ -36,10 +36,10 @@
     remaining_ms: float,
     as_json: bool,
 ) -> None:
-    """Book through the entry HOSTs (address:port), at most once.
+    """Run a booking at most once, through one of the entry HOSTs (address:port).
 
     Keep the ticket that is printed: a later call with it never books a second time.
-    Exit status 0: it ran; 1: it did not run; 3: unknown, ask again with the ticket.
+    Exit status 0: it ran; 1: it did not run; 3: unknown, call again with the ticket.
     """
     try:
         content = json.loads(payload)
@@ -76,9 +76,10 @@
 
 
 def _submit(hosts: tuple[str, ...], body: dict[str, Any]) -> dict[str, Any]:
-    """Submit through one host after another until the outcome is certain or time is up.
+    """Submit the booking to one host after another until its outcome is certain.
 
-    The ticket makes the repetition safe.
+    Stop when the caller's time is up. Repeating the request is safe, since the hosts run a
+    booking at most once for each ticket.
     """
     clock = SystemClock()
     deadline = Millis(clock.now() + body["remaining_ms"])
--- a/src/masticgate/process/_command_check.py
+++ b/src/masticgate/process/_command_check.py
@@ -1,4 +1,4 @@
-"""``masticgate check``: judges an operators' text as a host would."""
+"""``masticgate check``: validates an operators' text, the configuration of a deployment."""
 
 from pathlib import Path
 
@@ -14,12 +14,12 @@
 @click.option(
     "--against",
     type=click.Path(exists=True, dir_okay=False, path_type=Path),
-    help="The text in force, to show what would change.",
+    help="The text in force, to show what would change against it.",
 )
 def check(text: Path, against: Path | None) -> None:
-    """Judge the operators' TEXT as a host would.
+    """Validate the operators' TEXT by the same rules as a host.
 
-    Exit status 0 means that hosts accept it, 5 that they refuse it.
+    Exit status 0: hosts accept it; 5: hosts refuse it.
     """
     configuration = _accept(text)
     services = sum(bool(s.searchers) for s in configuration.services.values())
--- a/src/masticgate/process/_command_explain.py
+++ b/src/masticgate/process/_command_explain.py
@@ -1,4 +1,4 @@
-"""``masticgate explain``: the story of one request, from the logs of all gateways."""
+"""``masticgate explain``: shows what happened to one request, from the logs of all gateways."""
 
 import json
 import re
@@ -27,7 +27,7 @@
         "gatherer_found",
     }
 )
-"""Events that bear on every request of their host."""
+"""The events that may affect every request of their host."""
 
 HEADER_FIELDS = frozenset({"wall_ms", "host", "event", "request"})
 TOKEN = re.compile(r"[\w~.:/-]+")
@@ -44,12 +44,12 @@
 
     @property
     def tokens(self) -> set[str]:
-        """The words of all fields, by which a line names searchers and services."""
+        """The words in the values of all fields, among them names of searchers and services."""
         return set(TOKEN.findall(" ".join(str(value) for value in self.fields.values())))
 
 
 def read_lines(paths: Iterable[Path]) -> Iterator[LogLine]:
-    """Yield the log lines of all files; what is no such line is passed over."""
+    """Yield the log lines of all files, and skip everything that is not a gateway's log line."""
     for path in paths:
         for text in path.read_text(encoding="utf-8", errors="replace").splitlines():
             start = text.find("{")
@@ -62,11 +62,12 @@
 
 
 def select_lines(lines: list[LogLine], request: str, before_ms: float) -> list[LogLine]:
-    """Return the lines of ``request``, and the beliefs that may have decided it.
+    """Return the lines of ``request``, and those of state changes that may have affected it.
 
-    Those are lines of the same hosts, at most ``before_ms`` older than the request's last line by
-    the host's own clock, that concern the whole host or name a searcher or a service which the
-    request's lines name too. Lines of a host are in its own order, hosts by their first line.
+    The latter are lines of the same hosts, at most ``before_ms`` older than the host's last line
+    about the request, by the host's own clock. They concern the whole host, or they name a
+    searcher or a service that the request's lines name too. All lines are sorted by time, as the
+    clock of each host gave it.
     """
     request_lines = [line for line in lines if line.fields.get("request") == request]
     last_times = {line.host: line.wall for line in request_lines}
@@ -83,14 +84,17 @@
 
 
 @click.command()
-@click.option("--before", default=10.0, show_default=True, help="Seconds of beliefs to show.")
+@click.option("--before", default=10.0, show_default=True, help="Seconds of state changes to show.")
 @click.argument("request")
 @click.argument("logs", nargs=-1, required=True, type=click.Path(exists=True, path_type=Path))
 def explain(before: float, request: str, logs: tuple[Path, ...]) -> None:
-    """Tell what happened to REQUEST from the LOGS of all gateways."""
+    """Show what happened to REQUEST, from the LOGS of all gateways."""
     selected = select_lines(list(read_lines(logs)), request, before * 1000.0)
     if not any(line.fields.get("request") == request for line in selected):
-        click.echo(f"no line of request {request}; whole answers in time are sampled", err=True)
+        click.echo(
+            f"no line of request {request}; of complete answers in time, only a sample is logged",
+            err=True,
+        )
         raise SystemExit(ExitCode.UNKNOWN)
     for line in selected:
         mark = "*" if line.fields.get("request") == request else " "
--- a/src/masticgate/process/_command_query.py
+++ b/src/masticgate/process/_command_query.py
@@ -1,4 +1,4 @@
-"""``masticgate query``: a caller's search."""
+"""``masticgate query``: runs a search."""
 
 import json
 from typing import Any
@@ -16,7 +16,7 @@
 @click.command()
 @click.argument("hosts", nargs=-1, required=True, metavar="HOST...")
 @click.option("--service", "services", multiple=True, required=True, help="A service to search.")
-@click.option("--text", default="", help="What to search for.")
+@click.option("--text", default="", help="The text to search for.")
 @click.option("--rank", type=RANKS, default=Rank.STANDARD.label, show_default=True)
 @click.option("--remaining-ms", type=float, default=1000.0, show_default=True)
 @click.option("--minimum-coverage", type=click.FloatRange(0, 1), default=0.0, show_default=True)
@@ -34,7 +34,8 @@
 ) -> None:
     """Search through the first entry HOST (address:port) that answers.
 
-    Exit status 0: whole; 4: less than whole, as stated; 1: not run; 6: no host answered.
+    Exit status 0: whole answer; 4: partial answer, which lists what is missing; 1: not run;
+    6: no host answered.
     """
     body = {
         "services": list(services),
--- a/src/masticgate/process/_command_serve.py
+++ b/src/masticgate/process/_command_serve.py
@@ -1,4 +1,4 @@
-"""``masticgate serve``: runs an entry host."""
+"""``masticgate serve``: runs an entry host, which answers callers and owns services."""
 
 import signal
 from pathlib import Path
@@ -19,7 +19,7 @@
     "path",
     required=True,
     type=click.Path(path_type=Path),
-    help="The settings, JSON with comments.",
+    help="The settings file, JSON with comments.",
 )
 def serve(path: Path) -> None:
     """Run an entry host until SIGTERM or SIGINT, then stop it gracefully."""
--- a/src/masticgate/process/_command_status.py
+++ b/src/masticgate/process/_command_status.py
@@ -1,4 +1,4 @@
-"""``masticgate status``: what each host has in force."""
+"""``masticgate status``: shows the state of each host."""
 
 import json
 from typing import Any
@@ -14,9 +14,9 @@
 @click.argument("hosts", nargs=-1, required=True, metavar="HOST...")
 @click.option("--json", "as_json", is_flag=True, help="Print one JSON object a host.")
 def status(hosts: tuple[str, ...], as_json: bool) -> None:
-    """Show each entry HOST (address:port): versions in force, peers, owned services, queues.
+    """Show the state of each entry HOST (address:port): versions, peers, owned services, queues.
 
-    Exit status 6 where a host did not answer.
+    Exit status 6: a host did not answer.
     """
     unreachable = False
     for host in hosts:
--- a/src/masticgate/process/_command_timeline.py
+++ b/src/masticgate/process/_command_timeline.py
@@ -1,4 +1,4 @@
-"""``masticgate timeline``: one time line over all hosts."""
+"""``masticgate timeline``: merges the events of all hosts into one time line."""
 
 import json
 from datetime import UTC, datetime
@@ -34,8 +34,8 @@
 def timeline(hosts: tuple[str, ...], as_json: bool, html: Path | None) -> None:
     """Merge the events of the entry HOSTs (address:port) into one time line.
 
-    Where clocks differ, what a host had heard of another decides the order.
-    Exit status 6 where a host did not answer; the others are shown all the same.
+    An event comes after all events of other hosts that its host knew of, even if clocks differ.
+    Exit status 6: a host did not answer; the events of the others are still shown.
     """
     events: list[Event] = []
     unreachable = False
@@ -48,7 +48,7 @@
                 events.extend(_read_event(item) for item in items if _is_event(item))
             case CallerReply():
                 unreachable = True
-                click.echo(f"{host}: no time line", err=True)
+                click.echo(f"{host}: its answer holds no time line", err=True)
             case HttpFailure(message=message):
                 unreachable = True
                 click.echo(f"{host}: no answer: {message}", err=True)
@@ -93,7 +93,7 @@
 
 
 def render_html(events: list[Event]) -> str:
-    """Return an HTML page with one column a host and one row an event."""
+    """Return an HTML page with a column for each host and a row for each event."""
     hosts = sorted({event.host for event in events})
     head = "".join(f"<th>{escape(host)}</th>" for host in hosts)
     rows = "\n".join(_render_row(event, hosts) for event in events)
--- a/src/masticgate/process/_concurrency.py
+++ b/src/masticgate/process/_concurrency.py
@@ -1,4 +1,7 @@
-"""Limits the searches that one entry host has in progress, whatever the owners say."""
+"""Limits the searches that one host has in progress for its callers.
+
+The limit applies whatever pressure the owners of the services report.
+"""
 
 from collections.abc import Mapping
 from threading import Lock
@@ -10,19 +13,23 @@
 INITIAL_LIMIT = 16.0
 MIN_LIMIT = 8.0
 MAX_LIMIT = 256.0
+"""The limit at first, the lowest and the highest, in searches in progress."""
+
 DECREASE_FACTOR = 0.9
+"""The limit is multiplied by this when a search is late."""
+
 DECREASE_INTERVAL = Millis(100.0)
 """The limit falls at most once in this time, however many searches are late."""
 
 RANK_SHARES: Mapping[Rank, float] = {Rank.URGENT: 0.75, Rank.STANDARD: 0.5, Rank.BULK: 0.5}
-"""The part of the limit that one rank may fill, so that none keeps the others out."""
+"""The share of the limit that one rank may use, so that no rank shuts the others out."""
 
 
 class ConcurrencyLimit:
     """Adapts the number of searches in progress: up while they end in time, down when late.
 
-    It holds when a flood starts, before any owner has said what it can take, and when this host
-    itself is short of processor time.
+    It protects the host when a flood starts, before any owner has reported its pressure, and when
+    this host itself is short of processor time.
     """
 
     def __init__(self, clock: Clock) -> None:
@@ -33,7 +40,7 @@
         self.decreased_at = clock.now()
 
     def acquire(self, rank: Rank) -> bool:
-        """Count one search in; return ``False`` where its rank has too many in progress."""
+        """Record the start of a search; return ``False`` if its rank has too many in progress."""
         with self.lock:
             if self.in_progress[rank] >= self.limit * RANK_SHARES[rank]:
                 return False
@@ -41,12 +48,15 @@
             return True
 
     def release_refused(self, rank: Rank) -> None:
-        """Count out a search that was refused before its fan-out; it tells nothing of the load."""
+        """Record the end of a search that was refused before it was sent to any service.
+
+        It doesn't change the limit, since it says nothing about the load.
+        """
         with self.lock:
             self.in_progress[rank] -= 1
 
     def release(self, rank: Rank, *, late: bool) -> None:
-        """Count one search out; ``late`` tells that its deadline cut it short."""
+        """Record the end of a search; ``late`` says that it ended at its deadline, incomplete."""
         with self.lock:
             self.in_progress[rank] -= 1
             if not late:
--- a/src/masticgate/process/_delivery_lock.py
+++ b/src/masticgate/process/_delivery_lock.py
@@ -1,4 +1,8 @@
-"""The lock of a service pool, which delivers results once it is released."""
+"""The lock of a service pool, which delivers results after it is released.
+
+Delivering a result may send it to another host, which would hold up all users of the pool if the
+lock were held meanwhile.
+"""
 
 from threading import Lock
 
@@ -6,7 +10,10 @@
 
 
 class DeliveryLock:
-    """A context manager that holds ``lock``, and delivers what was settled after its release."""
+    """A context manager that holds ``lock``, releases it and then delivers the settled results.
+
+    Code that holds the lock appends each settled entry and its result to ``undelivered``.
+    """
 
     def __init__(self) -> None:
         self.lock = Lock()
--- a/src/masticgate/process/_dispatcher.py
+++ b/src/masticgate/process/_dispatcher.py
@@ -1,4 +1,7 @@
-"""Decides which idle connection of a service gets which pending work or hedge."""
+"""Decides which queued work or hedge of a service goes to which idle connection.
+
+A hedge is a second attempt of a search, at another searcher, while a slow first one is in flight.
+"""
 
 from collections.abc import Iterable, Mapping
 
@@ -15,11 +18,15 @@
 from ._work import BookingWork, QueueEntry, SearcherAttempt, WorkState
 
 EXPIRY_INTERVAL = Millis(100.0)
-"""How often the whole queue is searched for work whose deadline passed."""
+"""The shortest time between two scans of the whole queue for work past its deadline."""
 
 
 class Dispatcher:
-    """The queue, the searchers and the idle connections; the service pool's lock guards them."""
+    """Assigns the work of one service to its idle connections.
+
+    It holds the queue, the state of the searchers and the idle connections. It has no lock of its
+    own: callers hold the lock of the service pool.
+    """
 
     def __init__(
         self,
@@ -38,7 +45,11 @@
         self.next_expiry = Millis(0.0)
 
     def dispatch(self, now: Millis) -> list[QueueEntry]:
-        """Hand out all work that may be sent now; return the entries found expired."""
+        """Assign all work that may be sent now; return the entries past their deadline.
+
+        Due hedges are sent first, unless more urgent work is queued. Such hedges are sent when
+        the queue is empty.
+        """
         expired = self._find_expired(now)
         if self.idle_connections:
             delay = self.budget.hedge_delay() if self.hedge_candidates.entries else None
@@ -53,18 +64,22 @@
         return expired
 
     def needs_timer(self) -> bool:
-        """Tell whether something may fall due while nobody calls :meth:`run`."""
+        """Return whether a wake-up is needed, since work is queued or a hedge may become due."""
         return bool(self.hedge_candidates.entries) or self.pending.size > 0
 
     def should_keep_timer(self) -> bool:
-        """Tell whether the timer has to wait on, since work came after it last asked.
+        """Return whether the timer connection has to stay the timer for another wait.
 
-        While work comes, one wake-up an interval is cheaper than to arm the timer at each send.
+        It stays the timer also when searches were sent since the last call: while work arrives,
+        one wake-up per interval costs less than choosing and waking a timer at each attempt.
         """
         return self.hedge_candidates.pop_added() or self.needs_timer()
 
     def next_wake_up(self, now: Millis, latest: Millis) -> Millis:
-        """Return when there may be a hedge to send or a searcher to try again."""
+        """Return the next time at which a hedge or a searcher may become eligible.
+
+        ``latest`` bounds it.
+        """
         times = [latest]
         delay = self.budget.hedge_delay()
         if delay is not None:
@@ -75,7 +90,7 @@
         return min(times)
 
     def requeue(self, entry: QueueEntry, failed_searcher: SearcherHealth) -> None:
-        """Put an entry back after a send failed."""
+        """Queue an entry again after an attempt at ``failed_searcher`` failed."""
         self.hedge_candidates.discard(entry)
         entry.retries += 1
         entry.failed_searcher = failed_searcher
@@ -83,7 +98,7 @@
         self.pending.add(entry)
 
     def remove(self, entry: QueueEntry) -> None:
-        """Take an entry out, wherever it stands."""
+        """Mark an entry as done and remove it from the queue and the hedge candidates."""
         entry.state = WorkState.DONE
         self.pending.remove(entry)
         self.hedge_candidates.discard(entry)
@@ -98,7 +113,10 @@
         return expired
 
     def _send_next(self, now: Millis, expired: list[QueueEntry]) -> bool:
-        """Send one pending entry; return ``False`` where no searcher may have more."""
+        """Assign the next queued entry; return ``False`` if no searcher may take more work.
+
+        An entry past its deadline is appended to ``expired`` instead.
+        """
         fallback = self.searchers.choose(self.idle_connections.by_searcher, now)
         if fallback is None:
             return False
@@ -111,14 +129,17 @@
         return True
 
     def _choose(self, entry: QueueEntry, now: Millis) -> SearcherHealth | None:
-        """Return a searcher that did not fail ``entry``; a booking is no probe either."""
+        """Return a searcher other than the one that failed ``entry``, ``None`` if there is none.
+
+        An ejected searcher, which gets one request as a probe, is not probed with a booking.
+        """
         excluded = [] if entry.failed_searcher is None else [entry.failed_searcher]
         if isinstance(entry.work, BookingWork):
             excluded += self.searchers.list_ejected()
         return self.searchers.choose(self.idle_connections.by_searcher, now, excluded)
 
     def _send_hedges(self, now: Millis, delay: Millis, lowest_rank: Rank | None) -> None:
-        """Send the hedges that are due, but none of a rank below ``first``."""
+        """Assign the hedges that are due, unless less urgent than ``lowest_rank``, if given."""
         for entry in self.hedge_candidates.list_due(now, delay):
             if lowest_rank is not None and entry.work.rank > lowest_rank:
                 return
--- a/src/masticgate/process/_hedge_budget.py
+++ b/src/masticgate/process/_hedge_budget.py
@@ -1,28 +1,45 @@
-"""The one budget of hedges and retries of a service, and when a hedge is due."""
+"""The common budget of a service's hedges and retries, and the delay before a hedge.
+
+A hedge is a second attempt of a search at another searcher while a slow first attempt is in
+flight. A retry is another attempt after one failed.
+"""
 
 from .._ids import Millis
 from ._latency_window import LatencyWindow
 from ._policy import Hedge, Hedging, NoHedge
 
 RETRY_RESERVE = 4.0
-"""Tokens that hedges leave for retries: without a retry a lost send costs coverage for certain."""
+"""The tokens that hedges leave for retries.
+
+Without a retry, the shards of a failed attempt are missing from the answer for certain.
+"""
 
 MAX_TOKENS = RETRY_RESERVE + 8.0
+"""The most tokens that the budget saves up."""
+
 INITIAL_DELAY = Millis(50.0)
+"""The hedge delay until enough latencies are known."""
 
 HEDGE_PERCENTILE = 90.0
-"""Low enough that the stragglers themselves do not move the delay."""
+"""The percentile of latencies that sets the hedge delay.
+
+It is low enough that slow outliers do not change the delay.
+"""
 
 DELAY_FACTOR_FULL = 1.2
 DELAY_FACTOR_EMPTY = 1.6
-"""The delay over that percentile, with a full and with an empty budget.
+"""The hedge delay as a multiple of that percentile, with a full and with an empty budget.
 
-In between, the delay settles where hedges cost what the budget earns.
+Between the two, the delay settles where hedges spend what the budget earns.
 """
 
 
 class HedgeBudget:
-    """Earns a share of each first send, spends one a hedge or retry; the owner's lock guards it."""
+    """Limits hedges and retries to a share of the first attempts of a service.
+
+    Each first attempt earns a fraction of a token, and each hedge or retry spends one. Callers
+    hold the lock of the service pool.
+    """
 
     def __init__(self, hedging: Hedging) -> None:
         self.hedging = hedging
@@ -31,7 +48,7 @@
         self.window = LatencyWindow()
 
     def earn(self) -> None:
-        """Count one first send."""
+        """Add what one first attempt earns."""
         match self.hedging:
             case Hedge(budget=budget):
                 self.tokens = min(MAX_TOKENS, self.tokens + budget)
@@ -39,11 +56,11 @@
                 self.tokens = 0.0
 
     def spend_on_retry(self) -> bool:
-        """Take one token for a retry; return ``False`` where the budget is empty."""
+        """Spend one token on a retry; return ``False`` if there is none."""
         return self._spend(0.0)
 
     def spend_on_hedge(self) -> bool:
-        """Take one token for a hedge; return ``False`` where only the reserve is left."""
+        """Spend one token on a hedge; return ``False`` if only the reserve for retries is left."""
         return self._spend(RETRY_RESERVE)
 
     def _spend(self, reserve: float) -> bool:
@@ -53,14 +70,14 @@
         return True
 
     def record_latency(self, now: Millis, latency: Millis) -> None:
-        """Record the latency of a first send, from which the hedge delay follows."""
+        """Record the latency of a first attempt, from which the hedge delay is derived."""
         if isinstance(self.hedging, NoHedge):
             return
         self.window.record(now, latency)
         self.percentile_latency = self.window.percentile(HEDGE_PERCENTILE)
 
     def hedge_delay(self) -> Millis | None:
-        """Return the age at which a send is hedged, ``None`` where it never is."""
+        """Return the age at which an attempt is hedged, ``None`` if hedging is disabled."""
         match self.hedging:
             case NoHedge():
                 return None
--- a/src/masticgate/process/_hedge_candidates.py
+++ b/src/masticgate/process/_hedge_candidates.py
@@ -1,13 +1,17 @@
-"""The searches that may be hedged: each is in flight at one searcher."""
+"""The searches of a service that may be hedged.
+
+A hedge is a second attempt at another searcher while a slow first attempt is in flight.
+"""
 
 from .._ids import Millis
 from ._work import QueueEntry, SearchWork
 
 
 class HedgeCandidates:
-    """Entries that were sent once, in the order of sending; the service pool's lock guards them.
+    """The entries with one attempt in flight, in the order in which they were sent.
 
-    A booking is never among them.
+    Bookings are excluded, since they may be sent only once. Callers hold the lock of the service
+    pool.
     """
 
     def __init__(self) -> None:
@@ -15,17 +19,20 @@
         self.added = False
 
     def add(self, entry: QueueEntry) -> None:
-        """Add an entry that was just sent, unless it may not be sent twice."""
+        """Add an entry that was just sent, unless it is a booking."""
         if isinstance(entry.work, SearchWork):
             self.entries[id(entry)] = entry
             self.added = True
 
     def discard(self, entry: QueueEntry) -> None:
-        """Remove an entry that is hedged, retried or done."""
+        """Remove an entry that was hedged, is being retried or is done."""
         self.entries.pop(id(entry), None)
 
     def list_due(self, now: Millis, delay: Millis) -> list[QueueEntry]:
-        """Return what has been in flight for ``delay``, urgent first."""
+        """Return the entries that have been in flight for ``delay``, the most urgent first.
+
+        Entries past their deadline are left out.
+        """
         found: list[QueueEntry] = []
         for entry in self.entries.values():
             if entry.sent_at + delay > now:
@@ -36,13 +43,16 @@
         return found
 
     def next_due(self, now: Millis, delay: Millis) -> Millis:
-        """Return when the next entry falls due that is not due yet, or the next one sent would."""
+        """Return when the next entry becomes due that is not due yet.
+
+        If there is none, return when an entry sent now would become due.
+        """
         for entry in self.entries.values():
             if entry.sent_at + delay > now:
                 return Millis(entry.sent_at + delay)
         return Millis(now + delay)
 
     def pop_added(self) -> bool:
-        """Tell whether an entry was added since the last call."""
+        """Return whether an entry was added since the last call."""
         added, self.added = self.added, False
         return added
--- a/src/masticgate/process/_idle_connections.py
+++ b/src/masticgate/process/_idle_connections.py
@@ -1,4 +1,4 @@
-"""The idle connections of a service that wait for work."""
+"""The connections to the searchers of a service that are idle and wait for work."""
 
 from collections.abc import Iterator
 from dataclasses import dataclass
@@ -10,21 +10,25 @@
 
 @dataclass(frozen=True, slots=True)
 class CloseConnection:
-    """The connection is no longer wanted and has to close."""
+    """Tells a connection's task to close it, since it is no longer wanted."""
 
 
 @dataclass(frozen=True, slots=True)
 class NoWork:
-    """Nothing to do within the wait."""
+    """Tells a connection's task that the wait timed out without work."""
 
 
 @dataclass(frozen=True, slots=True)
 class CheckLoad:
-    """The searcher is to be asked for its load."""
+    """Tells a connection's task to ask the searcher for its load."""
 
 
 class IdleConnection:
-    """One idle connection; its task waits on ``ready``."""
+    """One idle connection.
+
+    Its task waits on ``ready``, which is notified when ``attempt`` is set or when the task has to
+    check for something else to do.
+    """
 
     def __init__(self, lock: Lock, health: SearcherHealth) -> None:
         self.health = health
@@ -33,10 +37,11 @@
 
 
 class IdleConnections:
-    """The idle connections; the service pool's lock guards them.
+    """The idle connections of a service, by searcher.
 
-    One of them, the timer, wakes up when something falls due; the others wait until they are
-    given work.
+    The task of one of them, ``timer``, also wakes up when a hedge is due or a searcher may get
+    work again. The others wait until they are assigned work. Callers hold the lock of the service
+    pool.
     """
 
     def __init__(self) -> None:
@@ -55,7 +60,7 @@
         self.by_searcher.setdefault(connection.health, []).append(connection)
 
     def remove(self, connection: IdleConnection) -> None:
-        """Remove a connection that leaves without work."""
+        """Remove a connection, which is then not the timer any more."""
         connections = self.by_searcher[connection.health]
         connections.remove(connection)
         if not connections:
@@ -64,24 +69,27 @@
             self.timer = None
 
     def assign(self, attempt: SearcherAttempt) -> None:
-        """Hand ``send`` to an idle connection of its searcher."""
+        """Assign ``attempt`` to an idle connection of its searcher, and wake its task."""
         connection = self.by_searcher[attempt.health][-1]
         self.remove(connection)
         connection.attempt = attempt
         connection.ready.notify()
 
     def ensure_timer(self) -> None:
-        """Make an idle connection the timer unless one is, and wake it to set its timeout."""
+        """Choose a timer if there is none, and wake its task, so that it sets its timeout."""
         if self.timer is None and self.by_searcher:
             self.timer = next(iter(self))
             self.timer.ready.notify()
 
     def set_timer_if_unset(self, connection: IdleConnection) -> None:
-        """Make ``connection`` the timer, unless there is one; its own task is about to wait."""
+        """Make ``connection`` the timer if there is none.
+
+        Called by its own task, which is about to wait and so needs no wake-up.
+        """
         if self.timer is None and connection.attempt is None:
             self.timer = connection
 
     def wake_all(self) -> None:
-        """Wake every idle connection, so that it checks whether it has to close."""
+        """Wake the tasks of all idle connections, so that each checks whether it has to close."""
         for connection in self:
             connection.ready.notify()
--- a/src/masticgate/process/_latency_window.py
+++ b/src/masticgate/process/_latency_window.py
@@ -1,4 +1,4 @@
-"""The latest latencies of a service's sends, bounded in number and in age."""
+"""The latest latencies of requests to searchers, bounded in number and in age."""
 
 from collections import deque
 
@@ -7,28 +7,36 @@
 from .._ids import Millis
 
 MAX_SAMPLES = 256
+"""The most latencies that are kept."""
+
 MAX_AGE = Millis(5000.0)
+"""The age at which a latency is discarded, unless only :data:`MIN_SAMPLES` are left."""
+
 MIN_SAMPLES = 20
+"""The fewest latencies from which a percentile is computed."""
 
 
 class LatencyWindow:
-    """Tells percentiles of the latest latencies; its owner's lock guards it."""
+    """Computes percentiles of the latest latencies.
+
+    It isn't thread-safe: the object that holds it guards it with its own lock.
+    """
 
     def __init__(self) -> None:
         self.samples: deque[tuple[Millis, Millis]] = deque()
         self.sorted_latencies = SortedList()
 
     def record(self, now: Millis, latency: Millis) -> None:
-        """Record ``latency``, and drop what is too old or too much."""
+        """Record ``latency``, and discard the latencies that are too old or too many."""
         self.samples.append((now, latency))
         self.sorted_latencies.add(latency)
         while len(self.samples) > MAX_SAMPLES or self._is_outdated(now):
             self.sorted_latencies.remove(self.samples.popleft()[1])
 
     def percentile(self, percent: float) -> Millis | None:
-        """Return the latency that ``percent`` of the samples do not exceed.
+        """Return the latency that ``percent`` per cent of the samples do not exceed.
 
-        Returns ``None`` while there are too few samples.
+        Return ``None`` while there are too few samples.
         """
         count = len(self.sorted_latencies)
         if count < MIN_SAMPLES:
--- a/src/masticgate/process/_owner.py
+++ b/src/masticgate/process/_owner.py
@@ -1,4 +1,8 @@
-"""What a host does as the owner of services: it queues the work that entry hosts ask for."""
+"""The host as the owner of services.
+
+The owner of a service queues all its work, which the entry hosts submit, the hosts that received
+the callers' requests. It sends the work to the service's searchers.
+"""
 
 from collections.abc import Callable
 
@@ -26,7 +30,10 @@
 
 
 class Owner:
-    """Takes asks and bookings, of this host's own requests too."""
+    """Queues searches and bookings for the services that this host owns.
+
+    They come from other hosts and from requests that this host itself received.
+    """
 
     def __init__(
         self,
@@ -43,14 +50,15 @@
         self.bookings = BookingLog(clock)
 
     def submit_search(self, ask: Ask, send_reply: SendReply) -> None:
-        """Queue each part of ``ask``; its reply goes to ``answer``."""
+        """Queue each part of a search; the reply to each part is passed to ``send_reply``."""
         for part in ask.parts:
             self._submit_part(ask, part, send_reply)
 
     def submit_booking(self, book: Book, send_reply: SendReply) -> None:
-        """Queue one attempt of a booking; its outcome goes to ``answer``.
+        """Queue one attempt of a booking; its outcome is passed to ``send_reply``.
 
-        A message that comes twice is dropped: the first copy's outcome stands for both.
+        A second copy of the same message is ignored, since the outcome of the first copy holds
+        for both.
         """
         if not self.bookings.record_attempt(book.ticket, book.attempt):
             return
@@ -71,7 +79,7 @@
         self._submit(work)
 
     def cancel(self, cancel: Cancel) -> None:
-        """Drop what is queued or in flight for a query."""
+        """Cancel the work that is queued or in flight for a query."""
         for pool in self.pools.list_pools():
             pool.cancel(cancel.query)
 
@@ -93,7 +101,7 @@
         self._submit(work)
 
     def _submit(self, work: Work) -> None:
-        """Queue ``work`` in the pool of its service, or deliver why it cannot be."""
+        """Queue ``work`` in the pool of its service, or deliver the reason why it is refused."""
         pool = self._find_pool(work.service)
         refusal = pool if isinstance(pool, NotRun) else pool.submit(work)
         if refusal is not None:
--- a/src/masticgate/process/_policy.py
+++ b/src/masticgate/process/_policy.py
@@ -1,4 +1,7 @@
-"""The policies of an entry host as data; code that varies by policy matches on them."""
+"""The policies by which a host routes, orders, hedges and admits work.
+
+They are data classes, and the code whose behaviour varies by policy matches on them.
+"""
 
 from dataclasses import dataclass
 
@@ -7,12 +10,12 @@
 
 @dataclass(frozen=True, slots=True)
 class OwnerRouting:
-    """One owner host a service holds the one queue and the searchers' connections."""
+    """One host per service, its owner, queues all its work and holds the connections to it."""
 
 
 @dataclass(frozen=True, slots=True)
 class LocalRouting:
-    """Each host sends to the searchers on its own."""
+    """Each host queues and sends the work of its own requests, as if it owned every service."""
 
 
 Routing = OwnerRouting | LocalRouting
@@ -20,15 +23,17 @@
 
 @dataclass(frozen=True, slots=True)
 class ArrivalOrder:
-    """First come, first served."""
+    """Work is served in the order in which it arrived."""
 
 
 @dataclass(frozen=True, slots=True)
 class RankOrder:
-    """Urgent first, with a floor for each lower rank.
+    """Work is served by its rank, urgent first, with a floor for each lower rank.
 
-    Once the oldest waiting work of a rank is older than ``shared_order_after``, that rank is
-    served by the number drawn once a query, so that all owners finish the same queries.
+    The floor of a rank is the share of the served work that it gets in any case. Within a rank,
+    work is served by arrival. Once its oldest queued work is older than ``shared_order_after``,
+    the rank is served by admission number instead. That number is drawn once per query, so that
+    the owners of all its services finish the same queries under overload.
     """
 
     shared_order_after: Millis = Millis(150.0)
@@ -39,12 +44,16 @@
 
 @dataclass(frozen=True, slots=True)
 class NoHedge:
-    """A straggler is waited for."""
+    """A slow attempt is waited for, and a failed one is not retried."""
 
 
 @dataclass(frozen=True, slots=True)
 class Hedge:
-    """A straggler is asked again elsewhere, within a share of the work sent."""
+    """A slow attempt is hedged: another searcher is asked too, and the first answer is used.
+
+    ``budget`` is the number of hedges and retries allowed per first attempt, and
+    ``minimum_delay`` the least age at which an attempt is hedged.
+    """
 
     budget: float = 0.048
     minimum_delay: Millis = Millis(15.0)
@@ -55,12 +64,12 @@
 
 @dataclass(frozen=True, slots=True)
 class AdmitAll:
-    """Every query fans out, whatever the load."""
+    """Every query is sent to its services, whatever their load."""
 
 
 @dataclass(frozen=True, slots=True)
 class AdmitByCapacity:
-    """A query is refused whole, before its fan-out, where a service could not finish it."""
+    """A query is refused as a whole, before its fan-out, if a service could not finish it."""
 
 
 Admission = AdmitAll | AdmitByCapacity
@@ -68,7 +77,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Policy:
-    """How a host routes, orders, hedges and admits."""
+    """One choice for each kind of policy."""
 
     routing: Routing
     order: Order
@@ -77,4 +86,7 @@
 
 
 OWNER_POLICY = Policy(OwnerRouting(), RankOrder(), Hedge(), AdmitByCapacity())
+"""The policy of an ordinary host."""
+
 NAIVE_POLICY = Policy(LocalRouting(), ArrivalOrder(), NoHedge(), AdmitAll())
+"""A simple baseline to compare the ordinary policy with."""
--- a/src/masticgate/process/_pools.py
+++ b/src/masticgate/process/_pools.py
@@ -1,4 +1,8 @@
-"""The service pools that this host has open."""
+"""The service pools that this host has open.
+
+A service pool holds the queue of one service and the connections to its searchers. It is open on
+the host that owns the service, and for a while on a host that owned it or was asked as its owner.
+"""
 
 from collections.abc import Callable, Mapping
 from threading import Lock
@@ -16,10 +20,15 @@
 """A pool of a service that this host does not own is closed after this long without work."""
 
 ConnectionStarter = Callable[[ServicePool, Searcher], None]
+"""Starts the task of one connection of a pool to a searcher."""
 
 
 class ServicePools:
-    """Opens a pool when a service's first work comes, with its connection tasks."""
+    """Opens a pool and starts its connection tasks when a service's first work arrives.
+
+    ``closing`` holds closed pools that may still have open connections. ``configured`` holds what
+    each open pool was last configured with.
+    """
 
     def __init__(
         self,
@@ -38,7 +47,10 @@
         self.configured: dict[ServiceId, tuple[Service, int, Mapping[Rank, float]]] = {}
 
     def get(self, configuration: Configuration, service: Service, host_count: int) -> ServicePool:
-        """Return the pool of ``service``, with the searchers and shares now in force."""
+        """Return the pool of ``service``, after opening or reconfiguring it if needed.
+
+        ``host_count`` is the number of hosts among which each searcher's connections are shared.
+        """
         with self.lock:
             pool = self.pools.get(service.id)
             if pool is None:
@@ -53,7 +65,11 @@
             return list(self.pools.values())
 
     def close_unused(self, configuration: Configuration, owned: set[ServiceId]) -> None:
-        """Close pools of services that left, or that are idle and not owned here."""
+        """Close the pools that are no longer needed.
+
+        These are pools of services that are no longer configured or whose department is leaving,
+        and idle pools of services that this host does not own.
+        """
         now = self.clock.now()
         with self.lock:
             for name, pool in list(self.pools.items()):
@@ -64,13 +80,13 @@
                     self._close(name)
 
     def stop(self) -> None:
-        """Close every pool; pending work is handed back as not run."""
+        """Close every pool; queued work is settled as not run."""
         with self.lock:
             for name in list(self.pools):
                 self._close(name)
 
     def _open(self, configuration: Configuration, service: Service, host_count: int) -> ServicePool:
-        """Open a pool, again where its last connections have not closed yet."""
+        """Open a pool, or open it again if its last connections have not closed yet."""
         pool = self.closing.pop(service.id, None)
         if pool is None:
             pool = ServicePool(
@@ -89,7 +105,7 @@
     def _apply_configuration(
         self, pool: ServicePool, configuration: Configuration, service: Service, host_count: int
     ) -> None:
-        """Put the shares in force; only connections beyond those still open are started."""
+        """Apply the configuration to ``pool`` and start the connections that it lacks."""
         shares = [
             (searcher, connections_per_owner(searcher, host_count))
             for searcher in service.searchers
--- a/src/masticgate/process/_pressure.py
+++ b/src/masticgate/process/_pressure.py
@@ -1,4 +1,9 @@
-"""The regular exchange of demand and pressure between entry hosts and owners."""
+"""The regular exchange of pressure and demand between the owners of services and entry hosts.
+
+An owner queues the work of its services and reports their pressure: the share of each rank's
+queries that a service can take. An entry host, which receives queries from callers, refuses some
+because of it, and reports their number to the owner, since they are part of the demand.
+"""
 
 from collections.abc import Callable
 from threading import Lock
@@ -13,14 +18,17 @@
 from ._timeline import EventKind, TimeLine
 
 PRESSURE_INTERVAL = Millis(200.0)
+"""The time between two exchanges."""
+
 ENTRY_HOST_TTL = Millis(5000.0)
+"""An entry host gets pressure reports until this long after the last search that it sent."""
 
 SendPressure = Callable[[Pressure], object]
 SendDemand = Callable[[HostId, Demand], object]
 
 
 class PressureReporter:
-    """Tells entry hosts what this owner's services take, and owners what was refused here."""
+    """Reports this owner's pressure to entry hosts, and what this host refused to the owners."""
 
     def __init__(
         self,
@@ -40,11 +48,11 @@
         self.limited_services: frozenset[ServiceId] = frozenset()
 
     def record_entry_host(self, host: HostId, send_pressure: SendPressure) -> None:
-        """Remember that ``host`` asks this owner, and the connection it asks over."""
+        """Record that ``host`` sent a search; ``send_pressure`` sends to it on the same link."""
         self.entry_hosts[host] = (send_pressure, self.clock.now())
 
     def handle_demand(self, demand: Demand) -> None:
-        """Count what an entry host refused because of this owner's pressure."""
+        """Add what an entry host refused to the demand of the services that this host owns."""
         pools = {pool.service: pool for pool in self.pools.list_pools()}
         for item in demand.refused:
             pool = pools.get(item.service)
@@ -52,7 +60,7 @@
                 pool.record_refused(item.rank, item.count)
 
     def run_once(self, send_demand: SendDemand) -> None:
-        """Exchange once; the process calls this every :data:`PRESSURE_INTERVAL`."""
+        """Report demand and pressure once, which is due every :data:`PRESSURE_INTERVAL`."""
         for owner, refused in self.admission.pop_refused().items():
             demand = Demand(tuple(refused))
             if owner == self.own_host:
--- a/src/masticgate/process/_rank_queue.py
+++ b/src/masticgate/process/_rank_queue.py
@@ -1,4 +1,8 @@
-"""Orders pending work: urgent first, with floors for the lower ranks."""
+"""The order in which a service's queued work is served: urgent first, with floors for the rest.
+
+The rank of work is its urgency: urgent, standard or bulk. The floor of a rank is the share of the
+served work that it gets even when more urgent work is queued.
+"""
 
 from collections.abc import Iterator, Mapping
 
@@ -10,7 +14,7 @@
 from ._work import BookingWork, QueueEntry, SearchWork
 
 MAX_FLOOR_CREDIT = 2.0
-"""The pieces of work that a rank may be owed; older claims lapse."""
+"""The most pieces of work that a rank's unused floor adds up to; credit beyond this expires."""
 
 
 def _admission_number(entry: QueueEntry) -> float:
@@ -22,7 +26,11 @@
 
 
 class RankQueue:
-    """Pending entries of one service; its owner's lock guards it."""
+    """The queued entries of one service; callers hold the lock of the service pool.
+
+    ``credit`` holds the pieces of work that each rank is owed by its floor. ``by_arrival`` and
+    ``by_admission_number`` hold the same entries in two orders.
+    """
 
     def __init__(self, order: Order, floors: Mapping[Rank, float]) -> None:
         self.order = order
@@ -36,41 +44,41 @@
         return self.size
 
     def depth(self, rank: Rank) -> int:
-        """Return the number of pending entries of ``rank``."""
+        """Return the number of queued entries of ``rank``."""
         return len(self.by_arrival[rank])
 
     def oldest_wait(self, rank: Rank, now: Millis) -> Millis:
-        """Return how long the oldest pending entry of ``rank`` has waited, 0 where none does."""
+        """Return how long the oldest queued entry of ``rank`` has waited, 0 if there is none."""
         oldest = next(iter(self.by_arrival[rank].values()), None)
         return Millis(now - oldest.queued_at) if oldest else Millis(0.0)
 
     def entries(self) -> Iterator[QueueEntry]:
-        """Iterate over all pending entries."""
+        """Iterate over all queued entries."""
         for rank in Rank:
             yield from self.by_arrival[rank].values()
 
     def add(self, entry: QueueEntry) -> None:
-        """Add a pending entry."""
+        """Add an entry to the queue."""
         rank = entry.work.rank
         self.by_arrival[rank][id(entry)] = entry
         self.by_admission_number[rank].add(entry)
         self.size += 1
 
     def remove(self, entry: QueueEntry) -> None:
-        """Remove an entry, pending or not."""
+        """Remove an entry if it is queued."""
         rank = entry.work.rank
         if self.by_arrival[rank].pop(id(entry), None) is not None:
             self.by_admission_number[rank].remove(entry)
             self.size -= 1
 
     def first_rank(self) -> Rank | None:
-        """Return the most urgent rank that waits."""
+        """Return the most urgent rank of which work is queued, ``None`` if nothing is queued."""
         return next((rank for rank in Rank if self.by_arrival[rank]), None)
 
     def pop(self, now: Millis) -> QueueEntry:
         """Remove and return the entry to serve next.
 
-        :raises IndexError: nothing is pending.
+        :raises IndexError: nothing is queued.
         """
         match self.order:
             case ArrivalOrder():
@@ -81,9 +89,9 @@
         return entry
 
     def record_served(self, entry: QueueEntry) -> None:
-        """Count a popped entry as served: each waiting rank earns its floor.
+        """Record that a popped entry was served, and credit each waiting rank with its floor.
 
-        An entry that expired in the queue is not charged, so that it uses up no floor.
+        It isn't called for an entry past its deadline, which uses up no credit.
         """
         served = entry.work.rank
         for rank in Rank:
--- a/src/masticgate/process/_repeat_budget.py
+++ b/src/masticgate/process/_repeat_budget.py
@@ -1,28 +1,34 @@
-"""What an entry host may ask of a second owner while the first is only silent."""
+"""The budget of searches that a host repeats at a second owner while the first is silent.
+
+The owner of a service queues its work. A silent owner may be slow or paused rather than lost.
+"""
 
 from threading import Lock
 
 EARNED_PER_PART = 0.005
-"""Earned by each part of a search that is asked of an owner."""
+"""What the budget earns for each part of a search that is sent to an owner.
+
+A part of a search is what one service answers of it.
+"""
 
 MAX_PARTS = 64.0
-"""Enough for the searches in flight when one owner pauses."""
+"""The largest budget in parts, enough for the searches in flight when one owner pauses."""
 
 
 class RepeatBudget:
-    """Bounds the extra load of leaving silent owners, many of which answer after all."""
+    """Limits the extra load of repeats at other owners, as many silent owners answer after all."""
 
     def __init__(self) -> None:
         self.lock = Lock()
         self.parts = MAX_PARTS
 
     def earn(self, parts: int) -> None:
-        """Count parts asked for the first time."""
+        """Add what ``parts`` parts of a search earn, when they are sent to an owner."""
         with self.lock:
             self.parts = min(MAX_PARTS, self.parts + parts * EARNED_PER_PART)
 
     def spend(self, parts: int) -> bool:
-        """Take ``parts``; return ``False`` where the budget does not cover them."""
+        """Spend the budget for ``parts`` repeated parts; return ``False`` if it is too small."""
         with self.lock:
             if self.parts < parts:
                 return False
--- a/src/masticgate/process/_retry.py
+++ b/src/masticgate/process/_retry.py
@@ -1,4 +1,4 @@
-"""Which failed sends may be tried again elsewhere, and at what cost."""
+"""Decides which failed attempts may be retried at another searcher, and at what cost."""
 
 from enum import Enum
 
@@ -6,19 +6,21 @@
 from ._work import QueueEntry, Result, SearchWork
 
 MAX_RETRIES = 2
+"""The most retries of one piece of work."""
 
 FREE_RETRY_REASONS = frozenset({Reason.SEARCHER_DRAINING, Reason.SEARCHER_REFUSED})
-"""Failures that cost the searcher no work; a retry after them is no extra load."""
+"""The failures that cost the searcher no work, so that a retry adds no load."""
 
 RETRY_REASONS = FREE_RETRY_REASONS | {
     Reason.SEARCHER_SHED,
     Reason.SEARCHER_LOST,
     Reason.SEARCHER_ERROR,
 }
+"""All failures after which a search may be retried."""
 
 
 class RetryCost(Enum):
-    """What one more send of an entry takes from the service's budget."""
+    """What a retry takes from the service's budget of hedges and retries."""
 
     FREE = "free"
     TOKEN = "token"
@@ -26,7 +28,10 @@
 
 
 def retry_cost(entry: QueueEntry, result: Result) -> RetryCost:
-    """Return the cost of sending ``entry`` again after ``result``; a booking never is."""
+    """Return the cost of a retry of ``entry`` after ``result``.
+
+    It is forbidden for a booking, which may be sent only once.
+    """
     if not isinstance(entry.work, SearchWork) or entry.retries >= MAX_RETRIES:
         return RetryCost.FORBIDDEN
     match result:
--- a/src/masticgate/process/_searcher_group.py
+++ b/src/masticgate/process/_searcher_group.py
@@ -1,4 +1,9 @@
-"""The searchers of one service as its owner sees them: shares, choice and ejection."""
+"""The searchers of one service: their shares of connections, their choice and their ejection.
+
+The owner of a service is the host that queues its work and holds the connections to its
+searchers. A searcher is ejected, which means it gets no work for a while, after failures in a row
+or when it is much slower than the others.
+"""
 
 from collections.abc import Callable, Collection, Iterable, Iterator
 
@@ -12,15 +17,18 @@
 HEALTH_FAILURES = frozenset(
     {Reason.SEARCHER_LOST, Reason.SEARCHER_ERROR, Reason.SEARCHER_REFUSED, Reason.WRONG_VERSION}
 )
+"""The reasons of a failed attempt for which the searcher itself is to blame."""
 
 StateListener = Callable[[ServiceId, SearcherId, SearcherState], None]
+"""Called with a service, a searcher of it and the state that the searcher changed to."""
 
 
 class SearcherGroup:
-    """Replicas of one another; the service pool's lock guards them.
+    """The searchers of a service, which are replicas of one another.
 
-    ``health`` holds the searchers in use. One that left or moved to another address is kept in
-    ``retired`` until its last connection has closed.
+    ``health`` holds the searchers in use. A searcher that was removed or moved to another address
+    is kept in ``retired`` until its last connection has closed. Callers hold the lock of the
+    service pool.
     """
 
     def __init__(self, service: ServiceId, listener: StateListener) -> None:
@@ -32,7 +40,11 @@
     # Connections.
 
     def apply_shares(self, shares: Iterable[tuple[Searcher, int]]) -> list[Searcher]:
-        """Put other searchers or shares in force; return one searcher a connection to open."""
+        """Apply the searchers in use and the number of connections that each may have.
+
+        Return the searchers to connect to, each once for every connection to open. A searcher is
+        recognised by its address.
+        """
         known = [*self.health.values(), *self.retired]
         self.health = {}
         missing: list[Searcher] = []
@@ -50,26 +62,29 @@
         return missing
 
     def find(self, searcher: Searcher) -> SearcherHealth:
-        """Return what is known of the searcher of an open connection."""
+        """Return the state of a searcher to which a connection is open."""
         known = (*self.health.values(), *self.retired)
         return next(h for h in known if h.searcher.address == searcher.address)
 
     def remove_closed(self) -> None:
-        """Forget retired searchers without connections."""
+        """Remove the retired searchers whose last connection has closed."""
         self.retired = [health for health in self.retired if health.open]
 
     def open_connections(self) -> int:
-        """Return the connections that are open or being opened or closed."""
+        """Return the number of connections that are open, opening or closing."""
         return sum(health.open for health in (*self.health.values(), *self.retired))
 
     # Choice.
 
     def all_draining(self) -> bool:
-        """Tell whether no searcher takes new work."""
+        """Return whether every searcher drains, so that none takes new work."""
         return all(h.state is SearcherState.DRAINING for h in self.health.values())
 
     def usable_slots(self, now: Millis) -> int:
-        """Return the slots that may be filled now; one that warms up counts in part."""
+        """Return how many requests the searchers can run at once now.
+
+        A searcher that is warming up counts only with the requests that it may have in flight.
+        """
         return sum(min(h.searcher.slots, h.max_in_flight(now)) for h in self.health.values())
 
     def choose(
@@ -78,24 +93,27 @@
         now: Millis,
         excluded: Collection[SearcherHealth] = (),
     ) -> SearcherHealth | None:
-        """Return the searcher to give work to, ``None`` where none may have more."""
+        """Return the candidate with the lowest cost, ``None`` if none may take more work."""
         eligible = [
             h for h in candidates if h not in excluded and h.in_flight < h.max_in_flight(now)
         ]
         return min(eligible, key=lambda health: health.cost(now), default=None)
 
     def list_ejected(self) -> list[SearcherHealth]:
-        """Return the searchers that only get a probe."""
+        """Return the ejected searchers, which get at most one request, as a probe."""
         return [h for h in self.health.values() if h.state is SearcherState.EJECTED]
 
     def next_eligible(self, now: Millis) -> Millis | None:
-        """Return when a searcher that backs off or is ejected may have work again."""
+        """Return when the next searcher in backoff or ejection may get work again.
+
+        Return ``None`` if no such searcher exists.
+        """
         return min((h.eligible_at for h in self._usable() if h.eligible_at > now), default=None)
 
-    # Observation.
+    # Observations.
 
     def record_result(self, attempt: SearcherAttempt, result: Result, now: Millis) -> None:
-        """Learn from the end of ``send``."""
+        """Update the state of the searcher from the result of ``attempt``."""
         health = attempt.health
         health.in_flight -= 1
         before = self._states()
@@ -115,7 +133,10 @@
         self._notify(before)
 
     def record_load(self, searcher: Searcher, report: LoadReport | None) -> None:
-        """Take what a searcher says of itself, ``None`` where it could not be asked."""
+        """Record a searcher's report of its load, ``None`` if it could not be asked.
+
+        The failure to ask matters only for a draining searcher, which may be restarting.
+        """
         health = self.find(searcher)
         before = self._states()
         if report is not None:
@@ -135,7 +156,7 @@
                 self._eject(health, now)
 
     def _eject(self, health: SearcherHealth, now: Millis) -> None:
-        """Eject, but never so that more than half of the service is out."""
+        """Eject ``health``, unless more than half of the service would then get no work."""
         unavailable = (SearcherState.EJECTED, SearcherState.DRAINING)
         out = sum(h.state in unavailable for h in self.health.values() if h is not health)
         if (out + 1) * 2 <= len(self.health):
@@ -151,9 +172,11 @@
 
 
 def _is_failure(attempt: SearcherAttempt, reason: Reason) -> bool:
-    """Tell whether the searcher is to blame; to be superseded by a hedge counts too.
+    """Return whether a failed attempt counts against its searcher.
 
-    One that has answered other work since then is alive, so that one lost send does not count.
+    It also counts when a hedge of the same work answered first. It does not count as lost or
+    superseded when the searcher has answered other work since it was sent, for then the searcher
+    is alive.
     """
     answered_since = attempt.health.last_success_at >= attempt.sent_at
     match attempt.state:
--- a/src/masticgate/process/_searcher_health.py
+++ b/src/masticgate/process/_searcher_health.py
@@ -1,4 +1,7 @@
-"""What an owner observed of one searcher, and how much work it may have now."""
+"""What the owner of a service observed of one searcher, and how much work it may send there.
+
+The owner is the host that queues the service's work and holds the connections to its searchers.
+"""
 
 from dataclasses import dataclass
 from enum import Enum
@@ -8,42 +11,60 @@
 from ..version import Searcher
 
 FAILURES_TO_EJECT = 3
+"""The failures in a row after which a searcher is ejected, that is, gets no work for a while."""
+
 SLOW_FACTOR = 4.0
-"""A searcher this many times slower than its fastest sibling is ejected."""
+"""A searcher this many times slower than the fastest one of its service is ejected."""
 
 SLOW_MIN_SAMPLES = 20
+"""The successes before a searcher's latency is compared with the others'."""
+
 INITIAL_EJECTION = Millis(500.0)
 MAX_EJECTION = Millis(8000.0)
+"""The durations of the first ejection and of the longest; each is twice the one before."""
+
 INITIAL_BACKOFF = Millis(20.0)
 MAX_BACKOFF = Millis(500.0)
+"""The pauses after a first refusal and the longest one; each is twice the one before."""
+
 WARM_UP_STEP = 4
 """Successes after which a warming searcher may have one more request in flight."""
 
 LATENCY_WEIGHT = 0.1
+"""The weight of the latest latency in a searcher's average."""
+
 LATENCY_STEP = 1.25
-"""Latencies within this factor of one another count as equal in the choice of a searcher."""
+"""Latencies within about this factor count as equal in the choice of a searcher."""
 
 LATENCY_TTL = Millis(3000.0)
 """The latency of an idle searcher is ignored once its last success is older than this."""
 
 LOAD_CHECK_INTERVAL = Millis(4000.0)
-"""How often an idle connection asks a searcher for its load."""
+"""The shortest time between two requests to one searcher for its load."""
 
 
 class SearcherState(Enum):
-    """How an owner treats a searcher."""
+    """Which work a searcher gets."""
 
     WARMING = "warming"
+    """A few requests at once, and more as they succeed."""
+
     ACTIVE = "active"
+    """As many requests at once as it has connections."""
+
     EJECTED = "ejected"
+    """None until the ejection ends, then one request as a probe."""
+
     DRAINING = "draining"
+    """None, since it said that it is shutting down."""
 
 
 @dataclass(frozen=True, slots=True)
 class LoadReport:
-    """What a searcher says of itself; it may lag or mislead.
+    """A searcher's report of its own load, which may be out of date or wrong.
 
-    ``incarnation`` is empty where the searcher states none.
+    ``incarnation`` tells a restarted searcher from its earlier run; it is empty if the searcher
+    states none.
     """
 
     load: int
@@ -52,7 +73,11 @@
 
 
 class SearcherHealth:
-    """One searcher as its owner sees it; the owner's lock guards it."""
+    """The state of one searcher; callers hold the lock of the service pool.
+
+    ``connections`` is this owner's share of the connections to the searcher. ``open`` counts the
+    connections that have not closed yet, ``closing`` those of them that were told to close.
+    """
 
     def __init__(self, searcher: Searcher) -> None:
         self.searcher = searcher
@@ -66,7 +91,7 @@
         self.reset()
 
     def reset(self) -> None:
-        """Treat the searcher as newly started: nothing is known of it."""
+        """Discard all observations and treat the searcher as newly started."""
         self.state = SearcherState.WARMING
         self.warm_up_limit = 1.0
         self.latency = Millis(0.0)
@@ -80,7 +105,7 @@
         self.lost_while_draining = False
 
     def resize(self, searcher: Searcher, connections: int) -> int:
-        """Change the share of connections; return how many more have to be opened."""
+        """Set the searcher's share of connections; return how many have to be opened."""
         self.searcher = searcher
         self.connections = connections
         missing = max(0, connections - self.open)
@@ -88,14 +113,14 @@
         return missing
 
     def should_close(self) -> bool:
-        """Tell one idle connection whether it has to close, since there are too many."""
+        """Return whether the idle connection that asks has to close, as one too many."""
         if self.open - self.closing <= self.connections:
             return False
         self.closing += 1
         return True
 
     def record_closed_connection(self) -> bool:
-        """Count a closed connection; return ``True`` where it is wanted again by now."""
+        """Record that a connection closed; return whether it is wanted again by now."""
         self.closing -= 1
         if self.open - self.closing <= self.connections:
             return True
@@ -103,7 +128,7 @@
         return False
 
     def max_in_flight(self, now: Millis) -> int:
-        """Return the requests that may be in flight now."""
+        """Return how many requests may be in flight at the searcher now."""
         match self.state:
             case SearcherState.ACTIVE:
                 return self.connections
@@ -115,9 +140,10 @@
                 return 0
 
     def cost(self, now: Millis) -> tuple[float, int]:
-        """Return what orders the choice among searchers, the lowest first.
+        """Return the sort key for the choice among searchers, the lowest first.
 
-        Own counts and latency decide; the searcher's own report only breaks a tie.
+        The requests in flight and the latency seen here decide. The load that the searcher
+        reports only breaks a tie, since it may be wrong.
         """
         probe = self.state is SearcherState.EJECTED
         stale = self.in_flight == 0 and now - self.last_success_at > LATENCY_TTL
@@ -129,7 +155,7 @@
         ) / self.searcher.slots * LATENCY_STEP**latency_step, self.reported_load
 
     def record_success(self, latency: Millis, now: Millis) -> None:
-        """Count a success; an ejected searcher starts to warm up again."""
+        """Record a success; an ejected searcher starts to warm up again."""
         self.failures = 0
         self.next_backoff = INITIAL_BACKOFF
         self.samples += 1
@@ -147,7 +173,7 @@
                 return
 
     def record_failure(self) -> bool:
-        """Count a failure; return ``True`` where it calls for an ejection."""
+        """Record a failure; return whether the searcher should be ejected for it."""
         self.failures += 1
         if self.state is SearcherState.DRAINING:
             self.lost_while_draining = True
@@ -155,7 +181,10 @@
         return self.failures >= FAILURES_TO_EJECT or self.state is SearcherState.EJECTED
 
     def record_refusal(self, now: Millis) -> None:
-        """Give less work for a while to a searcher that shed or is cold; that is no failure."""
+        """Record that the searcher refused work since it is overloaded or not warm yet.
+
+        It gets no work for a pause and less work after it. A refusal doesn't count as a failure.
+        """
         if self.state is SearcherState.DRAINING:
             return
         if self.state is not SearcherState.EJECTED:
@@ -165,12 +194,12 @@
         self.next_backoff = min(MAX_BACKOFF, Millis(self.next_backoff * 2))
 
     def is_slow(self, fastest: Millis) -> bool:
-        """Tell whether this searcher is an outlier beside its ``fastest`` sibling."""
+        """Return whether the searcher is too slow; ``fastest`` is its service's best latency."""
         comparable = self.samples >= SLOW_MIN_SAMPLES and fastest > 0
         return comparable and self.latency > SLOW_FACTOR * fastest
 
     def eject(self, now: Millis) -> None:
-        """Give it nothing until the ejection ends, then one request as a probe."""
+        """Send no work until the ejection ends, then one request as a probe."""
         self.state = SearcherState.EJECTED
         self.eligible_at = Millis(now + self.next_ejection)
         self.next_ejection = min(MAX_EJECTION, Millis(self.next_ejection * 2))
@@ -179,14 +208,18 @@
         self.samples = 0
 
     def drain(self) -> None:
-        """Give this incarnation of the searcher no new work any more."""
+        """Send this incarnation of the searcher no new work any more."""
         if self.state is not SearcherState.DRAINING:
             self.state = SearcherState.DRAINING
             self.drained_incarnation = self.incarnation
             self.lost_while_draining = False
 
     def record_report(self, report: LoadReport) -> None:
-        """Take the searcher's report; a new incarnation that does not drain starts anew."""
+        """Record a load report; reset a draining searcher that has restarted.
+
+        It has restarted when it reports another incarnation and no longer drains. A searcher that
+        states no incarnation counts as restarted after it could not be reached.
+        """
         self.reported_load = report.load
         if self.state is SearcherState.DRAINING:
             if self._is_new(report) and not report.draining:
--- a/src/masticgate/process/_service_load.py
+++ b/src/masticgate/process/_service_load.py
@@ -1,4 +1,8 @@
-"""What an owner measures of one service: its demand by rank, and the work it can take."""
+"""Measures one service's demand by rank, and the rate of work that it can admit.
+
+The rank of work is its urgency: urgent, standard or bulk. The owner of the service, which queues
+its work, keeps these statistics and reports the admitted share of each rank to the other hosts.
+"""
 
 from collections.abc import Mapping
 from dataclasses import dataclass
@@ -8,43 +12,49 @@
 from .._ranks import Rank
 
 DEMAND_WINDOW = Millis(1500.0)
+"""The time constant of the moving average of demand."""
+
 DEMAND_JUMP_FACTOR = 2.0
 DEMAND_JUMP_COUNT = 30
-"""Demand that rises by this factor, by this many pieces of work, is taken over at once."""
+"""Demand replaces its average at once if it is this many times higher, with this much work."""
 
 CAPACITY_WINDOW = Millis(10_000.0)
+"""The time constant with which older completions lose their weight in the capacity."""
+
 MIN_COMPLETIONS = 20.0
-"""Completions under backlog before the capacity counts as known."""
+"""The completions, while other work was waiting, before the capacity counts as known."""
 
 MAX_COMPLETION_GAP = Millis(500.0)
 """A longer time between two completions is a stall of this host, not of the searchers."""
 
 INITIAL_SHARE = 0.95
-"""The part of the estimated capacity that is admitted first."""
+"""The share of the estimated capacity that is admitted when refusing begins."""
 
 TARGET_BACKLOG = Millis(30.0)
-"""The backlog, as the time its searchers need for it, above which less is admitted."""
+"""The backlog above which less is admitted, as the time in which the admitted rate clears it."""
 
 SAMPLE_WEIGHT = 0.3
-"""The weight of the latest tick in the averages of backlog and utilisation."""
+"""The weight of the latest sample in the averages of backlog and utilisation."""
 
 MAX_GROWTH = 0.2
 MAX_DECREASE = 0.06
-"""The most that one tick changes the admitted rate: up where slots idle, down on backlog."""
+"""The largest relative rise of the admitted rate in one update, for idle slots, and the largest
+fall, for a backlog."""
 
 MIN_REFUSAL_WAIT = Millis(100.0)
-"""Work has to wait this long before any is refused."""
+"""The time that some work has to have waited before any is refused."""
 
 RELEASE_AFTER = Millis(2000.0)
-"""Refusing ends once all demand has fitted for this time."""
+"""Refusing ends after this long in which the admitted rate covered all demand."""
 
 
 @dataclass(frozen=True, slots=True)
 class PoolSample:
-    """One look at a pool.
+    """The state of a service's queue and searchers at one moment.
 
-    ``slots`` may be filled now, ``in_flight`` pieces of work are sent, ``pending`` wait, the
-    oldest of them for ``longest_wait``.
+    ``slots`` is how many requests the searchers can run at once, ``in_flight`` how many attempts
+    are running, ``pending`` how much work is queued, and ``max_wait`` how long the oldest of that
+    has waited.
     """
 
     now: Millis
@@ -55,10 +65,11 @@
 
 
 class ServiceLoad:
-    """Demand and admitted rate of one service; the lock of its pool guards it.
+    """The demand and the admitted rate of one service; callers hold the lock of its pool.
 
-    The first admitted rate comes from the completions a slot while work was waiting. From then
-    on it follows what it leads to: idle slots raise it, a backlog lowers it.
+    Everything is admitted until work has waited too long. The first admitted rate is then
+    estimated from the completions per slot while work was waiting. After that it is corrected by
+    its own effect: idle slots raise it, a backlog lowers it.
     """
 
     def __init__(self, now: Millis) -> None:
@@ -76,11 +87,14 @@
         self.utilisation = 1.0
 
     def record_arrivals(self, rank: Rank, count: int = 1) -> None:
-        """Count work asked for, whether it came here or was refused at its entry."""
+        """Record demand, whether the work arrived here or its entry host refused it.
+
+        The entry host of a request is the host that received it from the caller.
+        """
         self.arrived[rank] += count
 
     def record_completion(self, now: Millis, slots: int, backlog: bool) -> None:
-        """Count one completion; ``backlog`` tells whether work still waits for full slots."""
+        """Record one completion; ``backlog`` says whether other work is still queued."""
         elapsed = now - self.last_completion
         if self.had_backlog and elapsed < MAX_COMPLETION_GAP:
             self.busy_completions += 1
@@ -89,7 +103,7 @@
         self.had_backlog = backlog
 
     def update(self, sample: PoolSample) -> None:
-        """Fold what happened since the last tick into the averages."""
+        """Update the averages and the admitted rate with what happened since the last update."""
         self._scale_to_slots(sample.slots)
         self._start_refusing(sample)
         self._adjust_rate(sample)
@@ -103,7 +117,10 @@
         self.busy_slot_millis *= decay
 
     def shares(self, floors: Mapping[Rank, float]) -> dict[Rank, float]:
-        """Return the share of each rank's demand to admit: all of it until work waits long."""
+        """Return the share of each rank's demand to admit, 1 while nothing has to be refused.
+
+        ``floors`` holds the share of the capacity that a rank is guaranteed.
+        """
         if self.admitted_rate is None:
             return dict.fromkeys(Rank, 1.0)
         shares = share_capacity(self.admitted_rate, self.demand, floors)
@@ -114,7 +131,7 @@
         return shares
 
     def capacity(self, slots: int) -> float | None:
-        """Return completions a millisecond over ``slots`` slots, ``None`` while unknown."""
+        """Return the completions per millisecond on ``slots`` slots, ``None`` while unknown."""
         if self.busy_completions < MIN_COMPLETIONS:
             return None
         return self.busy_completions / max(1.0, self.busy_slot_millis) * slots
@@ -128,16 +145,16 @@
             self.limited_at = sample.now
 
     def _scale_to_slots(self, slots: int) -> None:
-        """Follow a searcher that was lost or came back at once."""
+        """Scale the admitted rate at once when a searcher is lost or comes back."""
         if self.admitted_rate is not None and slots and self.slots and slots != self.slots:
             self.admitted_rate *= slots / self.slots
         self.slots = slots or self.slots
 
     def _adjust_rate(self, sample: PoolSample) -> None:
-        """Follow the backlog and the idle slots that the admitted rate leads to.
+        """Correct the admitted rate by the backlog and the idle slots that it leads to.
 
-        The age of the oldest work would mislead: under overload the work with the highest numbers
-        waits until its deadline, however short the queue is.
+        The age of the oldest work would mislead: under overload the work with the highest
+        admission numbers waits until its deadline, however short the queue is.
         """
         if self.admitted_rate is None or not sample.slots:
             return
@@ -163,8 +180,9 @@
 ) -> dict[Rank, float]:
     """Return the share of each rank's demand that ``capacity`` can take, from 0 to 1.
 
-    Each rank gets what the more urgent ones leave, but never less than its floor, and no more
-    than it asks for. Both rates are in the same unit.
+    Each rank gets the capacity that the more urgent ranks leave, but at least its floor, which is
+    a share of the capacity, and at most its demand. ``capacity`` and ``demand`` are rates in the
+    same unit.
     """
     guaranteed = {rank: min(demand[rank], floors.get(rank, 0.0) * capacity) for rank in Rank}
     remaining = capacity
--- a/src/masticgate/process/_service_pool.py
+++ b/src/masticgate/process/_service_pool.py
@@ -1,4 +1,8 @@
-"""The one queue of a service at its owner, and the dispatch to its searchers' connections."""
+"""The queue of one service, and the dispatch of its work to the searchers' connections.
+
+A service is a group of searchers that are replicas of one another. Its owner is the host that
+queues all its work and holds the connections to its searchers.
+"""
 
 from collections.abc import Callable, Iterable, Mapping
 
@@ -28,16 +32,17 @@
 )
 
 MAX_PENDING = 2000
-"""Work beyond this is refused as overload."""
+"""The most queued pieces of work; work beyond this is refused as overload."""
 
 MAX_IDLE_WAIT = Millis(4000.0)
-"""The longest that a connection waits for work before it may check the searcher's load."""
+"""The longest that an idle connection waits for work before it may check the searcher's load."""
 
 
 class ServicePool:
-    """Queues one service's work and hands it to connections as they fall idle.
+    """Queues the work of one service and dispatches it to connections as they become idle.
 
-    Connection tasks block in :meth:`take`, run what it gives them and call :meth:`finish`.
+    There is one task for each connection. It blocks in :meth:`wait_for_work`, sends the attempt
+    that is returned to it and passes the result to :meth:`finish`.
     """
 
     def __init__(
@@ -66,17 +71,20 @@
 
     @property
     def health(self) -> Mapping[SearcherId, SearcherHealth]:
-        """What is known of each searcher in use."""
+        """The state of each searcher in use, by its id."""
         return self.searchers.health
 
-    # What the owner's peers call.
+    # Called for requests, whether they came from this host or from a peer.
 
     def submit(self, work: Work) -> NotRun | None:
-        """Queue ``work``; its ``deliver`` is called once with the result, unless refused here."""
+        """Queue ``work`` and return ``None``, or return why it is refused.
+
+        Unless the work is refused or cancelled, its ``deliver`` is called once with the result.
+        """
         with self.delivery_lock:
             self.last_used = self.clock.now()
             if work.query in self.entries:
-                return None  # The message came twice; the first copy is answered.
+                return None  # The message was received twice; the first copy gets the result.
             self.load.record_arrivals(work.rank)
             refusal = self._refuse(work)
             if refusal is None:
@@ -87,9 +95,11 @@
             return refusal
 
     def cancel(self, query: QueryId) -> None:
-        """Drop a search, which gets no result; abort what is in flight for it.
+        """Cancel a query that nobody waits for any more.
 
-        A booking is settled as not run while it is pending, and is left alone once sent.
+        A search is removed without a result, and its attempts in flight are aborted. A booking,
+        which may run only once, is settled as not run while it is queued, and continues once it
+        was sent.
         """
         with self.delivery_lock:
             entry = self.entries.get(query)
@@ -103,18 +113,25 @@
                     self._settle(entry, NotRun(Reason.CANCELLED, Step.QUEUE, peer=self.service))
 
     def record_refused(self, rank: Rank, count: int) -> None:
-        """Count work that an entry host refused because of this service's pressure."""
+        """Record that an entry host refused work because of this service's pressure.
+
+        The entry host is the host that received the caller's request; pressure is the share of
+        each rank's demand that the service can take. Refused work still counts as demand.
+        """
         with self.lock:
             self.load.record_arrivals(rank, count)
 
     def measure_pressure(self) -> dict[Rank, float]:
-        """Return the share of each rank's demand that this service can take."""
+        """Return the share of each rank's demand that this service can take, from 0 to 1."""
         with self.lock:
             self.load.update(self._sample_pool())
             return self.load.shares(self.pending.floors)
 
     def stop(self) -> None:
-        """Hand pending work back as not run and let connections end after their present work."""
+        """Settle queued work as not run; connections close after the attempt they are running.
+
+        Work that is queued for a retry is settled with the result of its failed attempt.
+        """
         with self.delivery_lock:
             self.stopping = True
             for entry in list(self.pending.entries()):
@@ -125,9 +142,10 @@
     def apply_configuration(
         self, searchers: Iterable[tuple[Searcher, int]], floors: Mapping[Rank, float]
     ) -> list[Searcher]:
-        """Put other searchers, shares and floors in force, also after :meth:`stop`.
+        """Apply searchers, their shares of connections and the ranks' floors.
 
-        The queue and the connections that stay are kept. Returns one searcher a connection that
+        A pool that was stopped takes work again. The queue is kept, and so are connections that
+        are still wanted. Return the searchers to connect to, each once for every connection that
         the caller has to open.
         """
         with self.delivery_lock:
@@ -139,16 +157,20 @@
             return missing
 
     def open_connections(self) -> int:
-        """Return the connections that have not closed yet."""
+        """Return the number of connections that have not closed yet."""
         with self.lock:
             return self.searchers.open_connections()
 
-    # What connection tasks call.
+    # Called by connection tasks.
 
     def wait_for_work(
         self, searcher: Searcher
     ) -> SearcherAttempt | CheckLoad | NoWork | CloseConnection:
-        """Wait for work for an idle connection of ``searcher``."""
+        """Wait for work for an idle connection of ``searcher``; return what it has to do.
+
+        After :data:`MAX_IDLE_WAIT` without work, that is to ask for the searcher's load or
+        nothing.
+        """
         with self.lock:
             connection = IdleConnection(self.lock, self.searchers.find(searcher))
             self.idle_connections.add(connection)
@@ -160,10 +182,11 @@
                     return outcome
 
     def may_send(self, attempt: SearcherAttempt, abort: Callable[[], None]) -> bool:
-        """Tell whether ``send`` is still wanted, just before its first byte leaves.
+        """Return whether ``attempt`` is still wanted, just before its first byte is sent.
 
-        The deadline is checked again here, since the process may have been paused. ``abort`` is
-        called at most until :meth:`finish` and must not block.
+        The deadline is checked again here, since the process may have been paused since the
+        dispatch. ``abort`` cancels the call: it may be called from another task until
+        :meth:`finish` is called, and must not block.
         """
         with self.lock:
             attempt.abort = abort
@@ -171,7 +194,7 @@
             return not expired and attempt.state is AttemptState.WANTED
 
     def finish(self, attempt: SearcherAttempt, result: Result) -> None:
-        """Take the result of ``send``; deliver it, retry it elsewhere or drop it as late."""
+        """Handle the result of ``attempt``: deliver it, retry the work, or ignore it as late."""
         with self.delivery_lock:
             entry = attempt.entry
             self._record_result(attempt, result)
@@ -181,28 +204,31 @@
             self.dispatch()
 
     def abandon(self, attempt: SearcherAttempt) -> None:
-        """Take back a send of which no byte left: it was aborted or its deadline passed."""
+        """End an attempt of which no byte was sent, as cancelled or past its deadline."""
         expired = self.clock.now() >= attempt.entry.work.deadline
         reason = Reason.DEADLINE if expired else Reason.CANCELLED
         self.finish(attempt, NotRun(reason, Step.SEND, peer=attempt.searcher))
 
     def record_load(self, searcher: Searcher, report: LoadReport | None) -> None:
-        """Take what a searcher says of its load, ``None`` where it could not be asked."""
+        """Record the load that a searcher reports, ``None`` if it could not be asked."""
         with self.delivery_lock:
             self.searchers.record_load(searcher, report)
             self.dispatch()
 
     def record_closed_connection(self, searcher: Searcher) -> bool:
-        """Count a connection as closed; return ``True`` where it has to open again."""
+        """Record that a connection closed; return whether it has to be opened again."""
         with self.lock:
             wanted = self.searchers.find(searcher).record_closed_connection()
             self.searchers.remove_closed()
             return wanted
 
-    # All below runs under the lock.
+    # Everything below runs with the lock held.
 
     def dispatch(self) -> None:
-        """Give pending work and hedges to idle connections; settle what expired meanwhile."""
+        """Assign queued work and due hedges to idle connections; settle expired work.
+
+        A hedge is a second attempt at another searcher while a slow first one is in flight.
+        """
         for entry in self.dispatcher.dispatch(self.clock.now()):
             self._settle_unsent(entry, Reason.DEADLINE)
 
@@ -227,7 +253,7 @@
     def _wait_once(
         self, connection: IdleConnection, deadline: Millis
     ) -> SearcherAttempt | CheckLoad | NoWork | CloseConnection | None:
-        """Return what ``connection`` has to do, or ``None`` after one wait for it."""
+        """Return what ``connection`` has to do, or ``None`` after at most one wait."""
         if connection.attempt is None and self.dispatcher.needs_timer():
             self.idle_connections.set_timer_if_unset(connection)
             self.dispatch()
@@ -302,7 +328,10 @@
                 return False
 
     def _settle_unsent(self, entry: QueueEntry, reason: Reason) -> None:
-        """Settle a pending entry; one that was sent before has the result of that send."""
+        """Settle a queued entry as not run, or with the result of its failed attempt.
+
+        An entry that is queued for a retry may have run at the searcher that failed it.
+        """
         self._settle(entry, entry.failure or NotRun(reason, Step.QUEUE, peer=self.service))
 
     def _settle(self, entry: QueueEntry, result: Result) -> None:
--- a/src/masticgate/process/_tickets.py
+++ b/src/masticgate/process/_tickets.py
@@ -1,4 +1,8 @@
-"""The tickets that this incarnation minted, and what became of each."""
+"""The tickets that this host issued ("minted") since it started, and the outcome of each.
+
+A ticket identifies one booking. A caller gets it before the booking and sends it with each
+request for it, so that the booking runs at most once.
+"""
 
 import secrets
 from concurrent.futures import Future
@@ -13,27 +17,43 @@
 from ..request import Attempt, Booking, BookingOutcome, Ran
 
 TICKET_LIFETIME = Millis(120_000.0)
-"""How long after its minting a ticket may be used; its outcome is kept as long again."""
+"""The time after it was issued in which a ticket may be used; its outcome is kept twice as long."""
 
 MAX_TICKETS = 50_000
+"""The most tickets that are kept; more are refused as overload."""
+
 MAX_REMOVED_AT_ONCE = 16
+"""The most expired tickets that are removed each time that one is issued."""
+
 MAX_REQUESTS_PER_TICKET = 64
-"""The requests for one ticket that may begin or join an attempt."""
+"""The most requests for one ticket that may start an attempt or join a running one."""
 
 SEPARATOR = "~"
+"""Separates the parts of a ticket: host, incarnation, sequence number and a random part."""
 
 
 class TicketState(Enum):
-    """What may be done with a ticket."""
+    """Whether an attempt may be started with a ticket."""
 
     MINTED = "minted"
+    """No attempt was started, or the last one did not run; the next request starts one."""
+
     RUNNING = "running"
+    """An attempt is running; further requests wait for its outcome."""
+
     SETTLED = "settled"
+    """An attempt ran or may have run; further requests get its outcome."""
 
 
 @dataclass(slots=True)
 class _Record:
-    """One ticket; ``requests`` holds what each request was or will be told."""
+    """The state of one ticket.
+
+    ``outcome`` is the outcome of the latest attempt, ``content`` the service and the payload of
+    the booking, and ``query`` the request that started the latest attempt. ``late_outcome`` is an
+    outcome that the owner sent after that request stopped waiting, but before the request recorded
+    its own. ``requests`` holds the outcome that each request got or will get.
+    """
 
     expires_at: Millis
     state: TicketState = TicketState.MINTED
@@ -47,14 +67,14 @@
 
 @dataclass(frozen=True, slots=True)
 class TicketParts:
-    """What a ticket's text says."""
+    """The host and the incarnation, one run of a host, that issued a ticket."""
 
     host: HostId
     incarnation: Incarnation
 
 
 def parse_ticket(ticket: TicketId) -> TicketParts | None:
-    """Return the minter that ``ticket`` names, ``None`` where it is no ticket."""
+    """Return the issuer that ``ticket`` names, ``None`` if it isn't a well-formed ticket."""
     parts = ticket.split(SEPARATOR)
     if len(parts) != 4 or not parts[1].isdecimal() or len(parts[1]) > 19:
         return None
@@ -62,7 +82,11 @@
 
 
 class TicketTable:
-    """Mints tickets and lets each booking run at most once."""
+    """Issues tickets and lets each booking run at most once.
+
+    ``unresolved`` holds the tickets of the attempts whose outcome is not certain yet, by the
+    request that started the attempt.
+    """
 
     def __init__(self, host: HostId, incarnation: Incarnation, clock: Clock) -> None:
         self.host = host
@@ -74,7 +98,7 @@
         self.unresolved: dict[QueryId, TicketId] = {}
 
     def mint(self) -> TicketId | NotRun:
-        """Return a new ticket, or why none can be had."""
+        """Return a new ticket, or why none is issued."""
         with self.lock:
             self._remove_expired()
             if len(self.records) >= MAX_TICKETS:
@@ -87,7 +111,11 @@
             return ticket
 
     def begin(self, booking: Booking) -> "Attempt | Future[BookingOutcome] | NotRun | Unknown":
-        """Start an attempt, join the one that runs or ran, or say why neither can be."""
+        """Start or join the attempt of a booking, or return why neither is possible.
+
+        Return the new attempt, or the future outcome of one that is running or has run. A request
+        that is repeated gets the outcome of its first copy.
+        """
         with self.lock:
             record = self.records.get(booking.ticket)
             if record is None:
@@ -117,7 +145,7 @@
             return Attempt(booking.ticket, record.attempt)
 
     def record_outcome(self, attempt: Attempt, outcome: BookingOutcome) -> None:
-        """Record ``outcome``; after "not run" the same ticket may be submitted again."""
+        """Record the outcome of an attempt; after "not run" the ticket may be used again."""
         with self.lock:
             record = self.records.get(attempt.ticket)
             if record is None or record.attempt != attempt.number:
@@ -132,9 +160,10 @@
         waiting.set_result(outcome)
 
     def record_late_outcome(self, query: QueryId, outcome: BookingOutcome) -> None:
-        """Record the owner's late outcome of an attempt that nobody waits for any more.
+        """Record an outcome that the owner sent after its request stopped waiting for it.
 
-        A retry then gets the true outcome in place of "unknown", or may run where it did not.
+        A later request for the ticket then gets this outcome instead of "unknown", or starts
+        another attempt if this one did not run.
         """
         with self.lock:
             ticket = self.unresolved.get(query)
@@ -147,7 +176,7 @@
                 self._resolve(record, outcome)
 
     def _resolve(self, record: _Record, outcome: BookingOutcome) -> None:
-        """Make ``outcome`` final for the latest attempt, unless it is known already."""
+        """Apply ``outcome`` to the latest attempt, unless its outcome is already certain."""
         if record.query not in self.unresolved:
             return
         match outcome:
@@ -163,7 +192,7 @@
         del self.unresolved[record.query]
 
     def _remove_expired(self) -> None:
-        """Drop the oldest records once their outcome is no longer kept."""
+        """Remove the oldest records whose outcome need not be kept any longer."""
         limit = self.clock.now() - TICKET_LIFETIME
         for ticket, record in list(islice(self.records.items(), MAX_REMOVED_AT_ONCE)):
             if record.expires_at > limit:
--- a/src/masticgate/process/_work.py
+++ b/src/masticgate/process/_work.py
@@ -1,4 +1,4 @@
-"""One piece of work that waits in an owner's queue for a searcher's connection."""
+"""The pieces of work in the queue of a service, and the attempts to run them at a searcher."""
 
 from collections.abc import Callable
 from dataclasses import dataclass, field
@@ -12,7 +12,11 @@
 
 @dataclass(frozen=True, slots=True)
 class SearchWork:
-    """The part of a search that one service answers; it is idempotent."""
+    """The part of a search that one service answers.
+
+    It is idempotent, so it may be sent to several searchers. ``admission_number`` orders the work
+    of an overloaded rank alike at all owners.
+    """
 
     query: QueryId
     service: ServiceId
@@ -27,7 +31,11 @@
 
 @dataclass(frozen=True, slots=True)
 class BookingWork:
-    """One attempt of a booking; it may be sent once."""
+    """One attempt of a booking, which may be sent to one searcher only.
+
+    A booking changes data at the searcher. ``ticket`` identifies the booking, so that it runs at
+    most once, and ``attempt`` counts its attempts.
+    """
 
     query: QueryId
     service: ServiceId
@@ -43,7 +51,7 @@
 
 
 class WorkState(Enum):
-    """Where a piece of work stands."""
+    """Whether a piece of work is queued, was sent, or needs nothing more."""
 
     PENDING = "pending"
     SENT = "sent"
@@ -55,10 +63,10 @@
 
 @dataclass(slots=True, eq=False)
 class QueueEntry:
-    """A piece of work in a queue, with the searchers it was sent to.
+    """A piece of work that is queued or in flight, with its attempts in flight.
 
-    ``failure`` is the result of its last send, where that is being retried, and ``failed_at`` the
-    searcher that gave it.
+    ``failure`` is the result of the last attempt if the work is being retried, and
+    ``failed_searcher`` the searcher of that attempt.
     """
 
     work: Work
@@ -71,25 +79,26 @@
     failed_searcher: SearcherHealth | None = None
 
     def deliver(self, result: Result) -> None:
-        """Hand the result to whoever offered the work."""
+        """Pass the result to the function that was submitted with the work."""
         self.work.deliver(result)  # type: ignore[arg-type]
 
 
 class AttemptState(Enum):
-    """Whether a send is still wanted."""
+    """Whether the result of an attempt is still wanted."""
 
     WANTED = "wanted"
     CANCELLED = "cancelled"
     SUPERSEDED = "superseded"
-    """A hedge of the same entry answered first."""
+    """Another attempt at the same work answered first."""
 
 
 @dataclass(slots=True, eq=False)
 class SearcherAttempt:
-    """One sending of an entry to one searcher.
+    """One attempt to run an entry's work at one searcher.
 
-    ``abort`` ends the call from another task; the connection task sets it before it sends.
-    ``incarnation`` is what the searcher's reply said of itself, empty where it said nothing.
+    ``hedge`` marks a second attempt that was made while a slow first one was in flight. ``abort``
+    cancels the call from another task; the connection task sets it before it sends.
+    ``incarnation`` identifies the run of the searcher that replied, empty if it states none.
     """
 
     entry: QueueEntry
@@ -106,7 +115,7 @@
         return self.health.searcher.id
 
     def cancel(self, state: AttemptState) -> None:
-        """Mark the send as unwanted and cut its call, where it began."""
+        """Mark the attempt as unwanted, and abort its call if that was started."""
         self.state = state
         if self.abort is not None:
             self.abort()
--- a/src/masticgate/process/commands.py
+++ b/src/masticgate/process/commands.py
@@ -1,3 +1,3 @@
-"""The command line, ``masticgate``."""
+"""The entry point of the ``masticgate`` command line."""
 
 from ._command_group import main as main
