--- a/src/masticgate/__init__.py
+++ b/src/masticgate/__init__.py
@@ -1,4 +1,4 @@
-"""A query tier over many sharded searchers, driven by one text of services."""
+"""A query tier over many sharded searchers, configured by one text of the operators."""
 
 from ._clock import Clock as Clock
 from ._clock import ManualClock as ManualClock
--- a/src/masticgate/__main__.py
+++ b/src/masticgate/__main__.py
@@ -1,4 +1,4 @@
-"""Runs the command line as ``python -m masticgate``."""
+"""Runs the command line interface, as ``python -m masticgate``."""
 
 from .process.commands import main
 
--- a/src/masticgate/_clock.py
+++ b/src/masticgate/_clock.py
@@ -1,4 +1,4 @@
-"""One small clock type, in milliseconds."""
+"""Clocks in milliseconds: those of the machine, and one that a test moves by hand."""
 
 import time
 from typing import Protocol
@@ -9,14 +9,14 @@
 
 
 class Clock(Protocol):
-    """Tells the time in milliseconds."""
+    """A source of monotonic time and of wall clock time, in milliseconds."""
 
     def now(self) -> Millis:
-        """Return monotonic milliseconds; only differences have a meaning."""
+        """Return the time of a monotonic clock; only differences between times are meaningful."""
         ...
 
     def wall(self) -> Millis:
-        """Return milliseconds since the Unix epoch, for people and time lines."""
+        """Return the time since the Unix epoch, for display and for time lines of events."""
         ...
 
 
@@ -24,11 +24,11 @@
     """The machine's own clocks."""
 
     def now(self) -> Millis:
-        """Return the monotonic clock, which never steps back."""
+        """Return the time of the monotonic clock, which never steps back."""
         return Millis(time.monotonic() * MILLIS_PER_SECOND)
 
     def wall(self) -> Millis:
-        """Return the wall clock."""
+        """Return the time of the wall clock."""
         return Millis(time.time() * MILLIS_PER_SECOND)
 
 
@@ -52,5 +52,5 @@
 
 
 def remaining_seconds(deadline: Millis, clock: Clock) -> float:
-    """Return the seconds left before ``deadline``, never less than zero."""
+    """Return the seconds that remain to ``deadline``, or zero if it has passed."""
     return max(0.0, deadline - clock.now()) / MILLIS_PER_SECOND
--- a/src/masticgate/_failures.py
+++ b/src/masticgate/_failures.py
@@ -1,11 +1,14 @@
-"""Failures as values: what did not happen, why, at which step and at which peer."""
+"""Failures as values: the reason, the step of the request and the peer that was involved.
+
+The type of a failure says whether the work certainly did not run or may have run.
+"""
 
 from dataclasses import dataclass
 from enum import Enum
 
 
 class Step(Enum):
-    """The step of a request at which a failure arose."""
+    """The step of a request at which a failure occurred."""
 
     READ = "read"
     ADMISSION = "admission"
@@ -21,7 +24,7 @@
 
 
 class Reason(Enum):
-    """Why something failed."""
+    """The reason for a failure."""
 
     BAD_REQUEST = "bad_request"
     TOO_LARGE = "too_large"
@@ -56,7 +59,7 @@
 
 @dataclass(frozen=True, slots=True)
 class NotRun:
-    """The work did not run, and will not."""
+    """The work did not run and never will."""
 
     reason: Reason
     step: Step
@@ -66,7 +69,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Unknown:
-    """The work may or may not have run; nobody here can know."""
+    """The work may or may not have run, and this host cannot determine which."""
 
     reason: Reason
     step: Step
@@ -78,7 +81,7 @@
 
 
 def describe_failure(failure: Failure) -> str:
-    """Return one line that a person can read."""
+    """Return one line of text that describes ``failure`` to a person."""
     outcome = "not run" if isinstance(failure, NotRun) else "unknown"
     parts = [f"{outcome}: {failure.reason.value} at {failure.step.value}"]
     if failure.peer:
--- a/src/masticgate/_ids.py
+++ b/src/masticgate/_ids.py
@@ -1,9 +1,9 @@
-"""The id types that every life span shares."""
+"""Types of ids, versions and times that are used throughout the package."""
 
 from typing import NewType
 
 Address = NewType("Address", str)
-"""An IP number and a port, ``127.0.0.1:7001``."""
+"""An IPv4 address and a port, such as ``127.0.0.1:7001``."""
 
 DepartmentId = NewType("DepartmentId", str)
 FailureDomainId = NewType("FailureDomainId", str)
@@ -15,10 +15,10 @@
 TicketId = NewType("TicketId", str)
 
 Incarnation = NewType("Incarnation", int)
-"""Distinguishes two runs of one host; a later run has the higher number."""
+"""The number of one run of a host; a later run has a higher number."""
 
 Revision = NewType("Revision", int)
-"""The platform's number for one state of the operators' text."""
+"""The platform's number of one version of the operators' text."""
 
 SnapshotVersion = NewType("SnapshotVersion", int)
 """The number of one published index snapshot."""
@@ -27,12 +27,12 @@
 """A duration or a point on a clock, in milliseconds."""
 
 ConfigurationVersion = NewType("ConfigurationVersion", int)
-"""The operators' number for one published configuration; later ones are higher."""
+"""The operators' number of one published configuration; a later one has a higher number."""
 
 RequestId = NewType("RequestId", str)
-"""The caller's name for one attempt at a request."""
+"""The caller's id of one attempt at a request."""
 
 RouteId = NewType("RouteId", str)
 
 ConnectionNumber = NewType("ConnectionNumber", int)
-"""Counts the connections to searchers that a process has opened; log lines name them by it."""
+"""The ordinal number of a connection to a searcher within one process, used in log lines."""
--- a/src/masticgate/_lazy.py
+++ b/src/masticgate/_lazy.py
@@ -1,6 +1,7 @@
 """Loads a package's public names on first use.
 
-A gateway imports a few modules of each package; the rest would cost it 40 MB of memory.
+A gateway needs only a few modules of each package; importing the others as well would cost it 40 MB
+of memory.
 """
 
 from importlib import import_module
--- a/src/masticgate/_ranks.py
+++ b/src/masticgate/_ranks.py
@@ -1,4 +1,4 @@
-"""The three ranks of work."""
+"""The ranks of work, which decide what is served first under load."""
 
 from enum import IntEnum
 
--- a/src/masticgate/_version.py
+++ b/src/masticgate/_version.py
@@ -1,3 +1,3 @@
-"""The release."""
+"""The version number of this release."""
 
 VERSION = "0.1.0"
--- a/src/masticgate/version/__init__.py
+++ b/src/masticgate/version/__init__.py
@@ -1,4 +1,7 @@
-"""What lives as long as one accepted configuration or one index snapshot."""
+"""Configurations and index snapshots: code and state that last for one version of either.
+
+The public names are loaded on first use, as :mod:`masticgate._lazy` describes.
+"""
 
 from typing import TYPE_CHECKING, Any
 
--- a/src/masticgate/version/_configuration.py
+++ b/src/masticgate/version/_configuration.py
@@ -1,4 +1,4 @@
-"""One accepted configuration: departments, services, searchers and floors."""
+"""The configuration that results from an accepted text of the operators."""
 
 from collections.abc import Mapping
 from dataclasses import dataclass
@@ -10,7 +10,11 @@
 
 @dataclass(frozen=True, slots=True)
 class Department:
-    """A customer's department; a leaving one receives no new work."""
+    """A department of a customer.
+
+    A department that is leaving receives no new work. ``leaves_on`` is the date of its departure
+    as the operators wrote it, for people only.
+    """
 
     id: DepartmentId
     leaving: bool
@@ -19,7 +23,11 @@
 
 @dataclass(frozen=True, slots=True)
 class Searcher:
-    """One upstream: ``slots`` requests run at once, ``connections`` is its limit."""
+    """A searcher of a service, which is an upstream that runs searches or bookings.
+
+    ``slots`` is the number of requests that it runs at once, and ``connections`` the number of
+    connections that it accepts from all hosts together.
+    """
 
     id: SearcherId
     address: Address
@@ -30,7 +38,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Service:
-    """A service, its searchers (replicas of one another) and what it depends on."""
+    """A service, the services that it depends on, and its searchers.
+
+    The searchers are replicas of one another. ``bookings`` is whether the service runs bookings.
+    """
 
     id: ServiceId
     department: DepartmentId
@@ -41,7 +52,11 @@
 
 @dataclass(frozen=True)
 class Configuration:
-    """An accepted text; ``revision`` is the platform's number for it."""
+    """The contents of an accepted text; ``revision`` is the platform's number of the text.
+
+    ``floors`` gives, for each rank, the share of a service's work that is reserved for this rank
+    under overload.
+    """
 
     revision: Revision
     deployment: str
@@ -55,5 +70,5 @@
         return frozenset(d.id for d in self.departments.values() if d.leaving)
 
     def is_leaving(self, service: Service) -> bool:
-        """Tell whether ``service`` belongs to a leaving department."""
+        """Return whether ``service`` belongs to a department that is leaving."""
         return service.department in self.leaving
--- a/src/masticgate/version/_difference.py
+++ b/src/masticgate/version/_difference.py
@@ -1,4 +1,4 @@
-"""What changes from one accepted configuration to the next, for people."""
+"""Describes for operators how two accepted configurations differ."""
 
 from collections.abc import Iterator
 
@@ -7,7 +7,10 @@
 
 
 def compare_configurations(before: Configuration, after: Configuration) -> list[str]:
-    """Return one line a change: who leaves, who depends on it, what is added or removed."""
+    """Return one line of text for each change from ``before`` to ``after``.
+
+    A line for a department that leaves is followed by the services that depend on it.
+    """
     return [
         *_department_changes(before, after),
         *_service_changes(before, after),
@@ -33,7 +36,7 @@
             yield f"  {service} depends on it: its answers will list it as missing"
     for department in sorted(before.leaving - after.leaving):
         if department in after.departments:
-            yield f"department {department} stays after all"
+            yield f"department {department} is no longer leaving"
     for department in sorted(set(before.departments) - set(after.departments)):
         yield f"department {department} is removed"
     for department in sorted(set(after.departments) - set(before.departments)):
--- a/src/masticgate/version/_graph.py
+++ b/src/masticgate/version/_graph.py
@@ -1,4 +1,4 @@
-"""The services that a search needs, and cycles among dependencies."""
+"""Resolves the dependencies between services: what a search needs, and cycles."""
 
 from collections.abc import Iterable, Mapping
 from dataclasses import dataclass
@@ -10,9 +10,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Scope:
-    """The services of one search, each in its whole closure of dependencies.
+    """The services of one search, including all direct and indirect dependencies.
 
-    ``needed`` counts in the coverage; ``leaving`` is the part of it whose department is leaving.
+    ``needed`` lists the services that count in the coverage of the answer. ``leaving`` holds those
+    of them whose department is leaving.
     """
 
     needed: tuple[Service, ...]
@@ -20,14 +21,15 @@
 
     @property
     def remaining(self) -> tuple[Service, ...]:
-        """The services that still receive work."""
+        """The services that still receive work, because their department is not leaving."""
         return tuple(service for service in self.needed if service.id not in self.leaving)
 
 
 def expand_services(configuration: Configuration, names: Iterable[ServiceId]) -> Scope | NotRun:
-    """Return the closure of ``names``, or why the search cannot run.
+    """Return the scope of a search of the services ``names``, or why the search cannot run.
 
-    Services without searchers of their own only group others and are not part of the scope.
+    The scope contains every service that one of ``names`` depends on, directly or indirectly. A
+    service without searchers only groups others and is not part of the scope.
     """
     seen: dict[ServiceId, Service] = {}
     pending = list(names)
@@ -49,7 +51,7 @@
 
 
 def find_cycle(dependencies: Mapping[ServiceId, tuple[ServiceId, ...]]) -> list[ServiceId]:
-    """Return the services of one dependency cycle in order, or an empty list."""
+    """Return the services of one dependency cycle in order, or an empty list if there is none."""
     finished: set[ServiceId] = set()
     for root in dependencies:
         path: list[ServiceId] = []
--- a/src/masticgate/version/_jsonc.py
+++ b/src/masticgate/version/_jsonc.py
@@ -1,4 +1,4 @@
-"""JSON with comments, with the position of every value kept for error messages."""
+"""Parses JSON with comments and locates values in the source, for error messages."""
 
 import json
 from collections.abc import Sequence
@@ -11,11 +11,12 @@
 
 LANGUAGE = Language(tree_sitter_json.language())
 MAX_DEPTH = 64
+"""Number of levels to which objects and arrays may be nested, at most."""
 
 
 @dataclass(frozen=True, slots=True)
 class Position:
-    """A place in a text; line and column count from 1."""
+    """A position in a text; lines and columns are counted from 1."""
 
     line: int
     column: int
@@ -23,30 +24,33 @@
 
 @dataclass(frozen=True, slots=True)
 class SyntaxProblem:
-    """A text that is not JSON with comments."""
+    """The reason for which a text is not valid JSON with comments, and where."""
 
     position: Position
     message: str
 
 
 class _DuplicateKeyError(ValueError):
-    """A key is given twice in one object."""
+    """A key occurs twice in one object."""
 
 
 @dataclass(frozen=True)
 class Document:
-    """A parsed text: its value, and the source that a value's place is found in."""
+    """The value of a parsed text, and the source in which positions are looked up."""
 
     value: Any
     source: bytes
 
     @cached_property
     def root(self) -> Node:
-        """The syntax tree, built once a place is asked for."""
+        """The syntax tree, which is built when a position is first looked up."""
         return _parse_tree(self.source)
 
     def locate(self, path: Sequence[str | int]) -> Position:
-        """Return the position of the value at ``path``, or of its nearest parent."""
+        """Return the position of the value at ``path``, or of its nearest existing parent.
+
+        A path consists of keys of objects and indices of arrays.
+        """
         node = _first_value(self.root)
         for step in path:
             child = _child_at(node, step)
--- a/src/masticgate/version/_messages.py
+++ b/src/masticgate/version/_messages.py
@@ -1,4 +1,7 @@
-"""The messages that spread configurations and snapshot catalogues between hosts."""
+"""Messages that distribute configurations and snapshot catalogues between hosts.
+
+An accepted text is divided into sections, one for each department and a head for the rest.
+"""
 
 from dataclasses import dataclass
 from typing import NewType
@@ -6,12 +9,16 @@
 from .._ids import Revision, SnapshotVersion
 
 SectionId = NewType("SectionId", str)
-"""A department's name, or nothing for the head of a text."""
+"""The name of the department of a section, or an empty string for the head of a text."""
 
 
 @dataclass(frozen=True, slots=True)
 class Versions:
-    """What a host has: the revision in force and its newest snapshot, 0 for none."""
+    """The versions that a host has, 0 for none.
+
+    ``revision`` is that of the configuration in force, and ``catalogue`` the newest snapshot in
+    the snapshot catalogue.
+    """
 
     revision: Revision
     catalogue: SnapshotVersion
@@ -19,14 +26,14 @@
 
 @dataclass(frozen=True, slots=True)
 class FetchVersions:
-    """Asks for whatever is newer than ``have``."""
+    """Asks a host for the versions that are newer than ``current``, the sender's own."""
 
     current: Versions
 
 
 @dataclass(frozen=True, slots=True)
 class TextPush:
-    """A whole accepted text, for a host whose revision the sender knows nothing of."""
+    """A whole accepted text, for a host at a revision whose sections the sender does not know."""
 
     revision: Revision
     text: str
@@ -42,10 +49,10 @@
 
 @dataclass(frozen=True, slots=True)
 class SectionsPush:
-    """The sections in which ``revision`` differs from ``base``.
+    """The sections that differ between the revisions ``base`` and ``revision``.
 
-    ``digest`` is that of all sections at ``revision``; a receiver that comes to another one had
-    another text at ``base`` and asks for the whole.
+    ``digest`` is the digest of all sections at ``revision``. A receiver that computes another one
+    had another text at ``base``, and asks for the whole text.
     """
 
     base: Revision
--- a/src/masticgate/version/_placement.py
+++ b/src/masticgate/version/_placement.py
@@ -1,7 +1,8 @@
-"""Which host owns a service: rendezvous hashing in two levels.
+"""Assigns services to their owners by rendezvous hashing in two levels.
 
-The first level gives each department a small group of hosts, so that a search of one department
-reaches few owners however many hosts there are; the second spreads its services over the group.
+The owner of a service is the host that sends requests to its searchers. The first level assigns a
+small group of hosts to each department, so that a search of one department reaches few owners
+however many hosts there are. The second level distributes the department's services over the group.
 """
 
 from collections.abc import Iterable, Sequence
@@ -13,35 +14,38 @@
 from ._configuration import Configuration, Searcher
 
 SERVICES_PER_OWNER = 3
-"""The number of services of one department that a host owns, where hosts suffice."""
+"""Number of services of one department that a host owns, if there are enough hosts."""
 
 MIN_GROUP_HOSTS = 3
+"""Number of hosts that own the services of a department, at least."""
+
 MAX_OWNER_CANDIDATES = 8
-"""At most this many hosts share the connections of one searcher."""
+"""Number of hosts among which the connections to one searcher are divided, at most."""
 
 
 def department_group_size(services: int) -> int:
-    """Return the number of hosts that own a department of ``services`` services."""
+    """Return the number of hosts that own the ``services`` services of a department."""
     return max(MIN_GROUP_HOSTS, ceil(services / SERVICES_PER_OWNER))
 
 
 def rank_hosts(key: str, hosts: Iterable[HostId]) -> list[HostId]:
-    """Return ``hosts`` by falling rendezvous weight for ``key``."""
+    """Return ``hosts`` in descending order of their rendezvous weight for ``key``."""
     return sorted(hosts, key=lambda host: (-_weight(key, host), host))
 
 
 def department_group(
     department: DepartmentId, services: int, hosts: Iterable[HostId]
 ) -> list[HostId]:
-    """Return the group of hosts that own the services of ``department``."""
+    """Return the hosts that own the ``services`` services of ``department``."""
     return rank_hosts(f"department:{department}", hosts)[: department_group_size(services)]
 
 
 def connections_per_owner(searcher: Searcher, listed_hosts: int) -> int:
-    """Return the connections that one owner may hold to ``searcher``.
+    """Return the number of connections that one owner may open to ``searcher``.
 
-    One more than the slots hides the round trip. However many of the candidate owners believe
-    that they own the service, their sum stays within the searcher's limit.
+    One connection more than the searcher has slots hides the round trip. The sum over all candidate
+    owners stays within the searcher's limit, since several of them may take themselves for the
+    owner at the same time. ``listed_hosts`` is the number of hosts in the host list.
     """
     candidates = max(1, min(listed_hosts, MAX_OWNER_CANDIDATES))
     return max(1, min(searcher.slots + 1, searcher.connections // candidates))
@@ -56,8 +60,11 @@
 ) -> dict[ServiceId, list[HostId]]:
     """Return the ranked owners of every service that has searchers.
 
-    Within a department's group no host owns more than its even share, so that the busiest owner
-    does not decide how much a search of the whole department can take.
+    The first host of each list is the owner. The others follow in the order in which requests are
+    sent to them if the owner is unreachable.
+
+    No host owns more than an even share of the services of a department. Otherwise the owner with
+    the most services would limit the rate of searches of the whole department.
     """
     department_services: dict[DepartmentId, list[ServiceId]] = {}
     for service in configuration.services.values():
--- a/src/masticgate/version/_public.py
+++ b/src/masticgate/version/_public.py
@@ -1,4 +1,4 @@
-"""The public names of :mod:`masticgate.version`, loaded on first use."""
+"""The public names of :mod:`masticgate.version`, which are loaded on first use."""
 
 from ._configuration import Configuration as Configuration
 from ._configuration import Department as Department
--- a/src/masticgate/version/_schema.py
+++ b/src/masticgate/version/_schema.py
@@ -1,4 +1,4 @@
-"""The shape of the operators' text, checked by type."""
+"""Models that validate the types and ranges of the values in the operators' text."""
 
 from ipaddress import IPv4Address
 from typing import Annotated
@@ -7,14 +7,17 @@
 
 NAME_PATTERN = r"^[a-z0-9][a-z0-9./_-]{0,79}$"
 SUPPORTED_FORMAT = 1
+"""The ``format`` number of the texts that this release reads."""
+
 MAX_PORT = 65535
 MAX_FLOOR_SUM = 0.9
+"""Share of a service's work that the floors may reserve for the lower ranks together."""
 
 
 def check_address(text: str) -> str:
-    """Return ``text`` where it is an IPv4 number and a port.
+    """Return ``text`` if it is an IPv4 address and a port, such as ``127.0.0.1:7001``.
 
-    :raises ValueError: it is not.
+    :raises ValueError: ``text`` is anything else.
     """
     number, _, port = text.rpartition(":")
     IPv4Address(number)
@@ -29,27 +32,27 @@
 
 
 class StrictModel(BaseModel):
-    """Refuses unknown keys and converts nothing."""
+    """A model that rejects unknown keys and does not convert values between types."""
 
     model_config = ConfigDict(extra="forbid", strict=True, frozen=True)
 
 
 class FloorsText(StrictModel):
-    """The share of each service's work that a lower rank keeps in any flood."""
+    """The share of each service's work that is reserved for a lower rank under overload."""
 
     standard: float = Field(default=0.1, ge=0.0, le=0.5)
     bulk: float = Field(default=0.1, ge=0.0, le=0.5)
 
 
 class DepartmentText(StrictModel):
-    """One department."""
+    """A department, and whether and when it leaves."""
 
     leaving: bool = False
     leaves_on: DateText | None = None
 
 
 class SearcherText(StrictModel):
-    """One searcher of a service."""
+    """A searcher of a service: its address, its failure domain and its limits."""
 
     id: Name
     address: AddressText
@@ -59,7 +62,7 @@
 
 
 class ServiceText(StrictModel):
-    """One service and the services it depends on."""
+    """A service, its department, its searchers and the services that it depends on."""
 
     department: Name
     depends_on: list[Name] = Field(default=[], max_length=10_000)
@@ -68,7 +71,7 @@
 
 
 class ConfigurationText(StrictModel):
-    """The whole text."""
+    """The whole text of the operators."""
 
     format: int
     deployment: Name
--- a/src/masticgate/version/_sections.py
+++ b/src/masticgate/version/_sections.py
@@ -1,8 +1,8 @@
-"""An accepted text cut into sections, so that hosts pass on only what an edit changed.
+"""Divides an accepted text into sections, so that hosts exchange only what an edit changed.
 
-There is one section for each department, with its services, and a head for the rest. A section's
-text is canonical JSON without defaults: the same configuration gives the same sections on every
-host, whatever the comments and the order of the operators' text.
+There is one section for each department, with its services, and a head for the rest. The text of a
+section is canonical JSON without defaults. The same configuration therefore results in the same
+sections on every host, whatever the comments and the order in the operators' text.
 """
 
 import json
@@ -20,15 +20,15 @@
 from ._schema import SUPPORTED_FORMAT
 
 HEAD_SECTION = SectionId("")
-"""The section of all that belongs to no department; no department has this name."""
+"""The id of the section for values that belong to no department; no department has this name."""
 
 Digest = NewType("Digest", int)
-"""An xxh3 digest of 64 bits."""
+"""A 64-bit xxh3 digest."""
 
 
 @dataclass(frozen=True)
 class Sections:
-    """The sections of one accepted text; none before the first."""
+    """The sections of one accepted text; empty before the first text is accepted."""
 
     texts: Mapping[SectionId, str]
 
@@ -39,13 +39,16 @@
 
     @cached_property
     def digest(self) -> Digest:
-        """One digest over all sections."""
+        """The digest of all sections together."""
         return _digest("\n".join(f"{id} {self.digests[id]}" for id in sorted(self.digests)))
 
     def changes_since(
         self, base: Revision, base_digests: Mapping[SectionId, Digest], revision: Revision
     ) -> SectionsPush:
-        """Return what changed since ``base``, whose sections had the digests ``known``."""
+        """Return the changes since the revision ``base``, from the digests of its sections.
+
+        ``revision`` is the revision of these sections.
+        """
         changed = [id for id, digest in self.digests.items() if base_digests.get(id) != digest]
         return SectionsPush(
             base,
@@ -56,14 +59,17 @@
         )
 
     def apply(self, push: SectionsPush) -> "Sections | None":
-        """Return the sections after ``push``, ``None`` where they are not the sender's."""
+        """Return the sections after the changes in ``push``.
+
+        Return ``None`` if their digest differs from the sender's.
+        """
         changed = {section.id: section.text for section in push.changed}
         kept = {id: text for id, text in self.texts.items() if id not in push.removed}
         result = Sections({**kept, **changed})
         return result if result.digest == push.digest else None
 
     def to_text(self) -> str | None:
-        """Return the whole text that the sections came from, ``None`` where one is no section."""
+        """Return a text with the contents of all sections, or ``None`` if a section is invalid."""
         try:
             parts = {id: json.loads(text) for id, text in self.texts.items()}
             whole = dict(parts.pop(HEAD_SECTION))
@@ -78,7 +84,7 @@
 
 
 def split_sections(configuration: Configuration) -> Sections:
-    """Return the sections of ``configuration``."""
+    """Return ``configuration`` divided into sections."""
     services: dict[DepartmentId, dict[str, Any]] = {id: {} for id in configuration.departments}
     for service in configuration.services.values():
         services[service.department][service.id] = _service_fields(service)
--- a/src/masticgate/version/_snapshot.py
+++ b/src/masticgate/version/_snapshot.py
@@ -1,4 +1,8 @@
-"""Index snapshots and the shard map that the denominator of a coverage comes from."""
+"""Index snapshots with their shard maps, and the catalogue of published snapshots.
+
+The shard map gives the weight of every shard. The sum of the weights of the needed shards is the
+denominator of the coverage of an answer.
+"""
 
 from collections.abc import Iterable, Mapping
 from dataclasses import dataclass, field
@@ -26,17 +30,17 @@
 
 @dataclass(frozen=True, slots=True)
 class Snapshot:
-    """One index version: each service's shards and their weights."""
+    """One version of the index: the shards of each service and their weights."""
 
     version: SnapshotVersion
     shards: Mapping[ServiceId, Mapping[ShardId, float]]
 
     def shards_of(self, service: ServiceId) -> Mapping[ShardId, float]:
-        """Return the weights of the shards of ``service``, empty where it has none."""
+        """Return the weights of the shards of ``service``, which are empty if it has no shards."""
         return self.shards.get(service, {})
 
     def holds(self, services: Iterable[ServiceId]) -> bool:
-        """Tell whether every one of ``services`` has shards in this snapshot."""
+        """Return whether each of ``services`` has shards in this snapshot."""
         return all(self.shards.get(service) for service in services)
 
 
@@ -48,7 +52,7 @@
 
     @property
     def newest(self) -> SnapshotVersion:
-        """The newest published version, 0 where there is none."""
+        """The newest published version, or 0 if there is none."""
         return self.snapshots[0].version if self.snapshots else SnapshotVersion(0)
 
     def choose_snapshot(
@@ -57,9 +61,11 @@
         unavailable: Mapping[ServiceId, frozenset[SnapshotVersion]],
         tried: frozenset[SnapshotVersion],
     ) -> Snapshot | None:
-        """Return the newest untried snapshot that no needed service is known to lack.
+        """Return the newest snapshot that is available at all of ``services`` and not in ``tried``.
 
-        Where each one is lacking somewhere, return the newest untried one.
+        ``unavailable`` lists, for each service, the versions that its searchers are known not to
+        hold. If none is available at all services, return the newest one that is not in ``tried``,
+        or ``None`` if there is none.
         """
         needed = tuple(services)
         untried = [snapshot for snapshot in self.snapshots if snapshot.version not in tried]
@@ -70,10 +76,10 @@
 
 
 def read_catalogue(text: str) -> SnapshotCatalogue | None:
-    """Parse the platform's snapshot document; return ``None`` where it is not one.
+    """Parse the snapshot catalogue that the platform publishes; return ``None`` if it is invalid.
 
-    A weight that is not positive, or a key or a version given twice, would make a reported
-    coverage wrong.
+    Weights must be positive, and no key or version may occur twice. Otherwise the reported
+    coverage of answers would be wrong.
     """
     document = parse_document(text)
     if isinstance(document, SyntaxProblem):
--- a/src/masticgate/version/_text.py
+++ b/src/masticgate/version/_text.py
@@ -1,4 +1,7 @@
-"""Acceptance of the operators' text: a pure function of the text, the same on every host."""
+"""Validates the operators' text and builds the configuration from it.
+
+The result depends on the text alone, so that every host accepts or refuses the same texts.
+"""
 
 from collections.abc import Iterator
 from dataclasses import dataclass
@@ -19,7 +22,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Problem:
-    """One reason to refuse a text, with its place."""
+    """A reason for which a text is refused, and its position in the text."""
 
     position: Position
     path: str
@@ -32,20 +35,20 @@
 
 @dataclass(frozen=True, slots=True)
 class Accepted:
-    """A text that may come into force."""
+    """The result for a valid text: the configuration that may come into force."""
 
     configuration: Configuration
 
 
 @dataclass(frozen=True, slots=True)
 class Refused:
-    """A text that changes nothing."""
+    """The result for an invalid text: its problems; the configuration in force stays."""
 
     problems: tuple[Problem, ...]
 
 
 def accept_text(text: str, revision: Revision) -> Accepted | Refused:
-    """Check ``text`` and return its configuration, or every problem found."""
+    """Validate ``text`` and return its configuration, or every problem that was found."""
     if len(text.encode("utf-8", errors="replace")) > MAX_TEXT_BYTES:
         return Refused((Problem(Position(1, 1), "", f"longer than {MAX_TEXT_BYTES} bytes"),))
     document = parse_document(text)
--- a/src/masticgate/version/_watchers.py
+++ b/src/masticgate/version/_watchers.py
@@ -1,4 +1,8 @@
-"""Which hosts watch the platform: a few for each failure domain, by rendezvous hashing."""
+"""Chooses the hosts that watch the platform, a few in each failure domain.
+
+The other hosts receive new configurations and snapshots from the watchers. Rendezvous hashing lets
+every host make the same choice without coordination.
+"""
 
 from collections.abc import Container, Sequence
 
@@ -14,11 +18,12 @@
     usable: Sequence[HostId],
     reachable: Container[HostId],
 ) -> bool:
-    """Tell whether ``own`` is to watch the platform.
+    """Return whether ``own_host`` should watch the platform.
 
-    ``usable`` holds the usable hosts of its failure domain, itself included. The first
-    :data:`WATCHERS_PER_DOMAIN` of them by rendezvous weight watch. A host that reaches none of
-    those ranks itself among the hosts it does reach instead.
+    ``usable`` lists the usable hosts of its failure domain ``domain``, itself included. The
+    :data:`WATCHERS_PER_DOMAIN` of them with the highest rendezvous weights are the watchers. If
+    ``own_host`` cannot reach any of these, it makes the choice among itself and the hosts that it
+    can reach.
     """
     ranked = rank_hosts(f"watchers:{domain}", usable)
     watchers = ranked[:WATCHERS_PER_DOMAIN]
--- a/src/masticgate/version/gateway/__init__.py
+++ b/src/masticgate/version/gateway/__init__.py
@@ -1,4 +1,4 @@
-"""The published configuration of a gateway: its routes, services and limits."""
+"""The configuration that the platform publishes for gateways: routes, services and limits."""
 
 from ._routes import Idempotency as Idempotency
 from ._routes import Limits as Limits
--- a/src/masticgate/version/gateway/_routes.py
+++ b/src/masticgate/version/gateway/_routes.py
@@ -1,4 +1,4 @@
-"""One published configuration: which route serves a request, and by which services."""
+"""A published configuration of gateways: the routes of requests to services, and limits."""
 
 from collections.abc import Mapping
 from dataclasses import dataclass, field
@@ -16,14 +16,14 @@
 
 @dataclass(frozen=True, slots=True)
 class OneService:
-    """Every request goes to one service."""
+    """Sends every request of a route to one service."""
 
     service: ServiceId
 
 
 @dataclass(frozen=True, slots=True)
 class WeightedService:
-    """One part of a split; its share is its weight over the sum of the weights."""
+    """One service of a split; its share of the requests is its weight over the sum of weights."""
 
     service: ServiceId
     weight: float
@@ -31,16 +31,17 @@
 
 @dataclass(frozen=True, slots=True)
 class Split:
-    """Requests are shared out among services by weight."""
+    """Distributes the requests of a route over several services by weight."""
 
     parts: tuple[WeightedService, ...]
 
 
 @dataclass(frozen=True, slots=True)
 class Shards:
-    """Every request goes to all services; the greatest ``top`` records are returned.
+    """Sends every request of a route to all services and merges their answers.
 
-    ``min_shard_ratio`` is the share of the shards, 0 to 1, below which an answer is a failure.
+    Each service is one shard. The merged answer holds the greatest ``top`` records. The request
+    fails if less than ``min_shard_ratio`` of the shards answer, a share from 0 to 1.
     """
 
     services: tuple[ServiceId, ...]
@@ -53,11 +54,11 @@
 
 @dataclass(frozen=True, slots=True)
 class Route:
-    """How the requests of one host name and path prefix are served.
+    """How the requests for one host name and path prefix are served.
 
-    ``attempts`` bounds the searchers that one request is sent to, for each shard;
-    ``timeout`` and ``objective`` are counted from the arrival of the request. ``rank`` 0 is the
-    most urgent.
+    ``attempts`` is the number of searchers to which one request may be sent, for each shard.
+    ``timeout`` and ``objective`` are counted from the arrival of the request, in milliseconds; the
+    objective is the latency that an answer should have. ``rank`` 0 is the most urgent.
     """
 
     id: RouteId
@@ -73,7 +74,11 @@
 
 @dataclass(frozen=True, slots=True)
 class ServiceEntry:
-    """One service; ``connections`` is what one of its searchers accepts from all callers."""
+    """A service of a published configuration.
+
+    ``connections`` is the number of connections that each of its searchers accepts from all
+    callers together.
+    """
 
     id: ServiceId
     connections: int
@@ -81,7 +86,11 @@
 
 @dataclass(frozen=True, slots=True)
 class Limits:
-    """What a caller may send, and how long it may take."""
+    """Limits for a caller: the sizes of a request in bytes, and timeouts in milliseconds.
+
+    A caller must send a whole request within ``header_timeout`` of its first bytes. A connection
+    is closed after ``idle_timeout`` without a request.
+    """
 
     header_bytes: int = 16_384
     body_bytes: int = 1_048_576
@@ -91,7 +100,10 @@
 
 @dataclass(frozen=True, slots=True)
 class RouteTable:
-    """One published configuration."""
+    """A published configuration.
+
+    ``by_host`` holds the routes of each host name, in lower case, with the longest prefix first.
+    """
 
     version: ConfigurationVersion
     routes: tuple[Route, ...]
@@ -109,14 +121,14 @@
         object.__setattr__(self, "by_host", frozen)
 
     def find_route(self, host: str, path: str) -> Route | None:
-        """Return the route with the longest prefix of ``path``, ``None`` where none matches."""
+        """Return the route for ``host`` with the longest prefix of ``path``, or ``None``."""
         for route in self.by_host.get(host.lower(), ()):
             if path.startswith(route.prefix):
                 return route
         return None
 
     def shard_services(self) -> set[ServiceId]:
-        """Return the services that some route searches as shards."""
+        """Return the services that at least one route uses as shards."""
         return {
             service
             for route in self.routes
