--- a/src/masticgate/process/_backoff.py
+++ b/src/masticgate/process/_backoff.py
@@ -1,4 +1,4 @@
-"""The waits between retries of reads of the platform."""
+"""Exponential backoff with jitter between retries of reads of the platform."""
 
 import random
 
@@ -7,10 +7,14 @@
 INITIAL_RETRY_DELAY = Millis(500.0)
 MAX_RETRY_DELAY = Millis(10_000.0)
 MIN_JITTER = 0.5
+"""The smallest share of the delay that is waited; the share is drawn between this and 1."""
 
 
 class Backoff:
-    """Doubles the wait with each failure in a row, up to a cap, and draws each with jitter."""
+    """Doubles the delay with each failure in a row, up to ``maximum``, and adds jitter.
+
+    The jitter keeps hosts that failed at the same time from retrying at the same time.
+    """
 
     def __init__(
         self, initial: Millis = INITIAL_RETRY_DELAY, maximum: Millis = MAX_RETRY_DELAY
@@ -21,11 +25,11 @@
         self.delay = initial
 
     def next_delay(self) -> Millis:
-        """Return the wait before the next retry: half of the delay to all of it."""
+        """Return how long to wait before the next retry: half of the delay to all of it."""
         wait = Millis(self.delay * self.random.uniform(MIN_JITTER, 1.0))
         self.delay = min(self.maximum, Millis(self.delay * 2))
         return wait
 
     def reset(self) -> None:
-        """Start again from the first delay, after a success."""
+        """Start again from the initial delay, after a success."""
         self.delay = self.initial
--- a/src/masticgate/process/_distribution.py
+++ b/src/masticgate/process/_distribution.py
@@ -1,7 +1,8 @@
-"""How versions reach this host, from the platform and from peers, and go on to others.
+"""Distribution of versions: from the platform and from peers to this host, and on to peers.
 
-A refused text goes no further: each host judges for itself what it hears, and only what is in
-force somewhere is passed on.
+Versions are the revision of the configuration text and the snapshot catalogue. Each host
+validates what it receives, and sends on only what it has accepted, so a refused text spreads no
+further.
 """
 
 from collections.abc import Callable, Container
@@ -31,12 +32,17 @@
 from ._watch_role import WatchRole
 
 SendReply = Callable[[Message], bool]
+"""Sends a message on the connection over which a peer's message arrived."""
+
 FETCH_TIMEOUT = Millis(1000.0)
-"""How long one peer is given to send a newer version before another is asked."""
+"""The timeout for a peer to send a newer version, after which another peer is asked."""
 
 
 class Distribution:
-    """Brings versions to this host and passes them on."""
+    """Obtains newer versions from the platform and from peers, and announces them to peers.
+
+    Only the hosts with the watch role read the platform; the others get the versions from peers.
+    """
 
     def __init__(
         self,
@@ -68,7 +74,10 @@
         self.fetch_deadline = Millis(0.0)
 
     def start(self, start_task: Callable[[Callable[[], None]], None]) -> None:
-        """Start the tasks that read the platform; the first puts the start's outcome in force."""
+        """Start the tasks that read the platform.
+
+        The first one obtains the versions to start with and puts them in force.
+        """
         platform = self.settings.platform
         start_task(self._run_startup)
         for key, on_value in (
@@ -82,12 +91,12 @@
         start_task(hosts.run)
 
     def stop(self) -> None:
-        """End every read in progress and every wait."""
+        """Abort every read in progress, and let every waiting task return."""
         self.role.stop()
         self._abort_reads()
 
     def update_role(self) -> None:
-        """Decide anew whether this host watches the platform; a starting host does not yet."""
+        """Decide again whether this host watches the platform; it doesn't while it starts."""
         if self.versions.starting:
             return
         usable = set(self.members.list_usable())
@@ -98,14 +107,14 @@
             self._abort_reads()
 
     def compare_versions(self, peer: Hello, peer_versions: Versions, send_reply: SendReply) -> None:
-        """Ask ``peer`` for what it has newer, unless another was just asked for as much."""
+        """Ask ``peer`` for what it has newer, unless another peer was just asked for as much."""
         if self.versions.starting:
             self.startup.record_peer(peer.host, peer.failure_domain, peer_versions)
         if self._should_fetch(peer_versions):
             send_reply(FetchVersions(self.versions.versions()))
 
     def answer_fetch(self, have: Versions, send_reply: SendReply) -> None:
-        """Send what is newer here than ``have``."""
+        """Send the peer, which has the versions ``have``, what is newer here."""
         push = self.versions.build_push(have.revision)
         if push is not None:
             send_reply(push)
@@ -115,7 +124,11 @@
     def handle_push(
         self, push: TextPush | SectionsPush | CataloguePush, send_reply: SendReply
     ) -> None:
-        """Take over what a peer sent; ask it again where its changes do not fit."""
+        """Offer what a peer sent to the store.
+
+        If the sections sent don't fit this host's text, fetch them against the revision that this
+        host has, or fetch the whole text.
+        """
         match push:
             case TextPush(revision=revision, text=text):
                 self._handle_offer_result(self.versions.offer_text(text, revision))
@@ -125,7 +138,7 @@
                 self._handle_sections(push, send_reply)
 
     def announce(self) -> None:
-        """Tell the peers at once; the next heartbeat would tell them a little later."""
+        """Send this host's versions to all peers at once, ahead of the next heartbeat."""
         self.links.broadcast(Heartbeat(self.timeline.sequence, self.versions.versions(), ()))
 
     def _handle_sections(self, push: SectionsPush, send_reply: SendReply) -> None:
@@ -145,7 +158,7 @@
             self.announce()
 
     def _should_fetch(self, peer_versions: Versions) -> bool:
-        """Tell whether to ask for ``theirs``; a refused revision is not asked for again."""
+        """Return whether to fetch ``peer_versions``; a refused revision is not fetched again."""
         processed = self.versions.has_processed(peer_versions.revision)
         if processed and peer_versions.catalogue <= self.versions.catalogue.newest:
             return False
@@ -166,7 +179,10 @@
         self.update_role()
 
     def _read_platform(self) -> bool:
-        """Read everything once; return ``False`` at the first read that fails."""
+        """Read the text, then the catalogue and the host list, once each.
+
+        Return whether the text was read; without it the other two are not read.
+        """
         platform = self.settings.platform
         reader = self._open_reader()
         try:
@@ -207,7 +223,7 @@
 
 
 class _ReachableHosts(Container[HostId]):
-    """The hosts that are not known to be unreachable."""
+    """The hosts to which this host has no closed link, so those not known to be unreachable."""
 
     def __init__(self, links: Links) -> None:
         self.links = links
--- a/src/masticgate/process/_settings.py
+++ b/src/masticgate/process/_settings.py
@@ -1,4 +1,4 @@
-"""The settings of one process: JSON with comments, checked by type."""
+"""The settings of an entry host's process: JSON with comments, validated by type."""
 
 from dataclasses import dataclass
 from pathlib import Path
@@ -10,10 +10,11 @@
 from ..version import AddressText, Document, Name, StrictModel, SyntaxProblem, parse_document
 
 MAX_SETTINGS_BYTES = 100_000
+"""The largest settings file that is read."""
 
 
 class SeedSettings(StrictModel):
-    """Another host that a starting one asks first."""
+    """Another entry host, to which this host connects when it starts."""
 
     host: Name
     address: AddressText
@@ -21,7 +22,7 @@
 
 
 class PlatformSettings(StrictModel):
-    """Where the platform's services answer."""
+    """The addresses of the platform's services, and the keys that hosts watch there."""
 
     configuration: AddressText
     hosts: AddressText
@@ -32,7 +33,7 @@
 
 
 class StatsdSettings(StrictModel):
-    """Where metrics go."""
+    """The statsd address that metrics are sent to, and the prefix of their names."""
 
     address: AddressText
     prefix: Name = "masticgate"
@@ -41,8 +42,8 @@
 class Settings(StrictModel):
     """All settings of an entry host.
 
-    Peers connect to ``peer_address``; the host listens on ``peer_listen_address`` where that is
-    another.
+    Peers connect to ``peer_address``. The host listens there, or on ``peer_listen_address`` if
+    that is set.
     """
 
     host: Name
@@ -61,19 +62,19 @@
     log_level: Literal["debug", "info", "warning", "error"] = "info"
 
     def other_seeds(self) -> list[SeedSettings]:
-        """Return the seeds without this host itself."""
+        """Return the seeds except this host itself."""
         return [seed for seed in self.seeds if seed.host != self.host]
 
 
 @dataclass(frozen=True, slots=True)
 class InvalidSettings:
-    """Settings that a process refuses to start with."""
+    """The problems found in settings with which the process doesn't start."""
 
     problems: tuple[str, ...]
 
 
 def read_settings(path: Path) -> Settings | InvalidSettings:
-    """Read and check the settings in ``path``."""
+    """Read and validate the settings in the file at ``path``."""
     try:
         if path.stat().st_size > MAX_SETTINGS_BYTES:
             return InvalidSettings((f"{path}: longer than {MAX_SETTINGS_BYTES} bytes",))
@@ -84,7 +85,7 @@
 
 
 def check_settings(text: str, name: str) -> Settings | InvalidSettings:
-    """Check the settings in ``text``; ``name`` stands before each problem."""
+    """Validate the settings in ``text``; each problem begins with ``name``, a file name."""
     document = parse_document(text)
     if isinstance(document, SyntaxProblem):
         place = f"{name}:{document.position.line}:{document.position.column}"
--- a/src/masticgate/process/_startup.py
+++ b/src/masticgate/process/_startup.py
@@ -1,4 +1,8 @@
-"""What a starting host waits for, since it remembers nothing and the platform may be stale."""
+"""The wait of a starting host for the versions of the platform and of peers.
+
+A host stores nothing across restarts, and the platform may answer with stale values, so the host
+compares several answers before it puts versions in force.
+"""
 
 from collections.abc import Mapping
 from enum import Enum
@@ -10,28 +14,34 @@
 from ._versions import VersionStore
 
 STARTUP_TIMEOUT = Millis(3000.0)
+"""The longest time that a starting host waits for answers."""
+
 MIN_STARTUP_PEERS = 3
+"""The number of seeds whose answers a starting host waits for."""
+
 MIN_STARTUP_DOMAINS = 2
+"""The number of failure domains that these seeds must come from."""
 
 
 class StartState(Enum):
-    """How much a starting host has heard."""
+    """Which answers a starting host has received."""
 
     COMPLETE = "complete"
-    """The platform and enough peers answered, and this host has the highest they named."""
+    """Enough peers answered, and this host has the highest versions that they named."""
 
     PARTIAL = "partial"
-    """Some answered; a higher version may exist."""
+    """Some answered; a higher version than this host's may exist."""
 
     ALONE = "alone"
     """Neither the platform nor any peer answered."""
 
 
 class Startup:
-    """Collects the versions that the platform and peers have, until there are enough.
+    """Collects the versions that peers have until enough peers have answered.
 
-    Enough are the platform and :data:`MIN_STARTUP_PEERS` of the ``seeds`` in
-    :data:`MIN_STARTUP_DOMAINS` failure domains, or as many as the settings name.
+    Enough are :data:`MIN_STARTUP_PEERS` peers in :data:`MIN_STARTUP_DOMAINS` failure domains, or
+    as many as the ``seeds``, which the settings name, allow. Besides, the read of the platform has
+    to have ended, with or without an answer.
     """
 
     def __init__(
@@ -46,25 +56,25 @@
         self.platform_answered = False
 
     def record_platform_read(self, answered: bool) -> None:
-        """Note that the platform was read, with or without an answer."""
+        """Record that the read of the platform has ended, and whether the platform answered."""
         with self.condition:
             self.platform_tried = True
             self.platform_answered = answered
             self.condition.notify_all()
 
     def record_peer(self, host: HostId, domain: FailureDomainId, versions: Versions) -> None:
-        """Note what ``host`` has."""
+        """Record the versions that ``host``, a peer in ``domain``, has."""
         with self.condition:
             self.peer_versions[host] = (domain, versions)
             self.condition.notify_all()
 
     def notify_change(self) -> None:
-        """Note that this host's own versions rose."""
+        """Wake the waiting task, since this host's own versions may have changed."""
         with self.condition:
             self.condition.notify_all()
 
     def wait(self, deadline: Millis) -> StartState:
-        """Wait until enough was heard, at most until ``deadline``."""
+        """Wait until the answers are complete, at most until ``deadline``."""
         with self.condition:
             self.condition.wait_for(self._is_complete, remaining_seconds(deadline, self.clock))
             if self._is_complete():
@@ -73,13 +83,13 @@
             return StartState.PARTIAL if answered else StartState.ALONE
 
     def describe(self, state: StartState) -> str:
-        """Return one line for the time line."""
+        """Return a one-line summary for the time line."""
         own = self.versions.versions()
         domains = {domain for domain, _ in self.peer_versions.values()}
         platform = "the platform" if self.platform_answered else "no platform"
         return (
-            f"{state.value}: heard {platform} and {len(self.peer_versions)} peers in "
-            f"{len(domains)} failure domains; serves revision {own.revision}"
+            f"{state.value}: {platform} and {len(self.peer_versions)} peers in "
+            f"{len(domains)} failure domains answered; serves revision {own.revision}"
         )
 
     def _is_complete(self) -> bool:
--- a/src/masticgate/process/_versions.py
+++ b/src/masticgate/process/_versions.py
@@ -1,4 +1,4 @@
-"""The versions in force on this host: they only rise."""
+"""The store of the configuration and snapshot catalogue in force, whose versions only rise."""
 
 from collections.abc import Callable, Mapping, Sequence
 from enum import Enum
@@ -25,28 +25,36 @@
 from ._timeline import EventKind, TimeLine
 
 MAX_DIGEST_REVISIONS = 64
-"""How many earlier revisions' digests are kept, to send others only what changed since."""
+"""The number of revisions whose digests are kept.
+
+A peer at one of these revisions gets only the sections that changed since; others get the whole
+text.
+"""
 
 MAX_REFUSED_REVISIONS = 64
+"""The number of refused revisions that are kept, the highest, so that they aren't fetched again."""
 
 
 class OfferResult(Enum):
-    """What became of a text that was offered."""
+    """What the store did with a configuration text that was offered to it."""
 
     IN_FORCE = "in_force"
     NOT_NEWER = "not_newer"
     REFUSED = "refused"
     OTHER_BASE = "other_base"
-    """The changes are against a revision that this host does not have."""
+    """The changes are relative to a revision that this host doesn't have."""
 
     OTHER_TEXT = "other_text"
-    """This host had another text at that revision."""
+    """This host has another text than the sender at the revision that the changes start from."""
 
 
 class VersionStore:
     """Holds the configuration and the snapshot catalogue in force.
 
-    With ``starting`` set, nothing is in force until :meth:`activate`.
+    The configuration is parsed from a text that operators publish under a rising revision. With
+    ``starting`` set, a text may be accepted, but is not in force until :meth:`activate`.
+    ``on_configuration`` is called with each configuration that comes into force. ``unavailable``
+    holds, for each service, the published snapshots that its searchers lack.
     """
 
     def __init__(
@@ -68,30 +76,30 @@
         self.problems: tuple[str, ...] = ()
         self.catalogue = SnapshotCatalogue()
         self.catalogue_text = ""
-        self.gone: dict[ServiceId, frozenset[SnapshotVersion]] = {}
+        self.unavailable: dict[ServiceId, frozenset[SnapshotVersion]] = {}
 
     @property
     def configuration(self) -> Configuration | None:
-        """The configuration in force."""
+        """The configuration in force, ``None`` if there is none."""
         return None if self.starting else self.accepted
 
     def versions(self) -> Versions:
-        """Return what this host has, in force or about to be."""
+        """Return the versions that this host has accepted; while it starts, not yet in force."""
         accepted = self.accepted
         revision = accepted.revision if accepted else Revision(0)
         return Versions(revision, self.catalogue.newest)
 
     def has_processed(self, revision: Revision) -> bool:
-        """Tell whether ``revision`` can change nothing here: it is refused, or not newer."""
+        """Return whether ``revision`` was refused, or is no newer than the accepted one."""
         return revision <= self.versions().revision or revision in self.refused_revisions
 
     def activate(self) -> None:
-        """Put what a starting host has accepted in force."""
+        """Put the configuration that was accepted during startup in force."""
         self.starting = False
         self._notify_configuration()
 
     def offer_text(self, text: str, revision: Revision) -> bool:
-        """Put ``text`` in force if it is newer and acceptable; tell whether it now is."""
+        """Accept ``text`` if it is newer and valid; return whether it was accepted."""
         with self.lock:
             offered = self._apply_text(text, revision)
         if offered is OfferResult.IN_FORCE:
@@ -99,7 +107,7 @@
         return offered is OfferResult.IN_FORCE
 
     def offer_sections(self, push: SectionsPush) -> OfferResult:
-        """Put the text that ``push`` makes of this host's own in force, if it is acceptable."""
+        """Apply the changes in ``push`` to this host's text; accept the result if it is valid."""
         with self.lock:
             offered = self._apply_sections(push)
         if offered is OfferResult.IN_FORCE:
@@ -107,7 +115,10 @@
         return offered
 
     def build_push(self, have: Revision) -> SectionsPush | TextPush | None:
-        """Return what turns the text at ``have`` into the one here, ``None`` if it is no older."""
+        """Return the push that brings a peer at revision ``have`` to the one of this host.
+
+        Return ``None`` if the peer's revision is not older.
+        """
         with self.lock:
             revision = self.versions().revision
             if revision <= have:
@@ -118,7 +129,7 @@
             return TextPush(revision, self.sections.to_text() or "")
 
     def offer_catalogue(self, text: str) -> bool:
-        """Take over a newer snapshot catalogue; tell whether it was newer."""
+        """Apply ``text`` if it is a newer snapshot catalogue; return whether it was applied."""
         catalogue = read_catalogue(text)
         if catalogue is None:
             self.timeline.add(EventKind.CATALOGUE_REFUSED, "snapshots")
@@ -129,24 +140,26 @@
             self.catalogue = catalogue
             self.catalogue_text = text
             published = {snapshot.version for snapshot in catalogue.snapshots}
-            self.gone = {service: versions & published for service, versions in self.gone.items()}
+            self.unavailable = {
+                service: versions & published for service, versions in self.unavailable.items()
+            }
             self.timeline.add(EventKind.CATALOGUE_CHANGED, f"snapshot {catalogue.newest}")
         return True
 
     def pin(
         self, services: Sequence[ServiceId], tried: frozenset[SnapshotVersion]
     ) -> Snapshot | None:
-        """Return the snapshot to search, none of ``tried``."""
-        return self.catalogue.choose_snapshot(services, self.gone, tried)
+        """Return the snapshot in which to search ``services``, other than those in ``tried``."""
+        return self.catalogue.choose_snapshot(services, self.unavailable, tried)
 
     def record_version_gone(
         self, service: ServiceId, snapshot: SnapshotVersion, held: Sequence[SnapshotVersion]
     ) -> None:
-        """Remember which published snapshots ``service`` lacks."""
+        """Record that ``service`` lacks ``snapshot`` and all published ones but ``held``."""
         with self.lock:
             published = {s.version for s in self.catalogue.snapshots}
             lacking = (published - set(held)) | {snapshot}
-            self.gone = {**self.gone, service: frozenset(lacking & published)}
+            self.unavailable = {**self.unavailable, service: frozenset(lacking & published)}
 
     def _apply_sections(self, push: SectionsPush) -> OfferResult:
         if self.has_processed(push.revision):
@@ -196,7 +209,7 @@
             del self.digests_by_revision[min(self.digests_by_revision)]
 
     def _notify_configuration(self) -> None:
-        """Tell of the configuration in force; the last call always tells of the latest."""
+        """Call ``on_configuration``, under a lock so that the last call has the latest one."""
         with self.notify_lock:
             configuration = self.configuration
             if configuration is not None:
--- a/src/masticgate/process/_watch.py
+++ b/src/masticgate/process/_watch.py
@@ -1,7 +1,7 @@
-"""The tasks that read the platform: a watch on each key, and the host list.
+"""The tasks that read the platform: a watch on each key, and a poll of the host list.
 
-Only watchers run them, at most :data:`WATCHERS_PER_DOMAIN` in each failure domain;
-:func:`most_reads` states what the platform has to answer.
+They read only on hosts with the watch role, at most :data:`WATCHERS_PER_DOMAIN` in each failure
+domain; :func:`most_reads` gives the resulting bound on the platform's load.
 """
 
 from collections.abc import Callable
@@ -17,12 +17,19 @@
 from ._watch_role import WatchRole
 
 WATCH_TIMEOUT = Millis(20_000.0)
+"""How long the platform may hold a watch of a key open before it answers without a new value."""
+
 HOST_LIST_INTERVAL = Millis(2000.0)
+"""The time between two reads of the host list."""
+
 MIN_READ_INTERVAL = Millis(200.0)
 """The delay after each new value, so that a flood of edits is read at a bounded rate."""
 
 WATCHED_KEYS = 2
+"""The keys of the configuration text and of the snapshot catalogue."""
+
 READS_PER_START = WATCHED_KEYS + 1
+"""A starting host reads each key and the host list once."""
 
 
 def most_reads(domains: int, duration: Millis, changes: int, starts: int) -> int:
@@ -30,12 +37,13 @@
 
     Each of the ``WATCHERS_PER_DOMAIN`` watchers of a failure domain reads the host list once in
     ``HOST_LIST_INTERVAL``, each key once in ``WATCH_TIMEOUT`` and once again after each of
-    ``changes`` new values; one read more of each may fall into the duration at its edge. Each of
-    ``starts`` starting hosts reads each of them once.
+    ``changes`` new values. One further read of each may fall into the duration at its edge. Each
+    of ``starts`` starting hosts reads the host list and each key once.
 
-    In an outage a watcher's three reads are each retried after half to all of
-    ``MAX_RETRY_DELAY``. Even if every host is cut off from all others and watches for itself, and
-    the platform is down, the rate is at most hosts x 3 / 5 s: 1,980 a second for 3,300 hosts.
+    In an outage of the platform, a watcher retries each of its three reads after half to all of
+    ``MAX_RETRY_DELAY``. Even if the platform is down and every host is cut off from all others,
+    and so is a watcher itself, the rate is at most hosts x 3 / 5 s: 1,980 reads a second for
+    3,300 hosts.
     """
     watchers = domains * WATCHERS_PER_DOMAIN
     listings = ceil(duration / HOST_LIST_INTERVAL) + 1
@@ -44,12 +52,15 @@
 
 
 def most_outage_reads_per_second(watchers: int) -> float:
-    """Return the most reads a second by ``watchers`` hosts once the platform stays down."""
+    """Return the most reads per second by ``watchers`` hosts while the platform stays down."""
     return watchers * READS_PER_START * MILLIS_PER_SECOND / (MIN_JITTER * MAX_RETRY_DELAY)
 
 
 class KeyWatch:
-    """Watches one key of the configuration service and passes on each new value."""
+    """Watches one key of the platform's configuration service; calls ``on_value`` with new values.
+
+    ``lost`` is set while the key cannot be read.
+    """
 
     def __init__(
         self,
@@ -71,15 +82,15 @@
         self.lost = False
 
     def run(self) -> None:
-        """Watch whenever this host is a watcher, until the process stops."""
+        """Watch the key whenever this host is a watcher, until the process stops."""
         while self.role.wait_until_watching(self.reader.allow_requests):
             self.role.wait(self.read_once())
         self.reader.close()
 
     def read_once(self) -> Millis:
-        """Wait for one newer value and return the delay before the next read.
+        """Wait for a newer value and return the delay before the next read.
 
-        A platform that answers at once with nothing newer, such as a stale replica, is read no
+        A platform that answers at once without a newer value, such as a stale replica, is read no
         more often than one that is down.
         """
         started = self.clock.now()
@@ -107,7 +118,7 @@
 
 
 class HostListWatch:
-    """Reads the host list at a steady pace and passes it on."""
+    """Reads the platform's host list at a fixed interval, and calls ``on_hosts`` with it."""
 
     def __init__(
         self,
@@ -121,13 +132,13 @@
         self.backoff = Backoff()
 
     def run(self) -> None:
-        """Read whenever this host is a watcher; a failed read changes nothing."""
+        """Read the list whenever this host is a watcher; a failed read changes nothing."""
         while self.role.wait_until_watching(self.reader.allow_requests):
             self.role.wait(self.read_once())
         self.reader.close()
 
     def read_once(self) -> Millis:
-        """Read the list and return the delay before the next read."""
+        """Read the list once and return the delay before the next read."""
         hosts = self.reader.list_hosts()
         if isinstance(hosts, Unknown):
             return max(HOST_LIST_INTERVAL, self.backoff.next_delay())
--- a/src/masticgate/process/_watch_role.py
+++ b/src/masticgate/process/_watch_role.py
@@ -1,4 +1,4 @@
-"""Whether this host is one of the watchers of its failure domain."""
+"""The role of a host as a watcher: one of the few of its failure domain that read the platform."""
 
 from collections.abc import Callable
 from threading import Condition
@@ -8,10 +8,11 @@
 from ._timeline import EventKind, TimeLine
 
 ROLE_CHECK_INTERVAL = Millis(60_000.0)
+"""The longest single wait of a task for the role; a change of the role ends the wait at once."""
 
 
 class WatchRole:
-    """The watch tasks wait here while other hosts watch the platform."""
+    """Whether this host is a watcher; the watch tasks wait here while other hosts are watchers."""
 
     def __init__(self, timeline: TimeLine) -> None:
         self.timeline = timeline
@@ -20,21 +21,22 @@
         self.stopped = False
 
     def update(self, watching: bool) -> bool:
-        """Take up or give up the role; tell whether that is a change."""
+        """Set whether this host is a watcher; return whether that is a change."""
         with self.condition:
             if watching == self.watching or self.stopped:
                 return False
             self.watching = watching
             self.condition.notify_all()
-        what = "watches the platform" if watching else "hears of the platform by peers"
+        what = "watches the platform" if watching else "gets versions from peers"
         self.timeline.add(EventKind.WATCH_CHANGED, self.timeline.host, what)
         return True
 
     def wait_until_watching(self, allow: Callable[[], None]) -> bool:
-        """Wait until this host watches, then call ``allow``; return ``False`` at the stop.
+        """Wait until this host is a watcher, then call ``allow``; return ``False`` after a stop.
 
-        An abort that follows the loss of the role cannot be undone by a late ``allow``, since the
-        two are told apart under one lock.
+        ``allow`` lets a reader read again that was aborted when the role was lost. It is called
+        under the lock that a change of the role takes, so that an abort that follows the loss of
+        the role cannot be undone by a late ``allow``.
         """
         with self.condition:
             while not self.watching and not self.stopped:
