--- a/tests/gateway/fakes.py
+++ b/tests/gateway/fakes.py
@@ -1,4 +1,4 @@
-"""Routes, requests and doubles for the tests of a gateway."""
+"""Factories for routes, requests and settings, and test doubles for the tests of a gateway."""
 
 from masticgate import Address, ManualClock, Millis, NotRun, Reason, SearcherId, ServiceId, Step
 from masticgate._ids import (
@@ -120,7 +120,7 @@
 
 
 class UnstartedTasks:
-    """Takes tasks and runs none of them."""
+    """A task starter that counts the tasks and runs none of them."""
 
     def __init__(self) -> None:
         self.started = 0
@@ -129,8 +129,8 @@
         self.started += 1
 
 
-def make_pool(most: int) -> TaskPool:
-    return TaskPool(most, EventLog(HostId("g1"), ManualClock()), Metrics())
+def make_pool(max_tasks: int) -> TaskPool:
+    return TaskPool(max_tasks, EventLog(HostId("g1"), ManualClock()), Metrics())
 
 
 def make_fleet(clock: ManualClock | None = None, **settings: float) -> Fleet:
@@ -144,7 +144,7 @@
 
 
 class ScriptedCall:
-    """A call on its way whose outcome the script knows."""
+    """A call in flight whose outcome is determined by the script; it records its cancellation."""
 
     def __init__(self, call: Call, searcher: SearcherId) -> None:
         self.call = call
@@ -157,9 +157,12 @@
 
 
 class ScriptedUpstream:
-    """Senders and inbox in one: each service has a list of (delay, outcome) in order.
+    """An upstream client and an inbox in one, with scripted outcomes.
 
-    An outcome is a body, ``"declined"``, ``"lost"``, ``"unsent"``, ``"silent"`` or a status.
+    ``plans`` has, for each service, the delay in milliseconds and the outcome of each attempt, in
+    order. An outcome is the body of an answer, an error status, ``"declined"`` by the searcher,
+    ``"lost"`` after it was sent, ``"unsent"``, or ``"silent"`` if there never is one. ``repeats``
+    is the budget for hedges and retries. The caller disconnects at ``disconnects_at``, if set.
     """
 
     def __init__(self, plans: dict[str, list[tuple[float, object]]], repeats: int = 100) -> None:
@@ -201,7 +204,7 @@
         pass
 
     def put(self, call):
-        raise AssertionError("the script hands over the outcomes itself")
+        raise AssertionError("the script delivers the outcomes itself")
 
     def wait(self, deadline):
         self.events.sort(key=lambda event: event[:2])
--- a/tests/gateway/loopback.py
+++ b/tests/gateway/loopback.py
@@ -1,4 +1,4 @@
-"""A whole gateway on loopback, with searchers that answer as the test says."""
+"""A whole gateway on loopback, with searchers whose answers the test determines."""
 
 import socket
 import struct
@@ -21,7 +21,10 @@
 
 
 class ConnectionEnd(Enum):
-    """What a searcher does with its connection after an answer."""
+    """What a searcher does with its connection after an answer.
+
+    It keeps it open, closes it in order, or resets it.
+    """
 
     OPEN = "open"
     ORDERLY = "orderly"
@@ -48,7 +51,10 @@
 
 
 class StandInSearcher:
-    """Serves each connection in a thread; ``answer`` returns bytes, or ``None`` to hang up."""
+    """A searcher that serves each connection in a thread, and records the heads of requests.
+
+    ``answer`` returns the bytes to send for a request head, or ``None`` to close the connection.
+    """
 
     def __init__(self, answer: Answer) -> None:
         self.answer = answer
@@ -96,7 +102,7 @@
 
 
 class RepeatingSearcher(StandInSearcher):
-    """Sends each answer once more on its connection, right before the next one."""
+    """A searcher that sends each answer once more on its connection, right before the next one."""
 
     def _serve(self, connection: socket.socket) -> None:
         before = b""
@@ -109,7 +115,11 @@
 
 
 class BreakingSearcher(StandInSearcher):
-    """Ends every second connection with a request within its answer, at another byte each time."""
+    """A searcher that ends the connection within every second answer.
+
+    It ends each time after another byte of the answer. ``resets`` is whether it resets the
+    connection instead of closing it in order.
+    """
 
     def __init__(self, answer: Answer, *, resets: bool) -> None:
         self.resets = resets
@@ -133,7 +143,10 @@
 
 
 class HangingSearcher(StandInSearcher):
-    """Never answers, and notes when a connection with a request was closed."""
+    """A searcher that never answers.
+
+    It records when it has received a request, and when the gateway has closed its connection.
+    """
 
     def __init__(self) -> None:
         self.request_received = Event()
@@ -152,7 +165,7 @@
 
 
 class FixedSource:
-    """Publishes one table and some searchers, and no change."""
+    """A catalogue source with one configuration and some searchers, and without changes."""
 
     def __init__(self, table, entries) -> None:
         self.contents = Contents(
@@ -175,6 +188,11 @@
 def running_gateway(
     routes, searchers: dict[str, list[StandInSearcher]], *, version: int = 1, **settings
 ) -> Iterator[Gateway]:
+    """Run a gateway in threads of this process, and yield it.
+
+    ``searchers`` has the searchers of each service, and ``settings`` replaces fields of the
+    gateway's settings.
+    """
     entries = [
         replace(make_entry(f"{service}-{number}", service), address=searcher.address)
         for service, group in searchers.items()
@@ -183,7 +201,8 @@
     source = FixedSource(make_table(*routes, version=version), entries)
     gateway = Gateway(replace(make_settings(), **settings), HEADER_NAMES, source)
     gateway.log.descriptor = -1
-    gateway.fleet.budgets.started_at -= 10_000.0  # as if it ran for a window of repeats already
+    # As if it had run for a whole window already: a new gateway has no slack for repeats.
+    gateway.fleet.budgets.started_at -= 10_000.0
     gateway.start()
     deadline = Event()
     while gateway.follower.table is None and not deadline.wait(0.01):
@@ -207,7 +226,7 @@
 
 
 class RawCaller:
-    """One caller's connection, byte by byte."""
+    """A caller that writes and reads the bytes of its connection itself."""
 
     def __init__(self, gateway: Gateway) -> None:
         self.socket = socket.create_connection(gateway.callers.socket.getsockname(), timeout=10)
@@ -224,7 +243,7 @@
         return self
 
     def read(self) -> tuple[int, bytes, bytes]:
-        """Return status, head and body of the next answer; status 0 at the end."""
+        """Return status, head and body of the next reply; status 0 if the connection has ended."""
         while b"\r\n\r\n" not in self.buffer:
             chunk = self.socket.recv(65536)
             if not chunk:
--- a/tests/gateway/test_fleet.py
+++ b/tests/gateway/test_fleet.py
@@ -1,4 +1,4 @@
-"""Choice of searchers, their connections and the budget of repeats."""
+"""Tests for the choice of searchers, their connections, and the budgets for repeats."""
 
 from masticgate import ManualClock, Millis, Reason, SearcherId, ServiceId
 from masticgate.process.gateway import SearcherPhase
@@ -37,24 +37,24 @@
     return dispatched.searcher
 
 
-class TestChoice:
-    def test_nobody_listed_is_not_run(self):
+class TestSearcherChoice:
+    def test_refuses_without_listed_searcher(self):
         assert send(make_fleet()).reason is Reason.NO_SEARCHER
 
-    def test_the_own_domain_is_preferred_while_equal(self):
+    def test_prefers_own_domain_at_equal_load(self):
         fleet = make_fleet()
         fleet.apply_listing(make_entry("far", domain="z2"))
         fleet.apply_listing(make_entry("near", domain="z1"))
         assert send(fleet).searcher == "near"
 
-    def test_a_busy_searcher_is_left_for_another(self):
+    def test_uses_other_domain_when_nearest_searcher_is_busy(self):
         fleet = make_fleet()
         fleet.apply_listing(make_entry("far", domain="z2"))
         fleet.apply_listing(make_entry("near", domain="z1"))
         chosen = [send(fleet).searcher for _ in range(4)]
         assert set(chosen) == {"near", "far"}
 
-    def test_a_searcher_is_tried_once_a_request(self):
+    def test_never_sends_request_to_same_searcher_twice(self):
         fleet = make_fleet()
         fleet.apply_listing(make_entry("a"))
         assert send(fleet, tried={SearcherId("a")}).reason is Reason.NO_SEARCHER
@@ -68,7 +68,7 @@
         send_and_finish(fleet, lambda s: answered(s, latency=130.0))
         assert send_and_finish(fleet, answered) == "near"
 
-    def test_late_answers_in_a_row_do(self):
+    def test_repeated_late_answers_move_requests_to_another_domain(self):
         fleet = make_fleet()
         fleet.apply_listing(make_entry("near", domain="z1"))
         fleet.apply_listing(make_entry("far", domain="z2"))
@@ -78,7 +78,7 @@
             send_and_finish(fleet, lambda s: answered(s, latency=130.0 if s == "near" else 10.0))
         assert send_and_finish(fleet, answered) == "far"
 
-    def test_one_that_refuses_most_requests_is_avoided(self):
+    def test_avoids_searcher_that_refuses_most_requests(self):
         fleet = make_fleet()
         fleet.apply_listing(make_entry("bad", domain="z1"))
         fleet.apply_listing(make_entry("good", domain="z2"))
@@ -91,7 +91,7 @@
         ]
         assert chosen.count(SearcherId("bad")) <= 3
 
-    def test_a_retry_goes_to_an_ejected_searcher_where_there_is_no_other(self):
+    def test_retry_uses_ejected_searcher_if_there_is_no_other(self):
         fleet = make_fleet()
         fleet.apply_listing(make_entry("a"))
         for _ in range(2):
@@ -102,7 +102,7 @@
         assert send(fleet, tried, Repeat.HEDGE).reason is Reason.NO_SEARCHER
         assert send(fleet, tried, Repeat.RETRY).searcher == "a"
 
-    def test_one_that_refused_is_tried_again_later(self):
+    def test_uses_refusing_searcher_again_after_some_time(self):
         clock = ManualClock()
         fleet = make_fleet(clock)
         fleet.apply_listing(make_entry("bad", domain="z1"))
@@ -115,7 +115,7 @@
         clock.advance(Millis(20_000.0))
         assert send(fleet).searcher == "bad"
 
-    def test_failures_in_a_row_eject_until_a_probe_succeeds(self):
+    def test_consecutive_failures_eject_searcher_until_probe_succeeds(self):
         clock = ManualClock()
         fleet = make_fleet(clock)
         fleet.apply_listing(make_entry("a"))
@@ -128,7 +128,7 @@
         finish(fleet, probe, answered(probe.searcher))
         assert send(fleet).searcher == "a"
 
-    def test_a_cancelled_send_is_no_failure(self):
+    def test_cancelled_attempt_does_not_count_as_failure(self):
         fleet = make_fleet()
         fleet.apply_listing(make_entry("a"))
         for _ in range(5):
@@ -138,8 +138,8 @@
         assert send(fleet).searcher == "a"
 
 
-class TestLeaving:
-    def test_one_that_drains_is_a_last_resort_for_half_of_the_drain_time(self):
+class TestLeavingSearchers:
+    def test_draining_searcher_is_last_resort_for_half_the_drain_time(self):
         clock = ManualClock()
         fleet = make_fleet(clock)
         fleet.apply_listing(make_entry("a"))
@@ -150,7 +150,7 @@
         clock.advance(Millis(1_501.0))
         assert send(fleet, tried={SearcherId("b")}).reason is Reason.NO_SEARCHER
 
-    def test_a_changed_listing_of_a_forgotten_drained_searcher_does_not_bring_it_back(self):
+    def test_later_listing_does_not_restore_removed_drained_searcher(self):
         clock = ManualClock()
         fleet = make_fleet(clock)
         fleet.apply_listing(make_entry("a"))
@@ -162,7 +162,7 @@
         fleet.apply_listing(make_entry("a", phase=SearcherPhase.READY))
         assert send(fleet).reason is Reason.NO_SEARCHER
 
-    def test_the_same_id_started_again_is_another_searcher(self):
+    def test_restart_under_same_id_is_used_again(self):
         clock = ManualClock()
         fleet = make_fleet(clock)
         fleet.apply_listing(make_entry("a"))
@@ -172,13 +172,13 @@
         fleet.apply_listing(make_entry("a", born=2))
         assert send(fleet).searcher == "a"
 
-    def test_a_listing_of_an_earlier_start_is_ignored(self):
+    def test_ignores_listing_of_earlier_start(self):
         fleet = make_fleet()
         fleet.apply_listing(make_entry("a", born=5))
         fleet.apply_listing(make_entry("a", born=3, phase=SearcherPhase.DRAINING))
         assert send(fleet).searcher == "a"
 
-    def test_one_that_was_unlisted_comes_back_with_its_listing(self):
+    def test_unlisted_searcher_is_used_again_once_listed(self):
         clock = ManualClock()
         fleet = make_fleet(clock)
         fleet.apply_listing(make_entry("a"))
@@ -188,7 +188,7 @@
         fleet.apply_listing(make_entry("a"))
         assert send(fleet).searcher == "a"
 
-    def test_another_searcher_at_its_address_ends_its_use(self):
+    def test_stops_using_searcher_whose_address_belongs_to_another(self):
         fleet = make_fleet()
         fleet.apply_listing(make_entry("a"))
         send_and_finish(fleet, lambda s: Declined(s, Reason.NO_SEARCHER))
@@ -196,14 +196,14 @@
 
 
 class TestConnections:
-    def test_a_finished_connection_is_used_again(self):
+    def test_reuses_connection_of_finished_call(self):
         fleet = make_fleet()
         fleet.apply_listing(make_entry("a"))
         first = send(fleet)
         finish(fleet, first, answered(first.searcher))
         assert send(fleet).task is first.task
 
-    def test_no_more_connections_than_the_share_of_this_gateway(self):
+    def test_opens_no_more_connections_than_share_of_gateway(self):
         fleet = make_fleet()
         fleet.apply_table(make_table(make_route()))
         fleet.apply_listing(make_entry("a"))
@@ -211,7 +211,7 @@
         assert len({dispatched.task for dispatched in sent}) == 3
         assert send(fleet).reason is Reason.OVERLOAD
 
-    def test_an_idle_connection_that_was_just_given_work_stays(self):
+    def test_sweep_keeps_connection_with_new_call(self):
         fleet = make_fleet()
         fleet.apply_listing(make_entry("a"))
         first = send(fleet)
@@ -221,7 +221,7 @@
         assert again.task is first.task
         assert not again.task.client.aborted
 
-    def test_an_idle_connection_is_renewed_before_the_searcher_closes_it(self):
+    def test_replaces_idle_connection_before_searcher_closes_it(self):
         clock = ManualClock()
         fleet = make_fleet(clock)
         fleet.apply_listing(make_entry("a"))
@@ -236,7 +236,7 @@
         assert first.task.client.aborted
         assert fleet.starter.started == 2
 
-    def test_a_connection_that_ends_as_it_is_given_work_is_replaced(self):
+    def test_replaces_connection_that_closes_when_call_is_assigned(self):
         fleet = make_fleet()
         fleet.apply_listing(make_entry("a"))
         first = send(fleet)
@@ -246,7 +246,7 @@
         assert again.task is not first.task
         assert fleet.replicas[SearcherId("a")].in_flight == 1
 
-    def test_a_connection_whose_call_is_long_overdue_is_cut(self):
+    def test_closes_connection_whose_call_is_long_overdue(self):
         clock = ManualClock()
         fleet = make_fleet(clock)
         fleet.apply_listing(make_entry("a"))
@@ -256,7 +256,7 @@
         fleet.sweep()
         assert stuck.task.client.aborted
 
-    def test_connections_of_a_forgotten_searcher_are_counted_out(self):
+    def test_connections_of_replaced_searcher_do_not_count_for_new_one(self):
         fleet = make_fleet()
         fleet.apply_listing(make_entry("a"))
         old = send(fleet)
@@ -268,8 +268,8 @@
         assert replica.state is ReplicaState.ACTIVE
 
 
-class TestRepeats:
-    def test_the_repeats_of_all_gateways_stay_within_the_bounds_of_any_window(self):
+class TestRepeatBudgets:
+    def test_repeats_stay_within_share_of_bounds_in_any_window(self):
         clock = ManualClock()
         fleet = make_fleet(clock, ratio=0.2, slack=52.0)
         requests: list[float] = []
@@ -290,7 +290,7 @@
             )
             assert spent <= 0.2 * asked + 52.0 / 8
 
-    def test_the_slack_is_there_again_in_the_next_window(self):
+    def test_slack_is_available_again_in_next_window(self):
         clock = ManualClock()
         fleet = make_fleet(clock)
         clock.advance(Millis(10_000.0))
@@ -298,10 +298,10 @@
         clock.advance(Millis(10_001.0))
         assert sum(fleet.allow_retry(ORDERS) for _ in range(50)) == first > 0
 
-    def test_a_gateway_that_has_just_started_has_no_slack_yet(self):
+    def test_starting_gateway_has_no_slack(self):
         assert not make_fleet(ManualClock()).allow_retry(ORDERS)
 
-    def test_changed_settings_hold_for_the_windows_that_there_are(self):
+    def test_changed_settings_apply_to_existing_windows(self):
         clock = ManualClock()
         fleet = make_fleet(clock)
         clock.advance(Millis(10_000.0))
@@ -309,7 +309,7 @@
         fleet.apply_settings(make_settings(ratio=0.0, slack=0.0))
         assert not fleet.allow_retry(ORDERS)
 
-    def test_hedges_leave_a_reserve_for_retries(self):
+    def test_hedges_leave_reserve_for_retries(self):
         clock = ManualClock()
         fleet = make_fleet(clock)
         clock.advance(Millis(10_000.0))
@@ -317,7 +317,7 @@
             pass
         assert fleet.allow_retry(ORDERS)
 
-    def test_the_hedge_delay_follows_the_latencies_of_the_route(self):
+    def test_hedge_delay_follows_latencies_of_route(self):
         fleet = make_fleet()
         fleet.apply_listing(make_entry("a"))
         route = make_route()
--- a/tests/gateway/test_follower.py
+++ b/tests/gateway/test_follower.py
@@ -1,4 +1,4 @@
-"""What a gateway makes of what the platform publishes."""
+"""Tests for how a gateway applies the configuration and listings that the platform publishes."""
 
 from masticgate import ManualClock, Millis, Revision, SearcherId, ServiceId
 from masticgate._ids import HostId
@@ -23,13 +23,16 @@
 
 
 class ScriptedSource:
-    """Answers reads and watches in order; the clock moves on before each answer."""
+    """A catalogue source that returns ``answers`` in order, each after its delay in milliseconds.
+
+    After the last one it stops the follower.
+    """
 
     def __init__(self, clock: ManualClock, *answers: tuple[float, object]) -> None:
         self.clock = clock
         self.answers = list(answers)
         self.follower: Follower | None = None
-        self.asked: list[str] = []
+        self.requests: list[str] = []
 
     def read(self):
         return self._next("read")
@@ -37,8 +40,8 @@
     def watch(self, after, wait):
         return self._next(f"watch {after}")
 
-    def _next(self, asked):
-        self.asked.append(asked)
+    def _next(self, request):
+        self.requests.append(request)
         if not self.answers:
             self.follower.stop()
             return Unavailable("the script ended")
@@ -73,14 +76,14 @@
 
 
 class TestConfiguration:
-    def test_a_later_version_is_taken(self):
+    def test_applies_later_version(self):
         one, two = make_table(ROUTE, version=1), make_table(ROUTE, version=7)
         follower, _, _ = follow(
             (0, contents(PublishedConfiguration(one))), (1, changes(2, PublishedConfiguration(two)))
         )
         assert follower.table is two
 
-    def test_an_earlier_version_never_comes_back(self):
+    def test_ignores_earlier_version(self):
         one, two = make_table(ROUTE, version=1), make_table(ROUTE, version=7)
         follower, _, _ = follow(
             (0, contents(PublishedConfiguration(two))),
@@ -89,7 +92,7 @@
         )
         assert follower.table is two
 
-    def test_what_cannot_be_read_changes_nothing(self):
+    def test_keeps_configuration_if_new_one_is_unreadable(self):
         one = make_table(ROUTE, version=1)
         follower, _, _ = follow(
             (0, contents(PublishedConfiguration(one))),
@@ -97,7 +100,7 @@
         )
         assert follower.table is one
 
-    def test_it_is_kept_while_the_platform_is_away(self):
+    def test_keeps_configuration_while_platform_is_unavailable(self):
         one = make_table(ROUTE, version=1)
         follower, _, source = follow(
             (0, contents(PublishedConfiguration(one), revision=4)),
@@ -105,11 +108,11 @@
             (3_000, Unavailable("timed out")),
         )
         assert follower.table is one
-        assert source.asked[1:] == ["watch 4", "watch 4", "watch 4"]
+        assert source.requests[1:] == ["watch 4", "watch 4", "watch 4"]
 
 
 class TestSearchers:
-    def test_a_removed_listing_ends_its_use(self):
+    def test_stops_using_searcher_whose_listing_is_removed(self):
         _, fleet, _ = follow(
             (0, contents(SearcherListed(make_entry("a")))),
             (1, changes(2, SearcherUnlisted(SearcherId("a")))),
@@ -117,7 +120,7 @@
         )
         assert not is_used(fleet, "a")
 
-    def test_one_missing_after_the_history_was_lost_is_gone(self):
+    def test_removes_searcher_missing_after_history_was_lost(self):
         _, fleet, _ = follow(
             (0, contents(SearcherListed(make_entry("a")), SearcherListed(make_entry("b")))),
             (1, HistoryGone()),
@@ -127,7 +130,7 @@
         assert not is_used(fleet, "a")
         assert is_used(fleet, "b")
 
-    def test_listings_that_lapsed_with_the_platform_are_held_until_they_are_back(self):
+    def test_keeps_searcher_whose_listing_expired_while_platform_was_unavailable(self):
         _, fleet, _ = follow(
             (0, contents(SearcherListed(make_entry("a")))),
             (5_000, Unavailable("down")),
@@ -136,7 +139,7 @@
         )
         assert is_used(fleet, "a")
 
-    def test_a_listing_that_is_not_back_in_time_ends_its_use(self):
+    def test_removes_searcher_whose_listing_does_not_return_in_time(self):
         _, fleet, _ = follow(
             (0, contents(SearcherListed(make_entry("a")))),
             (5_000, Unavailable("down")),
@@ -146,7 +149,7 @@
         )
         assert not is_used(fleet, "a")
 
-    def test_a_listing_that_was_waited_for_in_vain_is_no_last_resort(self):
+    def test_searcher_whose_listing_did_not_return_is_no_last_resort(self):
         _, fleet, _ = follow(
             (0, contents(SearcherListed(make_entry("a")))),
             (5_000, Unavailable("down")),
@@ -155,7 +158,7 @@
         )
         assert not is_used(fleet, "a")
 
-    def test_a_held_listing_is_relayed_as_gone_only_when_it_is(self):
+    def test_relays_removal_of_held_searcher_only_once_it_is_removed(self):
         back = (10, changes(5, SearcherUnlisted(SearcherId("a"))))
         follower, _, _ = follow(
             (
@@ -181,7 +184,7 @@
         )
         assert "searcher a" not in follower.catalogue.state
 
-    def test_an_unreadable_listing_names_no_searcher_and_the_others_hold(self):
+    def test_unreadable_listing_removes_only_its_searcher(self):
         _, fleet, _ = follow(
             (0, contents(SearcherListed(make_entry("a")), SearcherListed(make_entry("b")))),
             (1, changes(2, UnreadableItem("servers/a", "no slots", SearcherId("a")))),
--- a/tests/gateway/test_forward.py
+++ b/tests/gateway/test_forward.py
@@ -1,4 +1,4 @@
-"""One request to one searcher."""
+"""Tests for a request that is sent to one searcher of a service."""
 
 import pytest
 from hypothesis import given, settings
@@ -23,33 +23,33 @@
 
 
 class TestForward:
-    def test_an_answer_is_passed_on_unchanged(self):
+    def test_forwards_answer_unchanged(self):
         reply = forward(ScriptedUpstream({"orders": [(5, b"order")]}))
         assert isinstance(reply, Relayed) and reply.answer.body == b"order"
 
-    def test_a_failure_of_the_searcher_is_passed_on_after_a_second_try(self):
+    def test_forwards_searcher_failure_after_second_attempt(self):
         script = ScriptedUpstream({"orders": [(5, 500), (5, 500)]})
         reply = forward(script)
         assert isinstance(reply, Relayed) and reply.answer.status == 500
         assert len(script.sent_calls) == 2
 
-    def test_a_lost_answer_is_asked_for_again_where_that_is_harmless(self):
+    def test_repeats_idempotent_request_whose_answer_was_lost(self):
         reply = forward(ScriptedUpstream({"orders": [(5, "lost"), (5, b"again")]}))
         assert isinstance(reply, Relayed) and reply.answer.body == b"again"
 
-    def test_the_failure_says_why_no_other_searcher_was_asked(self):
+    def test_failure_states_why_request_was_not_repeated(self):
         reply = forward(ScriptedUpstream({"orders": [(5, "lost"), (5, b"again")]}, repeats=0))
         assert isinstance(reply, Failed) and reply.status == 502
         assert "repeat not run: budget" in reply.failure.detail
 
-    def test_the_callers_patience_ends_the_wait(self):
+    def test_caller_timeout_ends_wait(self):
         script = ScriptedUpstream({"orders": [(0, "silent"), (0, "silent")]})
         reply = forward(script, caller_timeout=150.0)
         assert isinstance(reply, Failed) and reply.status == 504
         assert script.now() == 150.0
         assert all(sent_call.cancel_requested for sent_call in script.sent_calls)
 
-    def test_a_caller_that_leaves_cancels_the_send(self):
+    def test_caller_disconnect_cancels_attempt(self):
         script = ScriptedUpstream({"orders": [(50, b"late")]})
         script.disconnects_at = 10.0
         assert isinstance(forward(script), Abandoned)
@@ -57,30 +57,30 @@
 
 
 class TestAtMostOnce:
-    def test_a_lost_answer_is_never_asked_for_again(self):
+    def test_never_repeats_request_whose_answer_was_lost(self):
         script = ScriptedUpstream({"orders": [(5, "lost"), (5, b"again")]})
         reply = forward(script, Idempotency.NON_IDEMPOTENT)
         assert isinstance(reply, Failed) and reply.status == 502
         assert len(script.sent_calls) == 1
 
-    def test_it_is_never_hedged(self):
+    def test_is_never_hedged(self):
         script = ScriptedUpstream({"orders": [(200, b"slow"), (5, b"again")]})
         forward(script, Idempotency.NON_IDEMPOTENT)
         assert len(script.sent_calls) == 1
 
     @pytest.mark.parametrize("outcome", ["declined", "unsent"])
-    def test_what_did_not_run_is_sent_elsewhere(self, outcome):
+    def test_retries_attempt_that_did_not_run_at_another_searcher(self, outcome):
         script = ScriptedUpstream({"orders": [(5, outcome), (5, b"ran")]})
         reply = forward(script, Idempotency.NON_IDEMPOTENT)
         assert isinstance(reply, Relayed) and reply.answer.body == b"ran"
 
-    def test_refused_everywhere_is_refused_as_not_run(self):
+    def test_refused_by_all_searchers_is_refused_as_not_run(self):
         script = ScriptedUpstream({"orders": [(5, "declined"), (5, "declined")]})
         reply = forward(script, Idempotency.NON_IDEMPOTENT)
         assert isinstance(reply, Refused) and reply.status == 503
 
     @pytest.mark.parametrize("status", [408, 421, 429, 503])
-    def test_a_status_that_promises_not_run_is_not_passed_on(self, status):
+    def test_does_not_forward_status_that_means_not_run(self, status):
         reply = forward(ScriptedUpstream({"orders": [(5, status)]}), Idempotency.NON_IDEMPOTENT)
         assert isinstance(reply, Failed) and reply.status == 502
 
@@ -95,7 +95,7 @@
         ),
         st.integers(0, 3),
     )
-    def test_it_runs_once_at_most_and_a_refusal_is_true(self, plan, repeats):
+    def test_runs_at_most_once_and_refusal_means_not_run(self, plan, repeats):
         script = ScriptedUpstream({"orders": list(plan)}, repeats)
         reply = forward(script, Idempotency.NON_IDEMPOTENT)
         may_have_run = [
--- a/tests/gateway/test_gather.py
+++ b/tests/gateway/test_gather.py
@@ -1,4 +1,4 @@
-"""One query over many shards."""
+"""Tests for a query that is gathered from many shards."""
 
 from dataclasses import replace
 
@@ -17,84 +17,89 @@
     return number.to_bytes(16, "big")
 
 
-def gather(script: ScriptedUpstream, least: float = 0.5, attempts: int = 2, network: float = 0.0):
+def gather(
+    script: ScriptedUpstream,
+    min_shard_ratio: float = 0.5,
+    attempts: int = 2,
+    network_time: float = 0.0,
+):
     services = tuple(ServiceId(name) for name in script.plans)
-    target = Shards(services, 3, least)
+    target = Shards(services, 3, min_shard_ratio)
     route = make_route(target, attempts=attempts)
-    request = replace(make_request(), network_time=Millis(network))
+    request = replace(make_request(), network_time=Millis(network_time))
     return run_gather(request, route, target, script, script)
 
 
 class TestGather:
-    def test_all_shards_in_time_make_a_whole_answer(self):
+    def test_merges_whole_answer_from_all_shards(self):
         script = ScriptedUpstream({"a": [(5, record(1) + record(9))], "b": [(7, record(4))]})
         reply = gather(script)
         assert reply == Merged(("s-a-0", "s-b-0"), 0, record(9) + record(4) + record(1))
 
-    def test_a_slow_shard_is_asked_elsewhere_after_the_hedge_delay(self):
+    def test_hedges_slow_shard_after_hedge_delay(self):
         script = ScriptedUpstream({"a": [(5, record(1))], "b": [(300, record(2)), (5, record(2))]})
         reply = gather(script)
         assert isinstance(reply, Merged) and reply.missing == 0
         assert script.now() == 25.0
 
-    def test_without_budget_a_straggler_is_left_out_before_the_objective(self):
+    def test_leaves_out_slow_shard_before_objective_without_budget(self):
         script = ScriptedUpstream({"a": [(5, record(1))], "b": [(300, record(2))]}, repeats=0)
         reply = gather(script)
         assert isinstance(reply, Merged) and reply.missing == 1
         assert script.now() == 95.0
 
-    def test_the_ways_to_and_from_the_caller_are_left_of_the_objective(self):
+    def test_subtracts_network_time_from_objective(self):
         script = ScriptedUpstream({"a": [(5, record(1))], "b": [(300, record(2))]}, repeats=0)
-        reply = gather(script, network=14.0)
+        reply = gather(script, network_time=14.0)
         assert isinstance(reply, Merged) and reply.missing == 1
         assert script.now() == 81.0
 
-    def test_below_the_least_share_it_waits_past_the_objective(self):
+    def test_waits_past_objective_below_minimum_coverage(self):
         script = ScriptedUpstream({"a": [(5, record(1))], "b": [(300, record(2))]}, repeats=0)
-        reply = gather(script, least=1.0)
+        reply = gather(script, min_shard_ratio=1.0)
         assert isinstance(reply, Merged) and reply.missing == 0
         assert script.now() == 300.0
 
-    def test_too_few_shards_are_a_failure_that_may_have_run(self):
+    def test_too_few_shards_fail_with_unknown_outcome(self):
         script = ScriptedUpstream({"a": [(5, record(1))], "b": [(5, "lost"), (5, "lost")]})
-        reply = gather(script, least=1.0)
+        reply = gather(script, min_shard_ratio=1.0)
         assert isinstance(reply, Failed) and reply.status == 502
 
-    def test_at_the_deadline_it_answers_at_once(self):
+    def test_fails_at_deadline_without_further_wait(self):
         script = ScriptedUpstream({"a": [(5, record(1))], "b": [(0, "silent"), (0, "silent")]})
-        reply = gather(script, least=1.0)
+        reply = gather(script, min_shard_ratio=1.0)
         assert isinstance(reply, Failed) and reply.status == 504
         assert script.now() == 400.0
 
-    def test_sends_that_nobody_answered_may_have_run(self):
+    def test_unanswered_attempts_may_have_run(self):
         script = ScriptedUpstream({"a": [(0, "silent"), (0, "silent")], "b": [(0, "silent")]})
         reply = gather(script)
         assert isinstance(reply, Failed) and reply.status == 504
 
-    def test_nothing_sent_is_refused_as_not_run(self):
+    def test_refuses_as_not_run_if_nothing_was_sent(self):
         script = ScriptedUpstream({"a": [], "b": []})
         reply = gather(script)
         assert isinstance(reply, Refused) and reply.status == 503
         assert reply.retry_after is not None
 
-    def test_a_refused_part_is_asked_elsewhere_at_once(self):
+    def test_retries_refused_shard_at_another_searcher_at_once(self):
         script = ScriptedUpstream({"a": [(2, "declined"), (3, record(1))], "b": [(4, record(2))]})
         reply = gather(script)
         assert isinstance(reply, Merged) and reply.missing == 0
         assert script.now() == 5.0
 
-    def test_no_shard_is_sent_to_more_searchers_than_the_route_allows(self):
+    def test_attempts_for_shard_stay_within_limit_of_route(self):
         script = ScriptedUpstream({"a": [(2, "lost")] * 5, "b": [(4, record(2))]})
         gather(script, attempts=2)
         assert len([s for s in script.sent_calls if s.call.service == "a"]) == 2
 
-    def test_a_searcher_failure_is_no_part(self):
+    def test_searcher_failure_counts_as_missing_shard(self):
         script = ScriptedUpstream({"a": [(2, 500), (2, 500)], "b": [(4, record(2))]})
         reply = gather(script)
         assert isinstance(reply, Merged)
         assert reply.stamps == ("s-b-0",) and reply.missing == 1
 
-    def test_a_caller_that_leaves_cancels_every_send(self):
+    def test_caller_disconnect_cancels_all_attempts(self):
         script = ScriptedUpstream({"a": [(50, record(1))], "b": [(60, record(2))]})
         script.disconnects_at = 10.0
         assert isinstance(gather(script), Abandoned)
@@ -115,7 +120,7 @@
         ),
         st.integers(0, 4),
     )
-    def test_coverage_is_true_and_no_answer_is_later_than_the_deadline(self, plans, repeats):
+    def test_coverage_is_correct_and_reply_meets_deadline(self, plans, repeats):
         script = ScriptedUpstream({f"s{n}": plan for n, plan in enumerate(plans)}, repeats)
         reply = gather(script)
         assert script.now() <= 400.0
@@ -126,21 +131,21 @@
 
 
 class TestMergeRecords:
-    def test_equal_records_all_count(self):
+    def test_keeps_equal_records(self):
         assert merge_records([record(5), record(5) + record(1)], 2) == record(5) * 2
 
-    def test_a_shorter_remainder_is_no_record(self):
+    def test_ignores_incomplete_record_at_end(self):
         assert merge_records([record(5) + b"\xff" * 15], 9) == record(5)
 
     @given(st.lists(st.binary(max_size=200), max_size=5), st.integers(0, 20))
-    def test_the_greatest_are_returned_greatest_first(self, bodies, top):
+    def test_returns_greatest_records_in_descending_order(self, bodies, top):
         records = [b[i : i + 16] for b in bodies for i in range(0, len(b) - 15, 16)]
         expected = b"".join(sorted(records, reverse=True)[:top])
         assert merge_records(bodies, top) == expected
 
 
 class TestAnswerTime:
-    def test_an_objective_shorter_than_the_margin_still_waits_a_little(self):
+    def test_waits_briefly_if_objective_is_shorter_than_margin(self):
         script = ScriptedUpstream({"a": [(3, record(1))]})
         services = Shards((ServiceId("a"),), 3, 0.5)
         route = make_route(services)
--- a/tests/gateway/test_gathering_at_peers.py
+++ b/tests/gateway/test_gathering_at_peers.py
@@ -1,4 +1,4 @@
-"""Queries over many shards handed to another gateway."""
+"""Tests for queries over many shards that are forwarded to a gatherer, which is another gateway."""
 
 from contextlib import contextmanager
 
@@ -28,8 +28,8 @@
 
 
 @contextmanager
-def pair(searchers, *, seed_version: int = 1):
-    """Yield an entry that hands its queries to a seed, and the seed."""
+def running_pair(searchers, *, seed_version: int = 1):
+    """Run an entry gateway and the seed to which it forwards its queries, and yield both."""
     routes = [make_route(SHARDS)]
     seed_settings = {"peers": SEED, "seeds": (SEED,)}
     with (
@@ -45,35 +45,35 @@
         yield entry, seed
 
 
-def gathered(gateway) -> int:
-    """Return how many queries a gateway answered whole or in part, as entry or gatherer."""
+def request_count(gateway) -> int:
+    """Return how many requests a gateway has served, as entry gateway or as gatherer."""
     with gateway.metrics.lock:
         return sum(sum(h.counts) for h in gateway.metrics.histograms.values())
 
 
 class TestGatheringAtPeers:
-    def test_the_seed_gathers_and_the_answer_is_the_entrys_own(self):
+    def test_seed_gathers_and_entry_gateway_returns_answer_as_its_own(self):
         searchers = shards()
-        with pair(searchers) as (entry, seed):
+        with running_pair(searchers) as (entry, seed):
             status, head, body = RawCaller(entry).get().read()
             assert (status, body) == (200, record(3) + record(2))
             assert head_value(head, b"x-stamps") == b"s, s"
             assert head_value(head, b"x-missing") == b"0"
             assert b"x-gateway" not in head.lower()
-            assert gathered(seed) == 1
+            assert request_count(seed) == 1
         sent = searchers["s1"][0].heads[-1]
         assert head_value(sent, b"x-expected") == b"s1-0"
         assert b"x-gateway" not in sent.lower()
 
-    def test_a_seed_that_stops_is_not_waited_for(self):
-        with pair(shards()) as (entry, seed):
+    def test_gathers_itself_if_seed_is_stopping(self):
+        with running_pair(shards()) as (entry, seed):
             seed.stopping.set()
             assert RawCaller(entry).get().read()[0] == 200
-            assert gathered(seed) == 0
+            assert request_count(seed) == 0
             assert entry.metrics.counters["gathered_without_peer"] == 1
 
-    def test_a_seed_that_is_gone_is_not_waited_for(self):
-        with pair(shards()) as (entry, seed):
+    def test_gathers_itself_if_seed_is_unreachable(self):
+        with running_pair(shards()) as (entry, seed):
             for task in [t for t in entry.fleet.tasks if t.searcher.startswith(PEER_SERVICE)]:
                 task.close()
             for listener in seed.listeners:
@@ -81,26 +81,26 @@
             assert RawCaller(entry).get().read()[0] == 200
             assert entry.metrics.counters["gathered_without_peer"] == 1
 
-    def test_a_seed_with_another_version_does_not_answer_by_it(self):
-        with pair(shards(), seed_version=7) as (entry, seed):
+    def test_seed_with_other_version_does_not_gather(self):
+        with running_pair(shards(), seed_version=7) as (entry, seed):
             assert RawCaller(entry).get().read()[0] == 200
-            assert gathered(seed) == 0
+            assert request_count(seed) == 0
 
-    def test_a_query_whose_seed_is_lost_on_the_way_is_gathered_again_within_the_budget(self):
+    def test_gathers_query_again_within_budget_if_seed_is_lost(self):
         searchers = {"s1": [HangingSearcher()], "s2": [HangingSearcher()]}
-        with pair(searchers) as (entry, _):
+        with running_pair(searchers) as (entry, _):
             entry.fleet.budgets.window(PEER_SERVICE).slack = 1.0
             caller = RawCaller(entry).get()
             assert searchers["s1"][0].request_received.wait(5)
-            asked = [t for t in entry.fleet.tasks if t.searcher.startswith(PEER_SERVICE)]
-            for task in asked:
+            peer_tasks = [t for t in entry.fleet.tasks if t.searcher.startswith(PEER_SERVICE)]
+            for task in peer_tasks:
                 task.close()
             assert caller.read()[0] == 504
             assert entry.metrics.counters["gathered_again"] == 1
 
-    def test_a_lost_query_that_finds_no_searcher_is_not_said_not_to_have_run(self):
+    def test_lost_query_without_searcher_is_not_reported_as_not_run(self):
         searchers = {"s1": [HangingSearcher()], "s2": [HangingSearcher()]}
-        with pair(searchers) as (entry, _):
+        with running_pair(searchers) as (entry, _):
             entry.fleet.budgets.window(PEER_SERVICE).slack = 1.0
             caller = RawCaller(entry).get()
             assert searchers["s1"][0].request_received.wait(5)
@@ -110,10 +110,10 @@
                 task.close()
             assert caller.read()[0] == 502
 
-    def test_a_caller_that_leaves_cancels_the_searchers_of_the_seed(self):
+    def test_caller_disconnect_cancels_calls_of_seed(self):
         searcher = HangingSearcher()
         searchers = {"s1": [searcher], "s2": [HangingSearcher()]}
-        with pair(searchers) as (entry, _):
+        with running_pair(searchers) as (entry, _):
             caller = RawCaller(entry).get()
             assert searcher.request_received.wait(5)
             caller.close()
--- a/tests/gateway/test_log.py
+++ b/tests/gateway/test_log.py
@@ -1,4 +1,4 @@
-"""Log lines and metrics of a gateway."""
+"""Tests for the log lines and metrics of a gateway."""
 
 import json
 import os
@@ -16,7 +16,7 @@
 
 
 class TestEventLog:
-    def test_a_line_is_one_json_object_with_host_and_event(self):
+    def test_line_is_json_object_with_host_and_event(self):
         reader, writer = os.pipe()
         log = EventLog(HostId("g1"), ManualClock(), writer)
         log.write(LogEvent.REQUEST, request="q1", outcome="whole")
@@ -25,7 +25,7 @@
         line = json.loads(os.read(reader, 4096))
         assert (line["host"], line["event"], line["request"]) == ("g1", "request", "q1")
 
-    def test_a_full_pipe_holds_up_no_writer(self):
+    def test_full_pipe_does_not_block_writers(self):
         _, writer = os.pipe()
         clock = ManualClock()
         log = EventLog(HostId("g1"), clock, writer)
@@ -37,7 +37,7 @@
             log.wake()
         assert len(log.queue) <= MAX_QUEUED_LINES + 200
 
-    def test_a_flood_of_one_event_is_bounded_and_what_is_dropped_is_counted(self):
+    def test_limits_lines_of_one_event_and_counts_dropped_lines(self):
         clock = ManualClock()
         log = EventLog(HostId("g1"), clock)
         for _ in range(MAX_LINES_PER_SECOND + 25):
@@ -51,7 +51,7 @@
 
 
 class TestMetrics:
-    def test_counters_gauges_and_histograms_as_text(self):
+    def test_renders_counters_gauges_and_histograms(self):
         metrics = Metrics()
         metrics.count("repeats", 3)
         metrics.set_gauge("tasks", 12)
--- a/tests/gateway/test_missing_counts.py
+++ b/tests/gateway/test_missing_counts.py
@@ -1,4 +1,7 @@
-"""How many parts a gatherer left out: an answer that does not say is not passed on as whole."""
+"""Tests for the number of missing shards that a gatherer states with its answer.
+
+An answer without a valid number must not reach the caller as a whole answer.
+"""
 
 from dataclasses import replace
 
@@ -16,7 +19,7 @@
 
 
 def ask(headers: bytes) -> tuple[int, bytes, bytes]:
-    """Return what a caller gets of a gatherer's answer with ``headers``."""
+    """Return status, head and body of the reply to a caller for a gatherer's answer."""
     stamps = b"x-gateway-stamps: s, s\r\n"
     peer = StandInSearcher(lambda head: reply_to(head, bytes(16), extra=stamps + headers))
     with running_gateway([make_route(SHARDS)], {"s1": [StandInSearcher(reply_to)]}) as gateway:
@@ -27,12 +30,13 @@
 
 
 class TestMissingCount:
-    def test_a_stated_number_is_passed_on(self):
+    def test_forwards_stated_number(self):
         status, head, _ = ask(b"x-gateway-missing: 1\r\n")
         assert status == 200
         assert head_value(head, b"x-missing") == b"1"
 
-    # Without the header the answer counted as whole; with any other text the caller got nothing.
+    # An answer without the header used to count as whole, and with any other text in the header the
+    # caller received no reply.
     @pytest.mark.parametrize("number", [None, b"", b"few", b"-1", b"9" * 5_000])
-    def test_an_answer_without_a_number_is_none(self, number):
+    def test_fails_without_valid_number(self, number):
         assert ask(b"" if number is None else b"x-gateway-missing: %s\r\n" % number)[0] == 502
--- a/tests/gateway/test_network_times.py
+++ b/tests/gateway/test_network_times.py
@@ -1,4 +1,4 @@
-"""What the network takes of a caller's time, told from its patience."""
+"""Tests for the network time that is estimated from callers' timeouts."""
 
 from dataclasses import replace
 
@@ -21,38 +21,38 @@
 
 
 class TestNetworkTimes:
-    def test_a_usual_round_trip_is_assumed_at_first(self):
+    def test_assumes_initial_round_trip(self):
         assert estimate(NetworkTimes(), 600.0) == INITIAL_ROUND_TRIP
         assert estimate(NetworkTimes(), 600.0, new_connection=True) == 2 * INITIAL_ROUND_TRIP
 
-    def test_a_kept_connection_costs_one_round_trip(self):
+    def test_open_connection_costs_one_round_trip(self):
         times = NetworkTimes()
         estimate(times, 600.0, new_connection=True)
         assert estimate(times, 607.0) == 7.0
 
-    def test_a_fresh_connection_costs_two(self):
+    def test_new_connection_costs_two_round_trips(self):
         times = NetworkTimes()
         estimate(times, 607.0)
         assert estimate(times, 600.0, new_connection=True) == 14.0
 
-    def test_a_repeated_request_counts_its_own_connection_only(self):
+    def test_shorter_timeout_of_repeated_request_keeps_estimate(self):
         times = NetworkTimes()
         estimate(times, 607.0)
         estimate(times, 600.0, new_connection=True)
         assert estimate(times, 350.0, new_connection=True) == 14.0
 
-    def test_what_one_route_told_holds_for_the_others(self):
+    def test_round_trip_of_one_route_applies_to_others(self):
         times = NetworkTimes()
         estimate(times, 600.0, new_connection=True)
         estimate(times, 602.0)
         assert times.estimate(RouteId("other"), make_request(caller_timeout=2_000.0)) == 2.0
 
-    def test_a_caller_without_patience_tells_nothing(self):
+    def test_request_without_caller_timeout_is_not_recorded(self):
         times = NetworkTimes()
         assert times.estimate(ROUTE, make_request(caller_timeout=None)) == INITIAL_ROUND_TRIP
         assert times.routes == {}
 
-    def test_routes_that_a_configuration_drops_are_forgotten(self):
+    def test_drops_routes_that_are_not_in_configuration(self):
         times = NetworkTimes()
         kept = make_route()
         times.estimate(kept.id, make_request())
@@ -61,8 +61,8 @@
         assert set(times.routes) == {kept.id}
 
     @given(st.lists(st.tuples(st.floats(1, 5_000), st.booleans()), max_size=30))
-    def test_it_is_always_one_or_two_positive_round_trips(self, requests):
+    def test_estimate_is_one_or_two_positive_round_trips(self, requests):
         times = NetworkTimes()
         for caller_timeout, new_connection in requests:
-            taken = estimate(times, caller_timeout, new_connection=new_connection)
-            assert taken == times.round_trip_time * (2 if new_connection else 1) > 0
+            network_time = estimate(times, caller_timeout, new_connection=new_connection)
+            assert network_time == times.round_trip_time * (2 if new_connection else 1) > 0
--- a/tests/gateway/test_peers.py
+++ b/tests/gateway/test_peers.py
@@ -1,4 +1,4 @@
-"""Who gathers, and what a gateway knows of the others."""
+"""Tests for the choice of gatherers and the state of the other gateways."""
 
 import json
 
@@ -27,7 +27,7 @@
     return Peers(make_settings(), fleet, clock, log, lambda: None, lambda: True, lambda: True)
 
 
-def beat(peers: Peers, host: str) -> dict:
+def send_heartbeat(peers: Peers, host: str) -> dict:
     target = f"/?host={host}".encode()
     request = Request(RequestId(""), b"GET", target, HEARTBEAT_HOST, (), b"", None, Millis(0.0))
     return json.loads(peers.handle_heartbeat(request).body)
@@ -44,32 +44,32 @@
             (58, 51, GatherAtPeers()),
         ],
     )
-    def test_follows_from_the_gateways_and_the_connections(self, members, connections, chosen):
+    def test_depends_on_gateways_and_connections(self, members, connections, chosen):
         assert choose_gathering(members, connections, is_seed=False) == chosen
 
-    def test_a_seed_always_gathers_itself(self):
+    def test_seed_always_gathers_itself(self):
         assert choose_gathering(58, 51, is_seed=True) == GatherHere()
 
-    def test_a_query_is_handed_on_once_unless_it_did_not_run(self):
+    def test_forwarded_query_is_not_idempotent(self):
         assert peer_route(make_route()).kind is Idempotency.NON_IDEMPOTENT
 
 
 class TestMembers:
-    def test_a_seed_counts_those_that_it_hears_and_itself(self):
+    def test_seed_counts_itself_and_gateways_that_send_heartbeats(self):
         clock = ManualClock()
         peers = make_peers(clock)
-        beat(peers, "g2")
-        assert beat(peers, "g3")["members"] == 3
-        assert beat(peers, "g3")["members"] == 3
+        send_heartbeat(peers, "g2")
+        assert send_heartbeat(peers, "g3")["members"] == 3
+        assert send_heartbeat(peers, "g3")["members"] == 3
 
-    def test_a_gateway_that_falls_silent_is_no_longer_counted(self):
+    def test_does_not_count_silent_gateway(self):
         clock = ManualClock()
         peers = make_peers(clock)
-        beat(peers, "g2")
+        send_heartbeat(peers, "g2")
         clock.advance(Millis(6_000.0))
-        assert beat(peers, "g3")["members"] == 2
+        assert send_heartbeat(peers, "g3")["members"] == 2
 
-    def test_relays_are_used_from_many_gateways_on_and_the_own_domain_first(self):
+    def test_uses_relays_of_own_domain_first_if_there_are_many_gateways(self):
         peers = make_peers(ManualClock())
         peers.relay_domains = {Address("127.0.0.2:1"): "z2", Address("127.0.0.3:1"): "z1"}
         peers.members = 6
--- a/tests/gateway/test_relay.py
+++ b/tests/gateway/test_relay.py
@@ -1,4 +1,4 @@
-"""Following the platform through other gateways."""
+"""Tests for reading the platform's catalogue through other gateways, which relay it."""
 
 from threading import Event
 
@@ -52,7 +52,7 @@
 
 
 class TestCatalogueLog:
-    def test_a_read_returns_the_state_as_it_was_published(self):
+    def test_read_returns_published_state(self):
         catalogue = make_catalogue()
         entry = make_entry("a", phase=SearcherPhase.DRAINING)
         catalogue.add(SearcherListed(entry))
@@ -64,7 +64,7 @@
         assert number == 4
         assert changes == (PublishedConfiguration(table), SearcherListed(entry))
 
-    def test_a_watch_returns_what_came_after(self):
+    def test_watch_returns_later_changes(self):
         catalogue = make_catalogue()
         unreadable = UnreadableItem("servers/x", "no slots", SearcherId("x"))
         catalogue.add(SearcherUnlisted(SearcherId("b")))
@@ -74,21 +74,21 @@
         assert (number, changes) == (3, (SearcherUnlisted(SearcherId("b")), unreadable))
         assert decode_changes(since(catalogue, 3).body) == CatalogueUpdate(catalogue.epoch, 3, ())
 
-    def test_another_start_and_lost_changes_are_told(self):
+    def test_rejects_watch_after_restart_or_lost_changes(self):
         catalogue = make_catalogue()
         assert get(catalogue, "after=1&epoch=other&wait=0").status == 410
         for number in range(2_100):
             catalogue.add(SearcherUnlisted(SearcherId(str(number))))
         assert since(catalogue, 1).status == 410
 
-    def test_one_that_does_not_hear_the_platform_passes_nothing_on(self):
+    def test_serves_nothing_while_platform_is_unavailable(self):
         assert get(make_catalogue(age=3_000.0)).status == 503
         assert since(make_catalogue(age=3_000.0), 1).status == 503
 
 
 class TestCodec:
     @given(st.binary(max_size=60))
-    def test_bytes_that_are_no_catalogue_are_refused(self, data):
+    def test_rejects_bytes_that_are_no_catalogue(self, data):
         from masticgate.connection.gateway import InvalidCatalogueError
 
         try:
@@ -98,6 +98,8 @@
 
 
 class FixedPlatform:
+    """A platform with one configuration and no listings; it counts the reads."""
+
     def __init__(self) -> None:
         self.reads = 0
         self.table = make_table(SHARDS)
@@ -114,7 +116,10 @@
 
 
 def relayed(answer):
-    """Return a source over one relay, its platform, and the list of relays to change."""
+    """Return a source with one relay that responds by ``answer``, its platform, and its relays.
+
+    The test may change the list of relays.
+    """
     server = StandInSearcher(answer)
     relays: list[Address] = [server.address]
     platform = FixedPlatform()
@@ -129,7 +134,7 @@
 
 
 class TestRelayedSource:
-    def test_it_reads_and_watches_the_relay(self):
+    def test_reads_and_watches_relay(self):
         catalogue = make_catalogue()
         source, platform, _ = relayed(lambda head: http(200, get(catalogue).body))
         contents = source.read()
@@ -138,12 +143,12 @@
         assert isinstance(changes, Changes)
         assert platform.reads == 0
 
-    def test_a_relay_that_refuses_is_left_for_the_platform(self):
+    def test_reads_platform_if_relay_refuses(self):
         source, platform, _ = relayed(lambda head: http(503, b"not heard"))
         assert source.read() == Contents((), Revision(50))
         assert platform.reads == 1
 
-    def test_a_relay_that_fails_in_a_watch_makes_it_read_again(self):
+    def test_failed_watch_of_relay_requires_new_read(self):
         answers = [http(200, get(make_catalogue()).body), None]
         source, platform, relays = relayed(lambda head: answers.pop(0))
         source.read()
@@ -152,13 +157,13 @@
         assert not isinstance(source.read(), Unavailable)
         assert platform.reads == 1
 
-    def test_a_relay_that_is_no_longer_one_is_left(self):
+    def test_stops_watching_gateway_that_no_longer_relays(self):
         source, _, relays = relayed(lambda head: http(200, get(make_catalogue()).body))
         source.read()
         relays.clear()
         assert source.watch(Revision(1), Millis(10.0)) == HistoryGone()
 
-    def test_a_small_deployment_is_read_at_once_after_a_start(self):
+    def test_starting_gateway_reads_small_deployment_from_platform_at_once(self):
         source, platform, relays = relayed(lambda head: http(503, b""))
         relays.clear()
         waits = []
@@ -166,7 +171,7 @@
         source.read()
         assert (platform.reads, waits) == (1, [])
 
-    def test_a_large_deployment_waits_a_moment_for_a_relay(self):
+    def test_starting_gateway_waits_for_relay_in_large_deployment(self):
         source, platform, relays = relayed(lambda head: http(200, get(make_catalogue()).body))
         names = tuple(ServiceId(f"s{number}") for number in range(120))
         platform.table = make_table(make_route(Shards(names, 3, 0.5)))
@@ -175,7 +180,7 @@
         source.read()
         assert platform.reads == 0
 
-    def test_a_start_before_the_configuration_waits_for_a_relay_too(self):
+    def test_starting_gateway_waits_for_relay_without_configuration(self):
         source, platform, relays = relayed(lambda head: http(200, get(make_catalogue()).body))
         platform.read_table = lambda: Unavailable("no configuration")
         address = relays.pop()
@@ -183,14 +188,14 @@
         source.read()
         assert platform.reads == 0
 
-    def test_without_relays_the_platform_is_read_after_the_wait(self):
+    def test_reads_platform_if_no_relay_appears(self):
         source, platform, relays = relayed(lambda head: http(503, b""))
         platform.read_table = lambda: Unavailable("no configuration")
         relays.clear()
         source.read()
         assert platform.reads == 1
 
-    def test_a_relay_found_later_is_used(self):
+    def test_switches_to_relay_found_later(self):
         source, platform, relays = relayed(lambda head: http(200, get(make_catalogue()).body))
         address = relays.pop()
         source.startup_wait_over = True
--- a/tests/gateway/test_whole_gateway.py
+++ b/tests/gateway/test_whole_gateway.py
@@ -1,4 +1,4 @@
-"""A gateway from its callers' sockets to its searchers'."""
+"""Tests for a whole gateway, between the sockets of its callers and those of its searchers."""
 
 import time
 
@@ -30,7 +30,7 @@
 
 
 class TestForwarding:
-    def test_a_request_reaches_the_searcher_as_it_was_sent(self):
+    def test_forwards_request_to_searcher_unchanged(self):
         searchers, running = gateway_over(reply_to)
         with running as gateway:
             caller = RawCaller(gateway)
@@ -47,7 +47,7 @@
         assert 0 < int(head_value(sent, b"x-patience")) <= 400
         assert b"connection" not in sent.lower()
 
-    def test_a_chunked_body_is_passed_on_whole(self):
+    def test_forwards_chunked_body_whole(self):
         searchers, running = gateway_over(reply_to)
         with running as gateway:
             caller = RawCaller(gateway)
@@ -58,8 +58,8 @@
             assert caller.read()[0] == 200
         assert searchers[0].heads[-1].endswith(b"\r\n\r\nabcde")
 
-    # Guards against a searcher that is told headers which a caller sent behind its body.
-    def test_trailers_are_not_passed_on_as_headers(self):
+    # A caller could otherwise replace a header of its request by one that follows the body.
+    def test_does_not_forward_trailers_as_headers(self):
         searchers, running = gateway_over(reply_to)
         with running as gateway:
             caller = RawCaller(gateway)
@@ -70,21 +70,21 @@
             assert caller.read()[0] == 200
         assert b"other" not in searchers[0].heads[-1]
 
-    def test_pipelined_requests_are_answered_in_order(self):
+    def test_answers_pipelined_requests_in_order(self):
         _, running = gateway_over(lambda head: reply_to(head, head_value(head, b"x-id")))
         with running as gateway:
             caller = RawCaller(gateway)
             caller.get(identity="one").get(identity="two")
             assert [caller.read()[2] for _ in range(2)] == [b"one", b"two"]
 
-    def test_an_unknown_path_is_not_found(self):
+    def test_unknown_path_is_not_found(self):
         _, running = gateway_over(reply_to)
         with running as gateway:
             assert RawCaller(gateway).get("/other/").read()[0] == 404
 
 
 class TestSearcherAnswers:
-    def test_a_late_answer_to_another_request_is_skipped(self):
+    def test_skips_late_answer_to_another_request(self):
         def answer(head):
             other = reply_to(head.replace(b"q1", b"q0"), b"of another request")
             return other + reply_to(head, b"mine")
@@ -93,14 +93,14 @@
         with running as gateway:
             assert RawCaller(gateway).get().read()[2] == b"mine"
 
-    def test_bytes_after_an_answer_reach_nobody(self):
+    def test_does_not_forward_bytes_after_answer(self):
         _, running = gateway_over(lambda head: reply_to(head) + reply_to(head, b"again"))
         with running as gateway:
             caller = RawCaller(gateway)
             for number in range(3):
                 assert caller.get(identity=f"q{number}").read()[2] == b"ok"
 
-    def test_an_answer_without_a_length_ends_with_its_connection(self):
+    def test_answer_without_length_ends_with_connection(self):
         def unframed(head):
             return b"HTTP/1.1 200 X\r\nx-id: q1\r\nx-stamp: s\r\n\r\nuntil the end"
 
@@ -112,7 +112,7 @@
     @pytest.mark.parametrize(
         "data", [b"garbage\r\n\r\n", b"HTTP/1.1 200 X\r\nx-id: q1\r\nContent-Length: 9\r\n\r\nhalf"]
     )
-    def test_a_spoilt_answer_is_no_success(self, data):
+    def test_malformed_or_truncated_answer_is_failure(self, data):
         sent = []
 
         def answer(head):
@@ -125,7 +125,7 @@
             status = RawCaller(gateway).get().read()[0]
         assert status in (502, 504)
 
-    def test_a_success_without_a_stamp_is_not_passed_on(self):
+    def test_does_not_forward_success_without_stamp(self):
         _, running = gateway_over(
             lambda head: b"HTTP/1.1 200 X\r\nx-id: q1\r\nContent-Length: 2\r\n\r\nno",
             kind=Idempotency.NON_IDEMPOTENT,
@@ -135,7 +135,7 @@
 
 
 class TestQueries:
-    def test_the_parts_of_all_shards_are_merged(self):
+    def test_merges_answers_of_all_shards(self):
         shards = Shards((ServiceId("s1"), ServiceId("s2")), 2, 0.5)
         searchers = {
             "s1": [StandInSearcher(lambda head: reply_to(head, record(3) + record(1)))],
@@ -147,7 +147,7 @@
         assert head_value(head, b"x-stamps") == b"s, s"
         assert head_value(head, b"x-missing") == b"0"
 
-    def test_a_paused_searcher_is_hedged(self):
+    def test_hedges_request_at_paused_searcher(self):
         def paused(head):
             time.sleep(0.3)
             return reply_to(head, record(1))
@@ -157,13 +157,13 @@
             "s1": [StandInSearcher(paused), StandInSearcher(lambda h: reply_to(h, record(1)))]
         }
         with running_gateway([make_route(shards)], searchers) as gateway:
-            began = time.monotonic()
+            started_at = time.monotonic()
             assert RawCaller(gateway).get().read()[0] == 200
-            assert time.monotonic() - began < 0.25
+            assert time.monotonic() - started_at < 0.25
 
 
-class TestCallersThatLeave:
-    def test_the_searchers_connection_is_cut_at_once(self):
+class TestDisconnectingCallers:
+    def test_closes_searcher_connection_at_once(self):
         searcher = HangingSearcher()
         with running_gateway([make_route(ORDERS)], {"orders": [searcher]}) as gateway:
             caller = RawCaller(gateway).get()
@@ -172,7 +172,7 @@
             assert searcher.connection_closed.wait(0.3)
 
 
-class TestWhatIsRefused:
+class TestRejectedRequests:
     @pytest.mark.parametrize(
         "request_bytes",
         [
@@ -189,7 +189,7 @@
             b"nonsense\r\n\r\n",
         ],
     )
-    def test_a_malformed_request_is_refused_and_the_connection_ends(self, request_bytes):
+    def test_rejects_malformed_request_and_closes_connection(self, request_bytes):
         searchers, running = gateway_over(reply_to)
         with running as gateway:
             caller = RawCaller(gateway)
@@ -205,7 +205,7 @@
             (b"Content-Length: 9999999\r\n", 413),
         ],
     )
-    def test_a_request_over_the_limits_is_refused(self, head, status):
+    def test_rejects_request_over_limits(self, head, status):
         _, running = gateway_over(reply_to)
         with running as gateway:
             caller = RawCaller(gateway)
@@ -214,7 +214,7 @@
 
 
 class TestStopping:
-    def test_a_stopping_gateway_is_not_ready_and_still_answers(self):
+    def test_stopping_gateway_is_not_ready_but_still_answers(self):
         _, running = gateway_over(reply_to)
         with running as gateway:
             caller = RawCaller(gateway)
@@ -225,7 +225,7 @@
             assert head_value(head, b"connection") == b"close"
             assert gateway._ready_page(None, None).status == 503
 
-    def test_idle_connections_end_when_asked_and_busy_ones_do_not(self):
+    def test_closes_idle_connections_but_not_busy_ones(self):
         _, running = gateway_over(lambda head: time.sleep(0.1) or reply_to(head))
         with running as gateway:
             idle, busy = RawCaller(gateway), RawCaller(gateway)
@@ -236,19 +236,19 @@
             assert busy.read()[0] == 200
 
 
-class TestStrangers:
-    def test_half_requests_do_not_keep_out_a_caller_and_their_tasks_end(self):
+class TestIncompleteRequests:
+    def test_incomplete_requests_do_not_block_callers_and_their_tasks_end(self):
         _, running = gateway_over(reply_to)
         with running as gateway:
             gateway.callers.max_connections = 50
-            strangers = [RawCaller(gateway) for _ in range(80)]
-            for stranger in strangers:
-                stranger.send(b"GET /a/ HTTP/1.1\r\nHost: h")
-            began = time.monotonic()
+            callers = [RawCaller(gateway) for _ in range(80)]
+            for caller in callers:
+                caller.send(b"GET /a/ HTTP/1.1\r\nHost: h")
+            started_at = time.monotonic()
             assert RawCaller(gateway).get().read()[0] == 200
-            assert time.monotonic() - began < 0.23
-            for stranger in strangers:
-                stranger.close()
+            assert time.monotonic() - started_at < 0.23
+            for caller in callers:
+                caller.close()
             deadline = time.monotonic() + 5
             while len(gateway.callers.connections) > 2 and time.monotonic() < deadline:
                 time.sleep(0.02)
--- a/tests/platform/test_items.py
+++ b/tests/platform/test_items.py
@@ -1,4 +1,4 @@
-"""Decoding of what the platform's store holds."""
+"""Tests for the decoding of the items in the platform's store."""
 
 import base64
 import json
@@ -70,19 +70,19 @@
 
 
 class TestEntries:
-    def test_a_searcher(self):
+    def test_decodes_listing(self):
         change = decode_item(item("servers/i-1", ENTRY))
         assert isinstance(change, SearcherListed)
         entry = change.entry
         assert (entry.id, entry.service, entry.address) == ("i-1", "huvo", "10.128.0.9:8080")
         assert (entry.slots, entry.phase, entry.born) == (2, SearcherPhase.READY, 1772450980024)
 
-    def test_a_removed_searcher(self):
+    def test_decodes_removal_of_listing(self):
         change = decode_item({"key": "servers/i-1", "revision": 6, "removed": True})
         assert change == SearcherUnlisted("i-1")
 
     @pytest.mark.parametrize("name", [name for name in ENTRY if name != "born"])
-    def test_a_missing_field_names_no_searcher(self, name):
+    def test_listing_without_field_is_unreadable(self, name):
         entry = {key: value for key, value in ENTRY.items() if key != name}
         change = decode_item(item("servers/i-1", entry))
         assert isinstance(change, UnreadableItem) and change.searcher == "i-1"
@@ -103,15 +103,15 @@
             ("service", ""),
         ],
     )
-    def test_a_field_of_another_type_names_no_searcher(self, name, value):
+    def test_listing_with_invalid_field_is_unreadable(self, name, value):
         change = decode_item(item("servers/i-1", ENTRY | {name: value}))
         assert isinstance(change, UnreadableItem)
 
-    def test_unknown_fields_are_ignored(self):
+    def test_ignores_unknown_fields(self):
         assert isinstance(decode_item(item("servers/i-1", ENTRY | {"new": []})), SearcherListed)
 
     @given(st.binary(max_size=80))
-    def test_any_bytes_are_decoded_or_unreadable(self, data):
+    def test_arbitrary_bytes_are_unreadable(self, data):
         assert isinstance(decode_item(item("servers/i-1", data)), UnreadableItem)
 
     @given(
@@ -122,12 +122,12 @@
             max_leaves=8,
         )
     )
-    def test_any_item_is_decoded_without_an_error(self, value):
+    def test_arbitrary_item_raises_no_error(self, value):
         decode_item(value)
 
 
 class TestConfiguration:
-    def test_routes_of_each_target(self):
+    def test_decodes_routes_of_each_target_type(self):
         change = decode_item(item("op/config", CONFIG))
         assert isinstance(change, PublishedConfiguration)
         table = change.table
@@ -145,7 +145,7 @@
         assert table.services["s1"].connections == 25
         assert table.limits.header_bytes == 100
 
-    def test_the_longest_prefix_wins(self):
+    def test_finds_route_with_longest_prefix(self):
         table = decode_item(item("op/config", CONFIG)).table
         assert table.find_route("A.example", "/x/y/z").id == "r2"
         assert table.find_route("a.example", "/x/z").id == "r1"
@@ -153,16 +153,16 @@
         assert table.find_route("b.example", "/x/") is None
 
     @pytest.mark.parametrize("name", ["version", "routes", "services", "limits"])
-    def test_a_missing_part_changes_nothing(self, name):
+    def test_configuration_without_part_is_unreadable(self, name):
         config = {key: value for key, value in CONFIG.items() if key != name}
         assert isinstance(decode_item(item("op/config", config)), UnreadableItem)
 
-    def test_other_keys_are_of_no_concern(self):
+    def test_ignores_other_keys(self):
         assert decode_item(item("op/other", CONFIG)) is None
 
     @given(
         st.sampled_from(["version", "routes", "services", "limits"]),
         st.none() | st.integers() | st.text(max_size=3) | st.lists(st.integers(), max_size=2),
     )
-    def test_a_part_of_another_type_raises_nothing(self, name, value):
+    def test_part_of_other_type_raises_no_error(self, name, value):
         decode_item(item("op/config", CONFIG | {name: value}))
--- a/tests/platform/test_node_file.py
+++ b/tests/platform/test_node_file.py
@@ -1,4 +1,4 @@
-"""The settings file that the platform writes."""
+"""Tests for reading the settings file that the platform writes."""
 
 import pytest
 
@@ -26,7 +26,7 @@
 
 
 class TestNodeFile:
-    def test_it_becomes_the_settings_of_a_gateway(self, tmp_path):
+    def test_reads_settings_of_gateway(self, tmp_path):
         path = tmp_path / "local.toml"
         path.write_text(TEXT)
         settings = read_node_file(path, 9464)
@@ -39,14 +39,14 @@
         assert (settings.repeats.ratio, settings.repeats.slack) == (0.2, 52.0)
 
     @pytest.mark.parametrize("missing", ["nodeName", "zone", "graceS", "address", "front"])
-    def test_a_missing_field_is_named(self, tmp_path, missing):
+    def test_error_names_missing_field(self, tmp_path, missing):
         path = tmp_path / "local.toml"
         lines = [line for line in TEXT.splitlines() if not line.startswith(missing)]
         path.write_text("\n".join(lines))
         bad = read_node_file(path, None)
         assert isinstance(bad, InvalidNodeFile) and missing in bad.detail
 
-    def test_a_file_that_is_missing_or_no_toml_is_refused(self, tmp_path):
+    def test_rejects_missing_file_and_invalid_toml(self, tmp_path):
         assert isinstance(read_node_file(tmp_path / "none", None), InvalidNodeFile)
         (tmp_path / "bad").write_text("= [")
         assert isinstance(read_node_file(tmp_path / "bad", None), InvalidNodeFile)
--- a/tests/platform/test_store.py
+++ b/tests/platform/test_store.py
@@ -1,4 +1,4 @@
-"""The client of the platform's store, against a store of the test's own."""
+"""Tests for the client of the platform's store, against a store that the test scripts."""
 
 import base64
 import json
@@ -38,7 +38,7 @@
 
 
 class TestRead:
-    def test_all_pages_are_read_and_changes_follow_from_the_first(self):
+    def test_reads_all_pages_and_returns_revision_of_first(self):
         def answer(head):
             if "after" in query_of(head):
                 return http(200, {"items": [stored("servers/b", ENTRY)], "currentRev": 9})
@@ -51,14 +51,14 @@
         assert (len(contents.changes), contents.revision) == (3, 7)
         assert query_of(server.heads[1])["after"] == "servers/a"
 
-    def test_a_refusal_and_a_cut_are_unavailable(self):
+    def test_error_status_closed_connection_and_invalid_body_are_unavailable(self):
         assert isinstance(make_store(lambda head: http(503, {}))[1].read(), Unavailable)
         assert isinstance(make_store(lambda head: None)[1].read(), Unavailable)
         assert isinstance(make_store(lambda head: http(200, []))[1].read(), Unavailable)
 
 
 class TestReadTable:
-    def test_the_configuration_alone(self):
+    def test_returns_configuration_without_listings(self):
         server, store = make_store(
             lambda head: http(200, stored("op/config", CONFIG) | {"currentRev": 3})
         )
@@ -66,25 +66,25 @@
         assert isinstance(published, PublishedConfiguration) and published.table.version == 7
         assert query_of(server.heads[0]) == {"key": "op/config"}
 
-    def test_none_is_unavailable(self):
+    def test_missing_configuration_is_unavailable(self):
         assert isinstance(make_store(lambda head: http(404, {}))[1].read_table(), Unavailable)
 
 
 class TestWatch:
-    def test_events_and_the_next_revision(self):
+    def test_returns_events_and_next_revision(self):
         event = {"key": "servers/a", "revision": 8, "removed": True}
         server, store = make_store(lambda head: http(200, {"events": [event], "currentRev": 8}))
         changes = store.watch(Revision(7), Millis(50.0))
         assert isinstance(changes, Changes)
         assert (len(changes.changes), changes.revision) == (1, 8)
-        asked = query_of(server.heads[0])
-        assert (asked["after"], asked["waitMs"]) == ("7", "50")
+        query = query_of(server.heads[0])
+        assert (query["after"], query["waitMs"]) == ("7", "50")
 
-    def test_lost_history(self):
+    def test_returns_history_gone_for_status_410(self):
         store = make_store(lambda head: http(410, {}))[1]
         assert store.watch(Revision(7), Millis(50.0)) == HistoryGone()
 
-    def test_a_lost_answer_ends_the_connection_and_the_next_call_opens_another(self):
+    def test_opens_new_connection_after_lost_answer(self):
         answers = [None, http(200, {"events": [], "currentRev": 8})]
         store = make_store(lambda head: answers.pop(0))[1]
         assert isinstance(store.watch(Revision(7), Millis(50.0)), Unavailable)
