--- a/src/masticgate/connection/gateway/_caller.py
+++ b/src/masticgate/connection/gateway/_caller.py
@@ -1,4 +1,8 @@
-"""One task for each caller's connection: HTTP/1.1 with keep-alive and pipelining."""
+"""The server side of a caller's connection: HTTP/1.1 with keep-alive and pipelining.
+
+Each connection has a task of its own, which reads a request, passes it to the handler and sends the
+reply before it reads the next one.
+"""
 
 import socket
 from collections.abc import Callable
@@ -24,22 +28,24 @@
 )
 
 RECEIVE_BUFFER_BYTES = 4_096
-"""The buffer of one connection; most requests fit in it whole."""
+"""The size of the receive buffer of one connection; most requests fit in it whole."""
 
 WRITE_TIMEOUT = Millis(5_000.0)
-"""A caller that takes no byte of its answer for so long is cut."""
+"""A connection is closed if the caller does not accept the whole reply within this time."""
 
 CONTINUE_RESPONSE = b"HTTP/1.1 100 Continue\r\n\r\n"
 
 Handler = Callable[[Request, Inbox], Reply]
+"""Serves one request; the inbox tells it which calls finished and whether the caller left."""
 
 
 @dataclass(frozen=True, slots=True)
 class CallerSettings:
-    """What the connections of one listener share.
+    """The settings that all connections of one listener share.
 
-    ``closing`` tells whether answers announce the end of their connection. ``between_gateways``
-    is set where the callers are gateways; their requests began ``head_start`` earlier.
+    If ``is_closing`` returns ``True``, each reply announces the end of its connection.
+    ``callers_are_gateways`` is set if the callers are other gateways; a request from one counts as
+    arrived ``transit_time`` before it was received.
     """
 
     handler: Handler
@@ -52,7 +58,10 @@
 
 
 class CallerState(Enum):
-    """What the task of a caller's connection is doing."""
+    """The activity of a caller's connection.
+
+    The connection waits for a request, has received a part of one, or waits for its reply.
+    """
 
     IDLE = "idle"
     READING = "reading"
@@ -60,7 +69,7 @@
 
 
 class CallerConnection:
-    """One caller's connection."""
+    """The connection of one caller, with the parser and the buffer that serve it."""
 
     def __init__(self, connection: socket.socket, settings: CallerSettings) -> None:
         connection.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
@@ -77,7 +86,7 @@
         self.wakeable_socket = WakeableSocket(connection, settings.clock)
 
     def run(self) -> None:
-        """Serve requests until either side closes."""
+        """Serve requests until either side closes the connection."""
         try:
             while (parsed := self._read_request()) is not None:
                 self._set_state(CallerState.SERVING)
@@ -88,7 +97,7 @@
             self.wakeable_socket.close()
 
     def stop_reading(self) -> None:
-        """Let the task end once it has nothing to serve; any task may call this."""
+        """End the task after the request in progress; any task may call this."""
         self.wakeable_socket.stop_reading()
 
     def _set_state(self, state: CallerState) -> None:
@@ -96,7 +105,7 @@
         self.state_changed_at = self.clock.now()
 
     def _serve(self, parsed: ParsedRequest) -> bool:
-        """Answer one request; return ``False`` where the connection has to end."""
+        """Reply to one request; return ``False`` if the connection has to be closed."""
         arrived = Millis(self.clock.now() - self.settings.transit_time)
         request = decode_request(parsed, self.settings.header_names, arrived)
         if isinstance(request, Refused):
@@ -133,7 +142,7 @@
         return True
 
     def _read_request(self) -> ParsedRequest | None:
-        """Return the next request, ``None`` where none comes any more."""
+        """Return the next request, or ``None`` if the connection has to be closed."""
         idle_limit = self.settings.limits().idle_timeout
         while not self.parser.ready:
             if self.parse_error is not None:
@@ -156,7 +165,10 @@
         return self.parser.ready.pop(0)
 
     def _receive(self, wait: Millis) -> memoryview | None:
-        """Return received bytes, none at the end, or ``None`` where none came within ``wait``."""
+        """Return the next bytes that arrive, or ``None`` if none arrive within ``wait``.
+
+        The result is empty if the connection has ended.
+        """
         try:
             self.connection.settimeout(wait / MILLIS_PER_SECOND)
             return self.buffer[: self.connection.recv_into(self.buffer)]
@@ -166,9 +178,10 @@
             return self.buffer[:0]
 
     def _parse(self, data: memoryview) -> bool:
-        """Take received bytes; return ``False`` where the caller is gone.
+        """Parse received bytes; return ``False`` if nothing can be sent to the caller any more.
 
-        Requests that came whole are answered before what is wrong with the bytes behind them.
+        An error is kept in ``parse_error``, because the complete requests before the invalid bytes
+        are served first.
         """
         self.parse_error = self.parser.feed(data)
         return self.parse_error is not None or self._send_continue()
@@ -192,18 +205,20 @@
 
     def _handle_timeout(self) -> None:
         if not self.parser.idle:
-            self._send_reply(_refusal(408, Reason.DEADLINE, "the request did not end"), close=True)
+            self._send_reply(
+                _refusal(408, Reason.DEADLINE, "the request was not complete in time"), close=True
+            )
 
 
 def decode_request(
     parsed: ParsedRequest, header_names: HeaderNames, now: Millis
 ) -> Request | Refused:
-    """Return the typed request, or why it cannot be served."""
+    """Return the request for the handler, or a refusal if a part of it is missing or invalid."""
     hosts = [value for name, value in parsed.headers if name.lower() == b"host"]
     if len(hosts) > 1 or (not hosts and parsed.version != "1.0"):
-        return _refusal(400, Reason.BAD_REQUEST, "one Host header is needed")
+        return _refusal(400, Reason.BAD_REQUEST, "exactly one Host header is required")
     if not parsed.target.startswith(b"/"):
-        return _refusal(400, Reason.BAD_REQUEST, "a path is needed")
+        return _refusal(400, Reason.BAD_REQUEST, "the request target must be a path")
     version = parse_number(find_header(parsed.headers, CONFIGURATION_VERSION_HEADER) or b"")
     network = _parse_millis(find_header(parsed.headers, NETWORK_TIME_HEADER))
     internal = (header_names.expected_searcher, CONFIGURATION_VERSION_HEADER, NETWORK_TIME_HEADER)
--- a/src/masticgate/connection/gateway/_catalogue_codec.py
+++ b/src/masticgate/connection/gateway/_catalogue_codec.py
@@ -1,4 +1,8 @@
-"""Encodes what the platform publishes for other gateways, as JSON."""
+"""The JSON form of the catalogue in which one gateway relays it to others.
+
+The catalogue is what the platform publishes: the configuration with its routes, and the listing of
+each searcher.
+"""
 
 import json
 from dataclasses import asdict, dataclass
@@ -38,11 +42,11 @@
 
 
 class InvalidCatalogueError(Exception):
-    """The bytes are no catalogue of this release."""
+    """The bytes are not a catalogue update in the format of this release."""
 
 
 def encode_change(change: Change) -> Any:
-    """Return a change as plain JSON values."""
+    """Return a change as values that :mod:`json` can encode."""
     match change:
         case PublishedConfiguration(table=table):
             return {"table": _encode_table(table)}
@@ -56,7 +60,11 @@
 
 @dataclass(frozen=True, slots=True)
 class CatalogueUpdate:
-    """What a relay tells: the changes up to ``number``, counted since its start ``epoch``."""
+    """The changes that another gateway relays in one response.
+
+    ``number`` is the number of the last change, counted from the start of that gateway, and
+    ``epoch`` identifies this start.
+    """
 
     epoch: str
     number: Revision
@@ -64,9 +72,9 @@
 
 
 def decode_changes(body: bytes) -> CatalogueUpdate:
-    """Return what a relay tells.
+    """Return the catalogue update in the body of a relay's response.
 
-    :raises BadCatalogueError: the bytes are no catalogue of this release.
+    :raises InvalidCatalogueError: the body is not in the format of this release.
     """
     try:
         value = json.loads(body)
@@ -112,7 +120,7 @@
         case {"unreadable": [key, detail, searcher]}:
             return UnreadableItem(key, detail, None if searcher is None else SearcherId(searcher))
         case _:
-            raise ValueError("an unknown kind of change")
+            raise ValueError("unknown kind of change")
 
 
 def _decode_entry(entry: dict[str, Any]) -> SearcherEntry:
@@ -172,4 +180,4 @@
                 tuple(ServiceId(name) for name in services), int(top), float(min_shard_ratio)
             )
         case _:
-            raise ValueError("an unknown kind of target")
+            raise ValueError("unknown kind of target")
--- a/src/masticgate/connection/gateway/_client.py
+++ b/src/masticgate/connection/gateway/_client.py
@@ -1,4 +1,4 @@
-"""One HTTP/1.1 connection to a server: one request at a time."""
+"""The client side of an HTTP/1.1 connection that carries one request at a time."""
 
 import select
 import socket
@@ -18,15 +18,19 @@
 KEEP_ALIVE_IDLE_S = 1
 KEEP_ALIVE_INTERVAL_S = 1
 KEEP_ALIVE_PROBES = 2
-"""A peer that vanished is noticed within about three seconds, also on an idle connection."""
+"""The TCP keep-alive probes without a reply after which the kernel ends the connection.
+
+With the idle time and the interval above, an unreachable server is detected within about three
+seconds, even on an idle connection.
+"""
 
 UNACKNOWLEDGED_TIMEOUT = Millis(2_000.0)
-"""Sent bytes without an acknowledgement for so long end the connection."""
+"""The kernel ends the connection if sent bytes stay unacknowledged for this long."""
 
 
 @dataclass(frozen=True, slots=True)
 class HttpResponse:
-    """A whole response."""
+    """A complete response."""
 
     status: int
     body: bytes
@@ -34,7 +38,10 @@
 
 @dataclass(frozen=True, slots=True)
 class NoResponse:
-    """The connection failed or time ran out; ``sent`` tells whether a byte may have left."""
+    """The connection failed or the time ran out before the response was complete.
+
+    ``sent`` is whether a part of the request may have been sent.
+    """
 
     sent: bool
     detail: str
@@ -42,24 +49,28 @@
 
 @dataclass(frozen=True, slots=True)
 class InvalidResponse:
-    """What came is no response."""
+    """The received bytes are not a valid HTTP response."""
 
     detail: str
 
 
 @dataclass(frozen=True, slots=True)
 class GetTimeouts:
-    """How long one GET may take to connect, and from then on to be answered."""
+    """The time limits of one GET request.
+
+    ``connect`` bounds the opening of the connection, ``response`` the time from then until the
+    response is complete.
+    """
 
     connect: Millis
     response: Millis
 
 
 class HttpClient:
-    """One connection; its own task uses it, any task may :meth:`abort` it.
+    """One connection to a server; one task uses it, and any task may :meth:`abort` it.
 
-    The lock keeps a task from using the descriptor after another has closed it, when its number
-    may belong to another connection already.
+    Once a file descriptor is closed, its number may belong to another connection. The lock keeps
+    a task from using the descriptor after another task has closed it.
     """
 
     def __init__(self, address: Address, clock: Clock) -> None:
@@ -73,7 +84,10 @@
     def get(
         self, host: str, path: str, query: Mapping[str, object], timeouts: GetTimeouts
     ) -> HttpResponse | NoResponse | InvalidResponse:
-        """Exchange one GET; the connection is opened where it is not, or no longer, usable."""
+        """Send one GET request and return the response.
+
+        A new connection is opened first if there is none or the present one is not usable.
+        """
         if self.is_stale():
             self.close()
         failure = self.connect(timeouts.connect)
@@ -84,7 +98,7 @@
         return self.send(head.encode(), deadline) or self.receive(deadline)
 
     def connect(self, timeout: Millis) -> NoResponse | None:
-        """Open the connection, unless it is open."""
+        """Open the connection if it is not open; return a failure if that is not possible."""
         if self.socket is not None:
             return None
         self.aborted = False
@@ -101,7 +115,11 @@
         return None
 
     def is_stale(self) -> bool:
-        """Tell whether the idle connection was closed or holds bytes that nobody asked for."""
+        """Return whether the connection cannot carry another request.
+
+        That is the case if it is not open, if the server closed it while it was idle, or if bytes
+        arrived that belong to no request.
+        """
         if self.socket is None or not self.reusable:
             return True
         poller = select.poll()
@@ -109,7 +127,7 @@
         return bool(poller.poll(0))
 
     def send(self, data: bytes, deadline: Millis) -> NoResponse | None:
-        """Send one request."""
+        """Send one request; return a failure if it was not sent completely."""
         assert self.socket is not None
         try:
             self.socket.settimeout(self._seconds_until(deadline))
@@ -120,7 +138,10 @@
         return None
 
     def receive(self, deadline: Millis) -> HttpResponse | NoResponse | InvalidResponse:
-        """Receive the response."""
+        """Return the response, or why no valid one arrived before ``deadline``.
+
+        The connection is closed unless it can carry another request.
+        """
         parser = ResponseParser()
         buffer = memoryview(bytearray(RECEIVE_BUFFER_BYTES))
         while True:
@@ -135,12 +156,14 @@
                 return problem
 
     def send_nowait(self, data: memoryview) -> int:
-        """Send what the connection takes without waiting; any task may call this.
+        """Send as many bytes as possible without waiting, and return their number.
 
-        The kernel reports a reset once: a receive after a send that failed looks like an orderly
-        end, so the failure is noted under the lock.
+        Any task may call this. The kernel reports a reset of the connection only once: if a send
+        has failed, the next receive looks like an orderly end of the response. The failure of a
+        send is therefore recorded in ``aborted``, under the lock.
 
-        :raises OSError: the connection is closed, or takes nothing now.
+        :raises BlockingIOError: the send buffer of the socket is full.
+        :raises OSError: the connection is closed.
         """
         with self.lock:
             if self.socket is None:
@@ -154,12 +177,19 @@
                 raise
 
     def closed_cleanly(self) -> bool:
-        """Tell whether an end that was received is the other side's and no reset."""
+        """Return whether the server ended the connection in order.
+
+        To be called after a receive returned no bytes. After a reset, or after :meth:`abort`, the
+        result is ``False``.
+        """
         with self.lock:
             return not self.aborted
 
     def abort(self) -> None:
-        """Cut the connection from another task; a receive in progress fails at once."""
+        """Shut the connection down; any task may call this.
+
+        A receive in progress on it ends at once.
+        """
         with self.lock:
             self.aborted = True
             if self.socket is not None:
@@ -180,7 +210,7 @@
     ) -> NoResponse | InvalidResponse | None:
         assert self.socket is not None
         if self.clock.now() >= deadline:
-            return NoResponse(True, "receive: no whole response in time")
+            return NoResponse(True, "receive: no complete response in time")
         try:
             self.socket.settimeout(self._seconds_until(deadline))
             count = self.socket.recv_into(buffer)
@@ -189,7 +219,7 @@
         if not count:
             if self.closed_cleanly():
                 parser.feed_eof()
-            return NoResponse(True, "closed before the end of a response")
+            return NoResponse(True, "closed before the end of the response")
         problem = parser.feed(buffer[:count])
         return InvalidResponse(problem.detail) if isinstance(problem, Malformed) else None
 
@@ -198,7 +228,7 @@
 
 
 def parse_keep_alive_timeout(headers_by_name: Mapping[bytes, bytes]) -> Millis | None:
-    """Return the idle time that a server states, ``None`` where it states none."""
+    """Return the idle timeout in the ``Keep-Alive`` header, or ``None`` if it states none."""
     for token in headers_by_name.get(b"keep-alive", b"").split(b","):
         name, _, number = token.strip().partition(b"=")
         seconds = parse_number(number)
@@ -208,7 +238,7 @@
 
 
 def _configure_socket(connection: socket.socket) -> None:
-    """Let the kernel end a connection whose peer vanished."""
+    """Set the options by which the kernel ends a connection to an unreachable server."""
     connection.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
     with suppress(OSError):
         connection.setsockopt(socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1)
--- a/src/masticgate/connection/gateway/_encoding.py
+++ b/src/masticgate/connection/gateway/_encoding.py
@@ -1,4 +1,4 @@
-"""Encodes the replies of a gateway, and its requests to searchers."""
+"""The encoding of HTTP messages: a gateway's replies, and its requests to searchers."""
 
 from http import HTTPStatus
 
@@ -33,7 +33,11 @@
 def encode_peer_reply(
     reply: Reply, header_names: HeaderNames, request: Request, *, close: bool
 ) -> bytes:
-    """Return the bytes of ``reply`` to another gateway, which needs the request's id in it."""
+    """Return the bytes of ``reply`` to another gateway.
+
+    The reply has two additions. The id of the request shows the other gateway to which request
+    the reply belongs; a header marks a refused request as not run.
+    """
     status_line, _, rest = encode_reply(reply, header_names, close=close).partition(b"\r\n")
     extra_headers = b"%s: %s\r\n" % (header_names.request_id, request.id.encode("latin-1"))
     if isinstance(reply, Refused):
@@ -42,7 +46,10 @@
 
 
 def encode_reply(reply: Reply, header_names: HeaderNames, *, close: bool) -> bytes:
-    """Return the bytes of ``reply``; ``close`` announces the end of the connection."""
+    """Return the bytes of ``reply`` to a caller.
+
+    If ``close`` is set, a ``Connection: close`` header announces the end of the connection.
+    """
     match reply:
         case Relayed(answer=answer):
             return _encode_message(
@@ -69,14 +76,21 @@
 
 
 def parse_missing_shards(answer: Answered) -> int | None:
-    """Return how many shards a gatherer's answer leaves out, ``None`` where it does not say."""
+    """Return how many shards are missing from the answer of a gatherer.
+
+    A gatherer is another gateway that merges the answers of the shards for this one. The result
+    is ``None`` if the answer does not state a number.
+    """
     return parse_number(find_header(answer.headers, MISSING_SHARDS_HEADER) or b"")
 
 
 def encode_request(
     request: Request, header_names: HeaderNames, searcher: SearcherId, remaining: Millis
 ) -> bytes:
-    """Return the bytes of ``request`` for one searcher, which may take ``left`` milliseconds."""
+    """Return the bytes of ``request`` for one searcher.
+
+    ``remaining`` is how long the searcher's answer is waited for, which a header tells it.
+    """
     replaced = (header_names.caller_timeout, header_names.expected_searcher)
     lines = [b"%s %s HTTP/1.1\r\n" % (request.method, request.target)]
     for name, value in request.headers:
--- a/src/masticgate/connection/gateway/_header_names.py
+++ b/src/masticgate/connection/gateway/_header_names.py
@@ -1,14 +1,23 @@
-"""The header names that a deployment gives to what a gateway and its neighbours say."""
+"""The names of the HTTP headers that a gateway exchanges with callers and searchers.
+
+A deployment sets most of them; those that only gateways use among each other are fixed.
+"""
 
 from dataclasses import dataclass, replace
 
 
 @dataclass(frozen=True, slots=True)
 class HeaderNames:
-    """Header names in lower case; each field says what the header holds.
-
-    ``caller_timeout`` holds the milliseconds that the caller still waits, ``load`` the running and
-    waiting requests and the slots of a searcher.
+    """Header names in lower case; each field is named after the content of the header.
+
+    ``caller_timeout`` names the header with the milliseconds that the sender still waits for the
+    answer. ``stamp`` names the header by which a searcher authenticates its answer.
+    ``expected_searcher`` names the header with the id of the searcher that the request is meant
+    for. ``load`` names the header with three numbers of a searcher: the requests that it runs, the
+    requests that wait, and its slots, which is how many it runs at the same time. ``not_run``
+    names the header that marks a request as not run. ``included_stamps`` and ``missing_shards``
+    name the headers of a merged answer with the stamps of its parts and the number of shards that
+    are missing from it.
     """
 
     request_id: bytes
@@ -22,20 +31,23 @@
 
 
 CONFIGURATION_VERSION_HEADER = b"x-gateway-version"
-"""Between gateways: the version of the configuration to serve a query by."""
+"""Between gateways: the version of the configuration that a query is served by."""
 
 NETWORK_TIME_HEADER = b"x-gateway-network-ms"
-"""Between gateways: what the ways to and from the caller take of the objective."""
+"""Between gateways: the milliseconds of the latency objective spent on the caller's network.
+
+They are an estimate and cover both directions.
+"""
 
 MISSING_SHARDS_HEADER = b"x-gateway-missing"
-"""Between gateways: how many shards an answer leaves out."""
+"""Between gateways: the number of shards that are missing from an answer."""
 
 
 def peer_header_names(header_names: HeaderNames) -> HeaderNames:
-    """Return the names that gateways use among each other.
+    """Return the header names that gateways use among each other.
 
-    The included stamps stand where a searcher's own stamp does: an answer without any part is no
-    success.
+    One header serves as both ``stamp`` and ``included_stamps``, so that an answer without the
+    stamp of any part counts as a failure, like a searcher's answer without a stamp.
     """
     return replace(
         header_names,
--- a/src/masticgate/connection/gateway/_inbox.py
+++ b/src/masticgate/connection/gateway/_inbox.py
@@ -1,4 +1,7 @@
-"""Where the task of a caller's connection waits for outcomes and for the caller to leave."""
+"""The means by which the task of a caller's connection waits for several events at once.
+
+It waits until calls to searchers finish, the caller closes its connection, or a deadline passes.
+"""
 
 import os
 import select
@@ -16,10 +19,10 @@
 
 
 class WakeableSocket:
-    """One caller's connection and the pipe that wakes its task.
+    """The connection of one caller and a pipe that wakes the task that polls both.
 
-    A call may finish after the connection ended, when the numbers of its descriptors are in use
-    again: the lock keeps a late wake from writing to them.
+    A call may finish after the connection was closed, when the numbers of the closed descriptors
+    may belong to other files. The lock keeps a late :meth:`wake` from writing to those.
     """
 
     def __init__(self, connection: socket.socket, clock: Clock) -> None:
@@ -36,11 +39,11 @@
         self.poller.register(self.wake_reader, select.POLLIN)
 
     def watch_for_close(self) -> None:
-        """Begin to watch for the caller's end of the connection."""
+        """Include the caller's connection in the next polls, to detect that the caller left."""
         self.poller.register(self.connection, select.POLLIN | CLOSE_EVENTS)
 
     def wake(self) -> None:
-        """Wake the task if it waits."""
+        """Wake the task if it is waiting; any task may call this."""
         with self.lock:
             if not self.waiting or self.closed:
                 return
@@ -49,7 +52,7 @@
                 os.write(self.wake_writer, b"\0")
 
     def poll(self, deadline: Millis) -> bool:
-        """Wait until woken or ``until``; return ``True`` where the caller closed."""
+        """Wait for a wake-up, at most until ``deadline``; return whether the caller left."""
         remaining = max(0, ceil(deadline - self.clock.now()))
         for descriptor, events in self.poller.poll(remaining):
             if descriptor == self.wake_reader:
@@ -60,7 +63,7 @@
         return False
 
     def close(self) -> None:
-        """Release the descriptors."""
+        """Close the connection and the pipe."""
         with self.lock:
             self.closed = True
             os.close(self.wake_reader)
@@ -69,9 +72,10 @@
                 self.connection.close()
 
     def stop_reading(self) -> None:
-        """Let a read in progress find the end; any task may call this.
+        """Make a read in progress return the end of the connection; any task may call this.
 
-        A request that was read just before is still served: the end is not the caller's then.
+        A request that was read just before is still served, since it was not the caller that ended
+        the connection.
         """
         with self.lock:
             self.reading_stopped = True
@@ -97,7 +101,11 @@
 
 
 class RequestInbox:
-    """The finished calls of one request."""
+    """The finished calls of one request, in the order in which they finished.
+
+    The task of the request waits for them, and is woken only after a batch of calls or after a
+    call without success.
+    """
 
     def __init__(self, wakeable_socket: WakeableSocket) -> None:
         self.wakeable_socket = wakeable_socket
@@ -106,17 +114,17 @@
         wakeable_socket.watch_for_close()
 
     def put(self, call: Call) -> None:
-        """Hand over a finished call; any task may call this."""
+        """Add a finished call; any task may call this."""
         self.finished.append(call)
         if len(self.finished) >= self.batch_size or not _is_success(call):
             self.wakeable_socket.wake()
 
     def set_batch_size(self, number: int) -> None:
-        """Let a wait go on until so many calls finished, or one of them without success."""
+        """Wake a waiting task only after ``number`` calls finished or one did without success."""
         self.batch_size = number
 
     def wait(self, deadline: Millis) -> Call | CallerDisconnected | None:
-        """Return the next finished call, or ``None`` at ``deadline``."""
+        """Return the next finished call, or ``None`` if there is none at ``deadline``."""
         while True:
             self.wakeable_socket.waiting = True
             if self.finished:
--- a/src/masticgate/connection/gateway/_listener.py
+++ b/src/masticgate/connection/gateway/_listener.py
@@ -1,4 +1,4 @@
-"""Accepts callers, one task each, and bounds how many there are."""
+"""The listening socket of a gateway, which starts one task for each caller's connection."""
 
 import socket
 from contextlib import suppress
@@ -11,7 +11,11 @@
 
 
 class Listener:
-    """One listening socket and its callers' connections."""
+    """One listening socket and the open connections that it accepted.
+
+    When there are more than ``max_connections``, the one that has waited longest without a
+    complete request is closed.
+    """
 
     def __init__(
         self, address: Address, settings: CallerSettings, tasks: TaskStarter, max_connections: int
@@ -26,25 +30,25 @@
         self.rejected = 0
 
     def run(self) -> None:
-        """Accept connections until :meth:`stop`."""
+        """Accept connections until :meth:`stop` is called."""
         accepted = accept_connections(lambda: self.socket.accept(), lambda: self.stopped)
         for connection, _ in accepted:
             self._add_connection(connection)
 
     def stop(self) -> None:
-        """Accept no more connections; the open ones stay."""
+        """Accept no more connections; those that are open are kept."""
         self.stopped = True
         with suppress(OSError):
             self.socket.shutdown(socket.SHUT_RDWR)
         self.socket.close()
 
     def count(self, *states: CallerState) -> int:
-        """Return the number of connections in one of ``states``."""
+        """Return the number of connections that are in one of ``states``."""
         with self.lock:
             return sum(caller.state in states for caller in self.connections)
 
     def close_idle(self) -> None:
-        """Let every connection end that has no request in progress."""
+        """Close every connection that waits for a request."""
         with self.lock:
             idle = [caller for caller in self.connections if caller.state is CallerState.IDLE]
         for caller in idle:
@@ -74,14 +78,14 @@
                 self.connections.discard(caller)
 
     def _reject(self, caller: CallerConnection) -> None:
-        """Close a connection for which no task could be started."""
+        """Close a connection for which no task can be started, and count it."""
         with self.lock:
             self.connections.discard(caller)
             self.rejected += 1
         caller.wakeable_socket.close()
 
     def _close_longest_waiting(self, newest: CallerConnection) -> None:
-        """Make room: a connection without a whole request gives way, the oldest first."""
+        """Close the connection that has waited longest without a complete request, if any."""
         with self.lock:
             waiting = [
                 caller
--- a/src/masticgate/connection/gateway/_parser.py
+++ b/src/masticgate/connection/gateway/_parser.py
@@ -1,4 +1,4 @@
-"""Reads HTTP/1.1 requests with httptools, and bounds what a request may hold."""
+"""A parser for HTTP/1.1 requests, based on httptools, that bounds the size of a request."""
 
 from dataclasses import dataclass
 
@@ -21,15 +21,18 @@
         b"expect",
     }
 )
-"""What concerns one connection only, or is set anew for the next one."""
+"""Headers that are not forwarded.
+
+They concern one connection only, or the gateway sets them anew in the message that it sends.
+"""
 
 MAX_NUMBER_DIGITS = 18
-"""Digits of a number in a header, which has 63 bits then."""
+"""The most digits that a number in a header may have, so that it fits in 63 bits."""
 
 
 @dataclass(slots=True)
 class ParsedRequest:
-    """One whole request as received."""
+    """One complete request as received."""
 
     method: bytes
     target: bytes
@@ -41,20 +44,23 @@
 
 @dataclass(frozen=True, slots=True)
 class TooLarge:
-    """A message is larger than allowed; ``status`` is what to answer."""
+    """The request is larger than allowed; ``status`` is the HTTP status of the response."""
 
     status: int
 
 
 @dataclass(frozen=True, slots=True)
 class Malformed:
-    """The bytes are no HTTP message."""
+    """The received bytes are not a valid HTTP message."""
 
     detail: str
 
 
 def find_header(headers: list[Header] | tuple[Header, ...], name: bytes) -> bytes | None:
-    """Return the value of the first header ``name``, which is in lower case."""
+    """Return the value of the first header called ``name``, which is given in lower case.
+
+    The result is ``None`` if there is no such header.
+    """
     for key, value in headers:
         if key.lower() == name:
             return value
@@ -62,13 +68,16 @@
 
 
 def parse_number(text: bytes) -> int | None:
-    """Return the whole number that ``text`` is, ``None`` where it is none or too long."""
+    """Return ``text`` as a number of digits only, or ``None`` if it is not one or is too long."""
     digits = text.strip()
     return int(digits) if len(digits) <= MAX_NUMBER_DIGITS and digits.isdigit() else None
 
 
 def end_to_end_headers(headers: list[Header] | tuple[Header, ...]) -> tuple[Header, ...]:
-    """Return the headers that are passed on, without those that concern one connection."""
+    """Return the headers to forward: all but those that concern one connection only.
+
+    Those are the hop-by-hop headers, and the ones that a ``Connection`` header names.
+    """
     dropped = set(HOP_BY_HOP_HEADERS)
     for key, value in headers:
         if key.lower() == b"connection":
@@ -77,7 +86,11 @@
 
 
 class RequestParser:
-    """Collects whole requests from one caller's bytes; pipelined ones queue up."""
+    """Collects complete requests in ``ready`` from the bytes that one caller sends.
+
+    More than one may be ready, since a caller may send requests without waiting for the response.
+    The limits are the sizes of a request's head and of its body, in bytes.
+    """
 
     def __init__(self, header_bytes: int, body_bytes: int) -> None:
         self.header_bytes = header_bytes
@@ -88,7 +101,7 @@
         self._reset()
 
     def feed(self, data: bytes | memoryview) -> TooLarge | Malformed | None:
-        """Take received bytes; return what is wrong with them, if anything."""
+        """Parse received bytes; return an error if they are invalid or exceed a limit."""
         if not self.in_body:
             self.header_size += len(data)
         try:
@@ -105,7 +118,7 @@
 
     @property
     def idle(self) -> bool:
-        """Tell whether no byte of a next request has come."""
+        """Return whether no part of another request has been received."""
         return not self.in_message
 
     def _reset(self) -> None:
@@ -119,20 +132,20 @@
         self.size_error: TooLarge | None = None
 
     def on_message_begin(self) -> None:
-        """Note the first byte of a request."""
+        """Record that a part of a request has been received."""
         self.in_message = True
 
     def on_url(self, url: bytes) -> None:
-        """Collect a part of the target."""
+        """Append a part of the request target."""
         self.target += url
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        """Collect one header; trailers are dropped."""
+        """Append a header; a trailer, which follows the body, is ignored."""
         if not self.in_body:
             self.headers.append((name, value))
 
     def on_headers_complete(self) -> None:
-        """Check the size of the headers and the announced size of the body."""
+        """Check the size of the head and the size of the body that it announces."""
         self.in_body = True
         size = sum(len(name) + len(value) + 4 for name, value in self.headers)
         if size + len(self.target) > self.header_bytes:
@@ -144,7 +157,7 @@
         self.expects_continue = expect is not None and expect.lower() == b"100-continue"
 
     def on_body(self, body: bytes) -> None:
-        """Collect a part of the body, up to the limit."""
+        """Append a part of the body, unless the body is larger than allowed."""
         self.body_size += len(body)
         if self.body_size > self.body_bytes:
             self.size_error = TooLarge(413)
@@ -152,7 +165,7 @@
         self.chunks.append(body)
 
     def on_message_complete(self) -> None:
-        """Queue the request unless it is to be refused, and expect the next one."""
+        """Add the request to ``ready`` unless it has to be refused, and begin the next one."""
         request = ParsedRequest(
             self.parser.get_method(),
             self.target,
--- a/src/masticgate/connection/gateway/_response_parser.py
+++ b/src/masticgate/connection/gateway/_response_parser.py
@@ -1,4 +1,8 @@
-"""Reads HTTP/1.1 responses with httptools, and takes none that another one may be mixed with."""
+"""A parser for HTTP/1.1 responses, based on httptools, that rejects mixed responses.
+
+If a server stops within a response and then sends another, the bytes of the second would complete
+the first. Such a response is detected by the head of another one within it.
+"""
 
 import re
 from dataclasses import dataclass
@@ -9,32 +13,39 @@
 from ._parser import Malformed
 
 MAX_HEAD_BYTES = 65_536
-"""Bytes of all heads that come for one request: several times the largest between gateways."""
+"""The most bytes of all response heads received for one request.
+
+It is several times the size of the largest head that one gateway sends to another.
+"""
 
 MAX_BODY_BYTES = 8_000_000
-"""Bytes of all bodies that come for one request."""
+"""The most bytes of all response bodies received for one request."""
 
 STATUS_LINE = re.compile(rb"HTTP/\d\.\d \d{3}")
-"""The beginning of a response; within a head it tells that an earlier one was cut short."""
+"""The beginning of a response; within a head it shows that an earlier response is incomplete."""
 
 FRAMING_HEADERS = frozenset({b"content-length", b"transfer-encoding", b"connection"})
-"""Headers in which two answers of one server may differ."""
+"""The headers that one response of a server may have and another may lack."""
 
 MIN_STATUS_LINE_BYTES = 9
-"""The bytes of ``HTTP/1.1`` and a space: fewer at the end of a body may be its own."""
+"""The length of ``HTTP/1.1`` and a space.
+
+A shorter part of a status line at the end of a body may belong to the body.
+"""
 
 EXTRA_HEAD_BYTES = 256
-"""Bytes that the head of another response may have beyond twice those of this one's headers."""
+"""The bytes that another response's head may have beyond twice the size of this one's headers."""
 
 MAX_CHUNK_OVERHEAD = 0.5
-"""Bytes around chunks for each byte in them; a chunk of 16 bytes has 6 around it."""
+"""The most bytes of chunk framing for each byte of content; a chunk of 16 bytes needs 6."""
 
 
 @dataclass(slots=True)
 class ParsedResponse:
-    """One whole response as received.
+    """One complete response as received.
 
-    ``fields`` are its headers by name in lower case; of those in ``repeated`` the last.
+    ``headers_by_name`` holds the headers by their names in lower case. ``repeated_names`` are the
+    names of headers that occur more than once; the last value of each is kept.
     """
 
     status: int
@@ -47,14 +58,14 @@
 
 
 class TruncatedResponseError(Exception):
-    """A response begins within another that did not end."""
+    """A response begins within another one that is incomplete."""
 
 
 class ResponseParser:
-    """Collects whole responses from one server's bytes.
+    """Collects complete responses in ``ready`` from the bytes that one server sends.
 
-    What is taken between two accepted responses is bounded: responses that nobody accepts, such as
-    interim and late ones, count together with the one that is waited for.
+    The bytes received between two accepted responses are bounded. Responses that are not accepted,
+    such as interim and late ones, count together with the one that is awaited.
     """
 
     def __init__(self) -> None:
@@ -65,7 +76,7 @@
         self._reset()
 
     def feed(self, data: bytes | memoryview) -> Malformed | None:
-        """Take received bytes; return what is wrong with them, if anything."""
+        """Parse received bytes; return an error if they are invalid or exceed a limit."""
         self.received_bytes += len(data)
         try:
             self.parser.feed_data(data)
@@ -75,7 +86,7 @@
             self._drop_truncated()
             return Malformed(str(error.__context__ or error))
         if self.body_size > MAX_BODY_BYTES:
-            return Malformed("body too large")
+            return Malformed("the body is too large")
         if (
             self.received_bytes - self.body_size
             > MAX_HEAD_BYTES + self.body_size * MAX_CHUNK_OVERHEAD
@@ -84,12 +95,12 @@
         return None
 
     def reset_byte_counts(self) -> None:
-        """Begin to count anew: a response was taken for the one that was waited for."""
+        """Count the received bytes from zero again, after a response was accepted."""
         self.received_bytes = 0
         self.body_size = 0
 
     def feed_eof(self) -> None:
-        """Complete a response without a length, whose connection ended in order."""
+        """Complete a response that ends with its connection, which the server closed in order."""
         if (
             self.in_message
             and self.in_body
@@ -109,16 +120,16 @@
         self.chunks: list[bytes] = []
 
     def on_message_begin(self) -> None:
-        """Note the first byte of a response."""
+        """Record that a part of a response has been received."""
         self.in_message = True
 
     def on_status(self, reason_phrase: bytes) -> None:
-        """Check the next part of the reason phrase."""
+        """Append a part of the reason phrase, and check it for another response."""
         self.reason_phrase += reason_phrase
         _reject_status_line(self.reason_phrase)
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        """Collect one header; trailers are none."""
+        """Append a header and check it for another response; ignore a trailer."""
         if self.in_body:
             return
         _reject_status_line(value)
@@ -129,7 +140,7 @@
         self.headers_by_name[key] = value
 
     def on_headers_complete(self) -> None:
-        """Note whether the response says where it ends."""
+        """Record whether the headers state where the response ends."""
         self.in_body = True
         self.has_framing_header = (
             b"content-length" in self.headers_by_name
@@ -137,14 +148,17 @@
         )
 
     def on_body(self, body: bytes) -> None:
-        """Collect a part of the body."""
+        """Append a part of the body."""
         self.body_size += len(body)
         self.chunks.append(body)
 
     def on_message_complete(self) -> None:
-        """Queue the response, unless it is an interim one."""
+        """Add the response to ``ready`` unless it is an interim one.
+
+        :raises TruncatedResponseError: the body contains the head of another response.
+        """
         if self._contains_head():
-            raise TruncatedResponseError("a response is filled up by the bytes of another")
+            raise TruncatedResponseError("the body contains the head of another response")
         framing = (
             BodyFraming.CHUNKS
             if b"transfer-encoding" in self.headers_by_name
@@ -153,7 +167,7 @@
         self._queue_response(framing, keep_alive=self.parser.should_keep_alive())
 
     def _contains_head(self) -> bool:
-        """Tell whether the body holds the head of another response, or ends within one."""
+        """Return whether the body contains the head of another response or a beginning of one."""
         body = b"".join(self.chunks)
         if b"HTTP/" not in body:
             return False
@@ -166,9 +180,9 @@
         )
 
     def _matches_head(self, text: bytes) -> bool:
-        """Tell whether ``text`` begins with a head like this one, or is the beginning of one.
+        """Return whether ``text`` begins with a head like this response's, or with a part of one.
 
-        The same server's heads have the same header names but for the framing.
+        The responses of one server have the same header names, except for the framing headers.
         """
         head, separator, _ = text.partition(b"\r\n\r\n")
         names = [line.partition(b":")[0].lower() for line in head.split(b"\r\n")[1:]]
@@ -183,7 +197,7 @@
         )
 
     def _ends_in_status_line(self, body: bytes) -> bool:
-        """Tell whether the body ends like this response began."""
+        """Return whether the body ends with a beginning of this response's status line."""
         version = self.parser.get_http_version().encode()
         line = b"HTTP/%s %d %s\r" % (version, self.parser.get_status_code(), self.reason_phrase)
         return body.endswith(
@@ -191,7 +205,11 @@
         )
 
     def _drop_truncated(self) -> None:
-        """Drop a response that ends like the beginning of another, of which the rest follows."""
+        """Remove the last response if its body ends with the first bytes of another response.
+
+        To be called when the bytes that follow it are invalid, since they may be the rest of that
+        other response.
+        """
         starts = tuple(b"HTTP/1."[:size] for size in range(1, MIN_STATUS_LINE_BYTES))
         if self.ready and self.ready[-1].body.endswith(starts):
             self.ready.pop()
@@ -214,6 +232,9 @@
 
 
 def _reject_status_line(value: bytes) -> None:
-    """Raise where a part of a head holds the beginning of another response."""
+    """Check that a header value or reason phrase does not contain the start of a response.
+
+    :raises TruncatedResponseError: it contains the beginning of a status line.
+    """
     if b"HTTP/" in value and STATUS_LINE.search(value):
-        raise TruncatedResponseError("a response begins within a head")
+        raise TruncatedResponseError("a response begins within the head of another")
--- a/src/masticgate/connection/gateway/_searcher_task.py
+++ b/src/masticgate/connection/gateway/_searcher_task.py
@@ -1,8 +1,8 @@
-"""One task for each connection to a searcher.
+"""The connections to searchers, each with a task of its own.
 
-The task connects and then reads; the task of the caller's connection sends, so that a call costs
-one hand-over between threads. Since the task always reads, it notices at once when the searcher
-closes an idle connection.
+The task opens the connection and then reads responses from it. The task of the caller's connection
+sends the request, so that a call takes one hand-over between threads instead of two. Since the
+task of the connection always reads, it detects at once that the searcher closed an idle connection.
 """
 
 import select
@@ -21,15 +21,22 @@
 from ._response_parser import ParsedResponse, ResponseParser
 
 CONNECT_TIMEOUT = Millis(300.0)
-"""Many times the round trip within a region; a silent host is given up after it."""
+"""The time limit for opening a connection, many times the round trip within a region.
+
+It bounds the wait for a host that does not respond.
+"""
 
 RECEIVE_BUFFER_BYTES = 4_096
-"""The buffer of one connection; most answers of shards fit in it whole."""
+"""The size of the receive buffer of one connection; most responses of shards fit in it whole."""
 
 
 @dataclass(frozen=True, slots=True)
 class Load:
-    """What a searcher says of itself; it may lag or mislead."""
+    """The load that a searcher states in a response; it may be outdated or wrong.
+
+    ``running`` and ``waiting`` are numbers of requests. ``slots`` is the number of requests that
+    the searcher runs at the same time.
+    """
 
     running: int
     waiting: int
@@ -38,7 +45,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SkippedResponse:
-    """A whole answer that bears another request's id, or none, came while a call waited."""
+    """A complete response arrived that has another id than the awaited one, or no id."""
 
     response_id: RequestId
     expected_id: RequestId
@@ -46,14 +53,14 @@
 
 @dataclass(frozen=True, slots=True)
 class UnrequestedBytes:
-    """Bytes came while no call was on the connection, which ends."""
+    """Bytes arrived while the connection had no call; the connection is closed."""
 
     count: int
 
 
 @dataclass(frozen=True, slots=True)
 class TrailingBytes:
-    """More bytes came with a whole answer; its connection ends."""
+    """More bytes arrived together with a complete response; the connection is closed."""
 
     request: RequestId
 
@@ -62,32 +69,36 @@
 
 
 class SearcherTaskHandler(Protocol):
-    """Who decides what the tasks of a searcher's connections do."""
+    """Handles the events of the connections to searchers, from any of their tasks."""
 
     def handle_open(self, task: "SearcherTask") -> None:
-        """Note that a connection without work opened."""
+        """Handle that a connection was opened without a call and is idle."""
         ...
 
     def handle_outcome(
         self, task: "SearcherTask", call: Call, load: Load | None, *, reusable: bool
     ) -> None:
-        """Take the outcome of a call; a ``reusable`` connection is idle again."""
+        """Handle the outcome of a call and the load that the searcher stated, if any.
+
+        If the connection is ``reusable``, it is idle again; otherwise it is about to close.
+        """
         ...
 
     def handle_close(self, task: "SearcherTask", *, connected: bool) -> None:
-        """Note that the task has ended; ``connected`` tells whether it ever opened."""
+        """Handle that the task has ended; ``connected`` is whether its connection was opened."""
         ...
 
     def record_violation(self, task: "SearcherTask", violation: ProtocolViolation) -> None:
-        """Note bytes that belong to no call of the connection."""
+        """Record that bytes arrived that do not belong to the response to a call."""
         ...
 
 
 class SearcherTask:
-    """One connection to one searcher; it serves one call at a time.
+    """One connection to one searcher, which carries one call at a time.
 
-    ``idle_since`` and ``keep_for`` belong to the owner's lock; ``number`` names the connection in
-    log lines.
+    A call is one attempt of a request. ``initial_call`` is the call that the connection is opened
+    for, if any. ``number`` identifies the connection in log lines. ``idle_since`` and
+    ``keep_alive_timeout`` are guarded by the lock of the handler.
     """
 
     def __init__(
@@ -118,7 +129,7 @@
         self.parser = ResponseParser()
 
     def run(self) -> None:
-        """Connect, then read until the connection ends; an error ends it too."""
+        """Open the connection and read responses until it ends or an error occurs."""
         try:
             self._run()
         except Exception as error:
@@ -137,7 +148,7 @@
         self._finish(self._receive_responses(), connected=True)
 
     def dispatch(self, call: Call) -> bool:
-        """Send ``call`` over the idle connection; return ``False`` if it has just ended."""
+        """Send ``call`` over the idle connection; return ``False`` if it has already ended."""
         with self.lock:
             if self.ended:
                 return False
@@ -148,14 +159,14 @@
         return True
 
     def cancel(self, call: Call) -> None:
-        """Cut the connection if it serves ``call``; a call that waits is dropped unsent."""
+        """Cancel ``call``: close its connection, or do not send it if it was not started."""
         with self.lock:
             call.cancelled = True
             if self.current_call is call and call.started:
                 self.client.abort()
 
     def close(self) -> None:
-        """End the connection; any task may call this."""
+        """Close the connection; any task may call this."""
         self.client.abort()
 
     def _send_initial_call(self) -> None:
@@ -173,15 +184,16 @@
             )
 
     def _mark_started(self, call: Call) -> bool:
-        """Mark the call as started; return ``False`` where it was cancelled before."""
+        """Mark the call as started, unless it was cancelled; return whether it was marked."""
         with self.lock:
             call.started = not call.cancelled
         return call.started
 
     def _send(self, call: Call) -> None:
-        """Send the call's request; where that fails, the reading task notices the end.
+        """Send the request of a call; if that fails, the task that reads detects the end.
 
-        An answer may come before the request is sent whole: what follows waits for its rest.
+        A response may arrive before the request is sent completely. The lock makes the next call
+        on the connection wait until the rest of this request is sent.
         """
         remaining = Millis(call.deadline - self.clock.now())
         data = memoryview(encode_request(call.request, self.header_names, self.searcher, remaining))
@@ -193,7 +205,12 @@
                 self.client.abort()
 
     def _send_some(self, data: memoryview, deadline: Millis) -> int:
-        """Send what the connection takes; return how much, which is none after a wait."""
+        """Send as many bytes as possible and return their number.
+
+        If the send buffer is full, wait until the connection is writable and return 0.
+
+        :raises OSError: the connection is closed, or was not writable before ``deadline``.
+        """
         try:
             return self.client.send_nowait(data)
         except BlockingIOError:
@@ -211,7 +228,7 @@
         return bool(poller.poll(max(0, deadline - self.clock.now())))
 
     def _receive_responses(self) -> Outcome:
-        """Read answers until the connection ends; return what that means for an open call."""
+        """Handle responses until the connection ends; return the outcome of an unfinished call."""
         connection = self.client.socket
         assert connection is not None
         buffer = memoryview(bytearray(RECEIVE_BUFFER_BYTES))
@@ -224,18 +241,18 @@
                 return self._outcome_at_close()
             if self.current_call is None:
                 self.handler.record_violation(self, UnrequestedBytes(count))
-                return Lost(self.searcher, True, "bytes that nobody asked for")
+                return Lost(self.searcher, True, "bytes that belong to no request")
             problem = self.parser.feed(buffer[:count])
             reusable = problem is None and not self.parser.in_message
             if not self._handle_responses(reusable=reusable):
-                return Lost(self.searcher, True, f"bad reply: {problem}")
+                return Lost(self.searcher, True, f"bad response: {problem}")
             if problem is not None:
-                return Lost(self.searcher, True, f"bad reply: {problem.detail}")
+                return Lost(self.searcher, True, f"bad response: {problem.detail}")
 
     def _handle_responses(self, *, reusable: bool) -> bool:
-        """Finish the call with the answer that is its own; others are late and skipped.
+        """Complete the call with the response that has its id; skip others, which are late.
 
-        Return ``False`` where the connection has to end.
+        Return ``False`` if the connection has to be closed.
         """
         responses, self.parser.ready = self.parser.ready, []
         for index, response in enumerate(responses):
@@ -261,14 +278,17 @@
         return True
 
     def _outcome_at_close(self) -> Outcome:
-        """Return the outcome of a call whose answer ends with the connection."""
+        """Return the outcome of the present call after the searcher ended the connection.
+
+        The end of the connection completes a response that states no length.
+        """
         if self.client.closed_cleanly():
             self.parser.feed_eof()
         call = self.current_call
         for response in self.parser.ready:
             if call is not None and self._is_response_to(call, response):
                 return self._decode_outcome(response)
-        return Lost(self.searcher, True, "closed before the end of a response")
+        return Lost(self.searcher, True, "closed before the end of the response")
 
     def _record_skipped(self, call: Call, response: ParsedResponse) -> None:
         self.skipped += 1
@@ -280,7 +300,7 @@
         )
 
     def _is_response_to(self, call: Call, response: ParsedResponse) -> bool:
-        """Tell whether an answer bears the call's id and no second id or stamp."""
+        """Return whether a response has the id of the call, and not more than one id or stamp."""
         expected = call.request.id.encode("latin-1")
         own = response.headers_by_name.get(self.header_names.request_id) == expected
         return own and response.repeated_names.isdisjoint(
--- a/src/masticgate/connection/gateway/_task_starter.py
+++ b/src/masticgate/connection/gateway/_task_starter.py
@@ -1,4 +1,4 @@
-"""Starts the tasks of connections."""
+"""The interface by which a gateway starts the tasks of its connections."""
 
 from collections.abc import Callable
 from dataclasses import dataclass
@@ -7,14 +7,14 @@
 
 @dataclass(frozen=True, slots=True)
 class TaskRefused:
-    """A task could not be started now and never will run."""
+    """A task could not be started and will not run later either; ``detail`` says why."""
 
     detail: str
 
 
 class TaskStarter(Protocol):
-    """Runs each task in a thread of its own."""
+    """Starts tasks, each in a thread of its own."""
 
     def start(self, run: Callable[..., None], *args: Any) -> TaskRefused | None:
-        """Start a task at once, or refuse it for good."""
+        """Start ``run`` with ``args`` at once, or return why it will never run."""
         ...
--- a/tests/gateway/test_answers_without_end.py
+++ b/tests/gateway/test_answers_without_end.py
@@ -166,7 +166,7 @@
             call, owner = ask(server.address)
             assert isinstance(call.outcome, Lost)
             assert call.outcome.sent
-            assert call.outcome.detail.startswith("bad reply")
+            assert call.outcome.detail.startswith("bad response")
             assert not owner.reusable
             assert owner.over.wait(SOON_S)
             assert server.closed.wait(SOON_S)
@@ -209,7 +209,7 @@
         with pouring(ENDLESS[name]) as server:
             call, owner = ask(server.address, peer_header_names(HEADER_NAMES))
             assert isinstance(call.outcome, Lost)
-            assert call.outcome.detail.startswith("bad reply")
+            assert call.outcome.detail.startswith("bad response")
             assert not owner.reusable
             assert owner.over.wait(SOON_S)
             assert server.closed.wait(SOON_S)
@@ -246,7 +246,7 @@
         with pouring(ENDLESS_BODIES["body_with_length"]) as server:
             client = HttpClient(server.address, clock := HurriedClock())
             response = client.get("platform", "/", {}, GetTimeouts(LONG, SHORT))
-            assert response == NoResponse(True, "receive: no whole response in time")
+            assert response == NoResponse(True, "receive: no complete response in time")
             assert clock.current < 2 * SHORT
             assert server.closed.wait(SOON_S)
 
