--- a/src/masticgate/process/__init__.py
+++ b/src/masticgate/process/__init__.py
@@ -1,6 +1,6 @@
-"""What lives as long as the process: beliefs, queues, tickets, metrics, settings.
+"""Everything that lives as long as the process: members, queues, tickets, metrics, settings.
 
-Nothing here opens a socket but :mod:`masticgate.process.server`, which puts a host together.
+Only :mod:`masticgate.process.server`, which builds an entry host from its parts, opens sockets.
 """
 
 from typing import TYPE_CHECKING, Any
--- a/src/masticgate/process/_exit_codes.py
+++ b/src/masticgate/process/_exit_codes.py
@@ -1,10 +1,10 @@
-"""The exit statuses of the command line."""
+"""The exit statuses of the command-line tool."""
 
 from enum import IntEnum
 
 
 class ExitCode(IntEnum):
-    """What a command's exit status says."""
+    """The meaning of a command's exit status."""
 
     DONE = 0
     NOT_RUN = 1
--- a/src/masticgate/process/_host_runtime.py
+++ b/src/masticgate/process/_host_runtime.py
@@ -1,4 +1,4 @@
-"""The process as its requests see it."""
+"""What the process provides to the requests that it runs: state, messages and budgets."""
 
 from collections.abc import Sequence
 from queue import SimpleQueue
@@ -20,11 +20,15 @@
 from ._versions import VersionStore
 
 LINKED_OWNERS_PER_SERVICE = 2
-"""Links to the first hosts of a service's ranking are opened when its work comes."""
+"""A request for a service opens links to this many hosts, the first by the service's ranking."""
 
 
 class HostRuntime:
-    """Routes the messages of requests to owners, this host included."""
+    """Routes the messages of requests to the owners of services, which may be this host.
+
+    The owner of a service is the host that queues its work. ``owner_table`` ranks, for each
+    service, the hosts in ``table_hosts``: the owner first, then those that replace it.
+    """
 
     def __init__(
         self,
@@ -54,19 +58,19 @@
         self.table_hosts: list[HostId] = []
 
     def refresh_owner_table(self) -> None:
-        """Work out the owners anew, after a change of the configuration."""
+        """Compute the owners of all services again, after a change of the configuration."""
         configuration = self.versions.configuration
         if configuration is not None:
             self.table_hosts = self.members.list_usable()
             self.owner_table = owner_table(configuration, self.table_hosts)
 
     def refresh_if_hosts_changed(self) -> None:
-        """Work out the owners anew where the usable hosts changed."""
+        """Compute the owners of all services again if the usable hosts changed."""
         if self.members.list_usable() is not self.table_hosts:
             self.refresh_owner_table()
 
     def owned_services(self) -> set[ServiceId]:
-        """Return the services whose owner is this host, by what it knows of the others."""
+        """Return the services whose owner is this host, as far as it knows the other hosts."""
         return {service for service, hosts in self.owner_table.items() if hosts[:1] == [self.own]}
 
     def configuration(self) -> Configuration | None:
@@ -76,17 +80,17 @@
     def pin_snapshot(
         self, services: Sequence[ServiceId], tried: frozenset[SnapshotVersion]
     ) -> Snapshot | None:
-        """Return the snapshot to search, none of ``tried``."""
+        """Return the snapshot in which to search ``services``, other than those in ``tried``."""
         return self.versions.pin(services, tried)
 
     def record_version_gone(
         self, service: ServiceId, snapshot: SnapshotVersion, held: Sequence[SnapshotVersion]
     ) -> None:
-        """Remember which snapshots ``service`` holds."""
+        """Record that ``service`` holds the snapshots ``held``, and ``snapshot`` no longer."""
         self.versions.record_version_gone(service, snapshot, held)
 
     def admit(self, rank: Rank, number: float, scope: Scope) -> NotRun | None:
-        """Refuse a query whole where its services could not finish it."""
+        """Return a refusal if this host is stopping or the services couldn't finish the query."""
         if self.owner.stopping:
             return NotRun(Reason.SHUTTING_DOWN, Step.ADMISSION, peer=self.own)
         match self.policy.admission:
@@ -96,7 +100,7 @@
                 return self.admission.admit(rank, number, scope.remaining)
 
     def owners(self, service: ServiceId) -> Sequence[HostId]:
-        """Return the reachable hosts to ask for ``service``, the owner first."""
+        """Return the reachable hosts that may serve ``service``, the owner first."""
         match self.policy.routing:
             case LocalRouting():
                 return [self.own]
@@ -110,7 +114,7 @@
     def send(
         self, host: HostId, message: Ask | Book | Cancel | Forward, inbox: Inbox | None
     ) -> NotRun | None:
-        """Send to ``host``, which may be this host; replies go to ``inbox``."""
+        """Send ``message`` to ``host``, which may be this host; replies go to ``inbox``."""
         if host == self.own and isinstance(message, Forward):
             return NotRun(Reason.MINTER_LOST, Step.FORWARD, peer=host)
         if isinstance(message, Ask):
@@ -126,24 +130,28 @@
         return refusal
 
     def discard_replies(self, query: QueryId) -> None:
-        """Drop replies to ``query`` from now on."""
+        """Drop the replies to ``query`` that arrive from now on."""
         self.reply_router.unregister_query(query)
 
     def is_silent(self, host: HostId) -> bool:
-        """Tell whether ``host`` has sent nothing for longer than a live host would."""
+        """Return whether ``host`` has sent nothing for longer than a live host would."""
         return host != self.own and self.links.is_silent(host)
 
     def allow_repeats(self, parts: int) -> bool:
-        """Take ``parts`` from the budget of work that is asked of a second owner meanwhile."""
+        """Spend ``parts`` of the budget for repeats, and return whether it covers them.
+
+        A repeat sends parts of a search to a second owner while the first, silent owner may still
+        answer.
+        """
         return self.repeat_budget.spend(parts)
 
     def probe(self, host: HostId) -> None:
-        """Ask ``host`` for a reply, by which a slow host is told from a lost one."""
+        """Ask ``host`` for a reply, which tells a slow host from one that is lost."""
         if host != self.own:
             self.links.probe(host)
 
     def is_own_ticket(self, ticket: TicketId) -> bool:
-        """Tell whether this incarnation minted ``ticket``."""
+        """Return whether this incarnation (run of the process) of this host minted ``ticket``."""
         parts = parse_ticket(ticket)
         return (
             parts is not None and parts.host == self.own and parts.incarnation == self.incarnation
@@ -164,7 +172,7 @@
         self.reply_router.deliver(self.own, reply)
 
     def _reachable_owners(self, service: ServiceId) -> list[HostId]:
-        """Return the owners with an open link, silent ones last, else whoever can be reached."""
+        """Return the ranked hosts with an open link, silent ones last, else any reachable host."""
         ranked = self.owner_table.get(service, [])
         self._open_links(ranked[:LINKED_OWNERS_PER_SERVICE])
         reachable = [host for host in ranked if self._is_reachable(host)]
--- a/src/masticgate/process/_logs.py
+++ b/src/masticgate/process/_logs.py
@@ -1,4 +1,4 @@
-"""Log lines: one for each change of state, nothing for a request."""
+"""Logging: one line for each change of state, none for a request."""
 
 import sys
 
@@ -23,6 +23,6 @@
 
 
 def log_event(event: Event) -> None:
-    """Write the line of one change of state."""
+    """Write the log line of ``event``."""
     text = f"{event.subject}: {event.detail}" if event.detail else event.subject
     logger.info(text, extra={"host": event.host, "kind": event.kind.value})
--- a/src/masticgate/process/_metrics.py
+++ b/src/masticgate/process/_metrics.py
@@ -1,4 +1,4 @@
-"""Counters, timers and gauges, sent to statsd once a second."""
+"""Counters, timers and gauges of the process, sent to statsd once a second."""
 
 from collections import Counter
 from threading import Lock
@@ -10,14 +10,24 @@
 from ._settings import Settings
 
 FLUSH_INTERVAL = Millis(1000.0)
+"""The time between two flushes to statsd."""
+
 MAX_TIMINGS = 200
-"""Timings of one name sent a flush; the rest are counted by their sample rate."""
+"""The most timings of one name that one flush sends.
+
+The sample rate sent with them tells statsd how many there were.
+"""
 
 MAX_PACKET_BYTES = 1400
+"""The largest UDP packet to statsd, below the usual Ethernet MTU of 1500 bytes."""
 
 
 class Metrics:
-    """Counts in memory, so that a busy request costs no packet; statsd is optional."""
+    """Collects metrics in memory, so that a request sends no packet; statsd is optional.
+
+    ``totals`` holds the counters since the start and ``unsent`` those since the last flush.
+    ``timings`` holds the kept durations and ``timing_counts`` the number of all of them.
+    """
 
     def __init__(self, settings: Settings) -> None:
         self.lock = Lock()
@@ -33,13 +43,13 @@
             self.client = StatsClient(number, port, prefix, MAX_PACKET_BYTES)
 
     def count(self, name: str, number: int = 1) -> None:
-        """Add to a counter."""
+        """Add ``number`` to the counter ``name``."""
         with self.lock:
             self.totals[name] += number
             self.unsent[name] += number
 
     def time(self, name: str, duration: Millis) -> None:
-        """Record a duration."""
+        """Record ``duration`` under the timer ``name``."""
         with self.lock:
             self.timing_counts[name] += 1
             kept = self.timings.setdefault(name, [])
@@ -47,17 +57,17 @@
                 kept.append(duration)
 
     def set_gauge(self, name: str, value: float) -> None:
-        """Set a gauge."""
+        """Set the gauge ``name`` to ``value``."""
         with self.lock:
             self.gauges[name] = value
 
     def read_totals(self) -> dict[str, int]:
-        """Return all counters since the start."""
+        """Return all counters since the start of the process."""
         with self.lock:
             return dict(sorted(self.totals.items()))
 
     def flush(self) -> None:
-        """Send what was counted since the last flush."""
+        """Send what was recorded since the last flush, and the current gauges, to statsd."""
         with self.lock:
             unsent, self.unsent = self.unsent, Counter()
             timings, self.timings = self.timings, {}
--- a/src/masticgate/process/_server.py
+++ b/src/masticgate/process/_server.py
@@ -1,4 +1,4 @@
-"""Puts an entry host together, starts its tasks and stops them."""
+"""An entry host: builds the parts of its process, starts its tasks and stops them."""
 
 import time
 from collections.abc import Callable, Sequence
@@ -42,12 +42,20 @@
 OLDEST_PROTOCOL = 1
 NEWEST_PROTOCOL = 1
 MAX_TASKS = 4096
+"""The most tasks at once, each on a thread of its own: one for each connection, link and watch."""
+
 SHUTDOWN_REFUSAL_TIME = Millis(1000.0)
-"""How long a stopping host still answers callers, with "not run", before it stops listening."""
+"""How long a stopping host still accepts callers, and answers "not run", before it stops listening.
+
+A shorter shutdown time in the settings shortens it to a quarter of that.
+"""
 
 
 class Host:
-    """One entry host: everything that lives as long as its process."""
+    """One entry host: all the parts that live as long as its process.
+
+    The incarnation identifies this run of the process and rises from run to run.
+    """
 
     def __init__(self, settings: Settings, clock: Clock | None = None) -> None:
         self.settings = settings
@@ -89,7 +97,7 @@
         self.connections: set[Future[None]] = set()
 
     def start(self) -> None:
-        """Start every task; callers are refused until the versions in force are known."""
+        """Start every task; callers are refused until a configuration is in force."""
         self.timeline.add(EventKind.STARTED, self.id, f"incarnation {self.incarnation}")
         self.start_task(self.peer_server.run)
         for seed in self.heartbeats.seeds:
@@ -101,9 +109,9 @@
         self.start_task(self.caller_server.run)
 
     def stop(self) -> None:
-        """Stop gracefully: refuse new work, finish what is in progress, leave.
+        """Stop gracefully: announce that this host leaves, refuse new work, finish the rest.
 
-        Work that is queued when the callers' requests have ended is handed back as not run.
+        Work that is still queued once the callers' requests have ended is answered as not run.
         """
         end = Millis(self.clock.now() + self.settings.shutdown_ms)
         self.timeline.add(EventKind.STOPPING, self.id)
@@ -127,7 +135,7 @@
         self.timeline.add(EventKind.STOPPED, self.id)
 
     def start_task(self, run: Callable[[], None]) -> None:
-        """Run ``run`` as a task of its own."""
+        """Call ``run`` in a task of its own."""
         self.tasks.submit(run)
 
     def _build_runtime(self) -> HostRuntime:
@@ -156,7 +164,7 @@
         )
 
     def _set_peer_dependencies(self) -> None:
-        """Give the handler of peers the parts that need its links."""
+        """Set the parts that the peer service needs and that were built after it."""
         self.peer_service.owner = self.owner
         self.peer_service.links = self.links
         self.peer_service.pressure = self.pressure
@@ -195,7 +203,7 @@
         )
 
     def after_heartbeat(self) -> None:
-        """Decide anew on the watch, and close the pools that are no longer used."""
+        """Decide again whether to watch the platform, and close the pools that are unused."""
         self.distribution.update_role()
         configuration = self.versions.configuration
         if configuration is not None:
@@ -242,7 +250,7 @@
 
 
 def seed_members(settings: Settings) -> list[Member]:
-    """Return the other hosts that the settings name; their incarnations are unknown."""
+    """Return the other hosts that the settings name; 0 stands for their unknown incarnations."""
     return [
         Member(
             HostId(seed.host),
--- a/src/masticgate/process/_status.py
+++ b/src/masticgate/process/_status.py
@@ -1,4 +1,4 @@
-"""What a host tells of itself."""
+"""The status of an entry host: its versions, peers, owned services, pools and counters."""
 
 from typing import Any
 
@@ -11,7 +11,7 @@
 
 
 def status_fields(runtime: HostRuntime, role: WatchRole, metrics: Metrics) -> dict[str, Any]:
-    """Return what ``masticgate status`` shows, as JSON values."""
+    """Return the status that ``masticgate status`` shows, as JSON values."""
     configuration = runtime.versions.configuration
     return {
         "host": runtime.own,
--- a/src/masticgate/process/_timeline.py
+++ b/src/masticgate/process/_timeline.py
@@ -10,10 +10,11 @@
 from .._ids import HostId, Millis
 
 MAX_EVENTS = 5000
+"""The number of events that are kept, the latest."""
 
 
 class EventKind(Enum):
-    """What changed."""
+    """What changed in the process."""
 
     STARTED = "started"
     STOPPING = "stopping"
@@ -39,10 +40,11 @@
 
 @dataclass(frozen=True, slots=True)
 class Event:
-    """One change of state.
+    """One change of state of one host.
 
-    ``seen`` holds, for other hosts, the highest sequence this host had heard of before the event;
-    it orders the events of hosts whose clocks differ.
+    ``sequence`` numbers the events of a host from 1, and ``wall`` is its wall clock. ``seen``
+    holds, for each other host, the highest sequence that this host had received from it before
+    the event; it orders the events of hosts whose clocks differ.
     """
 
     host: HostId
@@ -55,7 +57,7 @@
 
 
 class TimeLine:
-    """Keeps the latest events of this process."""
+    """Keeps the latest events of this process; ``on_event`` is called with each new one."""
 
     def __init__(
         self,
@@ -82,7 +84,7 @@
         return event
 
     def record_sequence(self, host: HostId, sequence: int) -> None:
-        """Note that ``host`` said it had reached ``sequence``."""
+        """Record that the latest event of ``host``, as it reported, is number ``sequence``."""
         with self.lock:
             self.seen[host] = max(sequence, self.seen.get(host, 0))
 
--- a/src/masticgate/process/_timeline_merge.py
+++ b/src/masticgate/process/_timeline_merge.py
@@ -1,4 +1,4 @@
-"""Merges the time lines of several processes into one, by causal order first."""
+"""Merging of the time lines of several hosts into one, in causal order."""
 
 from collections.abc import Iterable
 from typing import Any
@@ -8,9 +8,10 @@
 
 
 def merge_events(events: Iterable[Event]) -> list[Event]:
-    """Return ``events`` in one order that no host's own order and no message contradicts.
+    """Return ``events`` in one order that agrees with each host's own order and with causality.
 
-    Among events that are free to come next, the one with the earliest wall clock does.
+    An event follows all events that its host knew of from messages when the event happened. Among
+    the events that may come next, the one with the earliest wall clock comes first.
     """
     lines: dict[HostId, list[Event]] = {}
     for event in sorted(events, key=lambda e: e.sequence, reverse=True):
@@ -28,7 +29,10 @@
 
 
 def _has_pending_cause(event: Event, lines: dict[HostId, list[Event]]) -> bool:
-    """Tell whether an event that ``event`` had heard of is still to come."""
+    """Return whether an event that precedes ``event`` by causality isn't merged yet.
+
+    ``lines`` holds the events of each host that are not merged yet, the next one last.
+    """
     return any(
         host != event.host and host in lines and lines[host][-1].sequence <= sequence
         for host, sequence in event.seen.items()
@@ -36,7 +40,7 @@
 
 
 def event_fields(event: Event) -> dict[str, Any]:
-    """Return an event's fields for JSON."""
+    """Return the fields of ``event`` as JSON values."""
     return {
         "host": event.host,
         "sequence": event.sequence,
