--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,11 +1,11 @@
-"""Settings that hold for every test."""
+"""Settings of Hypothesis for every test: the same examples in each run, without a deadline."""
 
 from hypothesis import HealthCheck, settings
 
 settings.register_profile(
-    "same-verdict",
+    "deterministic",
     derandomize=True,
     deadline=None,
     suppress_health_check=[HealthCheck.too_slow],
 )
-settings.load_profile("same-verdict")
+settings.load_profile("deterministic")
--- a/tests/request/scripted_runtime.py
+++ b/tests/request/scripted_runtime.py
@@ -1,4 +1,7 @@
-"""A tier without sockets, threads or real time: waits move a manual clock from event to event."""
+"""A process for requests without sockets, threads or real time.
+
+A wait moves a manual clock from one scheduled event to the next.
+"""
 
 import heapq
 import itertools
@@ -13,45 +16,54 @@
 
 
 class ScriptedInbox:
+    """An inbox whose wait runs the events of ``runtime`` until a delivery arrives."""
+
     def __init__(self, runtime: "ScriptedRuntime") -> None:
         self.runtime = runtime
-        self.arrived: deque[Delivery] = deque()
+        self.deliveries: deque[Delivery] = deque()
 
     def put(self, item: Delivery) -> None:
-        self.arrived.append(item)
+        self.deliveries.append(item)
 
     def get(self, block: bool = True, timeout: float | None = None) -> Delivery:
         end = self.runtime.clock.now() + (timeout or 0.0) * 1000
-        while not self.arrived and self.runtime.run_next(end):
+        while not self.deliveries and self.runtime.run_next_event(end):
             pass
-        if not self.arrived:
+        if not self.deliveries:
             self.runtime.clock.current = Millis(max(end, self.runtime.clock.now()))
             raise Empty
-        return self.arrived.popleft()
+        return self.deliveries.popleft()
 
 
 class ScriptedRuntime:
-    """``react(host, message, deliver)`` plays the owners; ``deliver(delay, reply)`` answers."""
-
-    def __init__(self, text: str, react: Callable[[HostId, Any, Any], None]) -> None:
-        accepted = accept_text(text, Revision(1))
-        assert isinstance(accepted, Accepted)
-        self.accepted = accepted.configuration
-        self.react = react
+    """A runtime for requests whose owners are played by a function of the test.
+
+    ``respond(host, message, deliver)`` is called for every message that is sent to ``host``, and
+    ``deliver(delay, reply)`` sends a reply after ``delay`` milliseconds. A message to a host in
+    ``unreachable`` is not sent. A reply to a booking that nobody waits for any more goes to
+    ``record_late_outcome``.
+    """
+
+    def __init__(self, text: str, respond: Callable[[HostId, Any, Any], None]) -> None:
+        outcome = accept_text(text, Revision(1))
+        assert isinstance(outcome, Accepted)
+        self.accepted_configuration = outcome.configuration
+        self.respond = respond
         self.clock = ManualClock()
         self.events: list[tuple[float, int, Callable[[], None]]] = []
-        self.order = itertools.count()
+        self.event_numbers = itertools.count()
         self.catalogue = SnapshotCatalogue()
         self.gone: dict[Any, frozenset[Any]] = {}
         self.hosts = [HostId(f"h{n}") for n in range(3)]
-        self.closed: set[HostId] = set()
+        self.unreachable: set[HostId] = set()
         self.silent: set[HostId] = set()
-        self.forgotten: set[str] = set()
+        self.discarded_queries: set[str] = set()
         self.sent: list[tuple[HostId, Any]] = []
-        self.minted: set[str] = set()
-        self.learn: Callable[[Any, Any], None] = lambda query, outcome: None
+        self.own_tickets: set[str] = set()
+        self.record_late_outcome: Callable[[Any, Any], None] = lambda query, outcome: None
 
-    def run_next(self, end: float) -> bool:
+    def run_next_event(self, end: float) -> bool:
+        """Run the next event that is due by ``end``, and return whether there was one."""
         if not self.events or self.events[0][0] > end:
             return False
         when, _, action = heapq.heappop(self.events)
@@ -59,11 +71,12 @@
         action()
         return True
 
-    def at(self, delay: float, action: Callable[[], None]) -> None:
-        heapq.heappush(self.events, (self.clock.now() + delay, next(self.order), action))
+    def schedule(self, delay: float, action: Callable[[], None]) -> None:
+        """Run ``action`` after ``delay`` milliseconds of the manual clock."""
+        heapq.heappush(self.events, (self.clock.now() + delay, next(self.event_numbers), action))
 
     def configuration(self):
-        return self.accepted
+        return self.accepted_configuration
 
     def pin_snapshot(self, services, tried):
         return self.catalogue.choose_snapshot(services, self.gone, tried)
@@ -72,34 +85,34 @@
         published = {s.version for s in self.catalogue.snapshots}
         self.gone[service] = frozenset((published - set(held)) | {snapshot})
 
-    def admit(self, rank, number, scope):
+    def admit(self, rank, admission_number, scope):
         return None
 
     def owners(self, service):
-        return [host for host in self.hosts if host not in self.closed]
+        return [host for host in self.hosts if host not in self.unreachable]
 
     def open_inbox(self):
         return ScriptedInbox(self)
 
     def send(self, host, message, inbox):
-        if host in self.closed:
+        if host in self.unreachable:
             return NotRun(Reason.OWNER_LOST, Step.FORWARD, peer=host)
         self.sent.append((host, message))
 
         def deliver(delay: float, reply: Any) -> None:
             def put() -> None:
-                if inbox is not None and reply.query not in self.forgotten:
+                if inbox is not None and reply.query not in self.discarded_queries:
                     inbox.put(Delivery(host, reply))
                 elif isinstance(reply, BookReply):
-                    self.learn(reply.query, reply.outcome)
+                    self.record_late_outcome(reply.query, reply.outcome)
 
-            self.at(delay, put)
+            self.schedule(delay, put)
 
-        self.react(host, message, deliver)
+        self.respond(host, message, deliver)
         return None
 
     def discard_replies(self, query):
-        self.forgotten.add(query)
+        self.discarded_queries.add(query)
 
     def is_silent(self, host):
         return host in self.silent
@@ -111,4 +124,4 @@
         return None
 
     def is_own_ticket(self, ticket):
-        return ticket in self.minted
+        return ticket in self.own_tickets
--- a/tests/request/test_bench_audit.py
+++ b/tests/request/test_bench_audit.py
@@ -1,11 +1,11 @@
-"""The demo's audit of answers: it must find each kind of untruth."""
+"""The demo's audit of answers reports every kind of incorrect answer."""
 
 import pytest
 from bench.request import Searched, audit_answer
 
 NEEDED = {"a/s0": 1.0, "a/s1": 1.0, "b/s0": 2.0}
 LOG = [Searched("q.1", 1, ("a/s0", "a/s1")), Searched("other.1", 1, ("b/s0",))]
-HONEST = {
+CORRECT_ANSWER = {
     "query": "q",
     "snapshot": 1,
     "coverage": 0.5,
@@ -16,11 +16,11 @@
 
 
 class TestAudit:
-    def test_accepts_an_honest_answer(self):
-        assert audit_answer(HONEST, NEEDED, LOG) == []
+    def test_accepts_correct_answer(self):
+        assert audit_answer(CORRECT_ANSWER, NEEDED, LOG) == []
 
     @pytest.mark.parametrize(
-        "untruth",
+        "incorrect_fields",
         [
             {"coverage": 0.6},
             {"whole": True},
@@ -32,5 +32,5 @@
             {"snapshot": 2},
         ],
     )
-    def test_finds_an_untruth(self, untruth):
-        assert audit_answer({**HONEST, **untruth}, NEEDED, LOG)
+    def test_reports_incorrect_answer(self, incorrect_fields):
+        assert audit_answer({**CORRECT_ANSWER, **incorrect_fields}, NEEDED, LOG)
--- a/tests/request/test_booking_faults.py
+++ b/tests/request/test_booking_faults.py
@@ -1,4 +1,7 @@
-"""The real booking path, from ticket to searcher's connection, over a network that errs."""
+"""The booking path, from ticket to searcher's connection, over a network with faults.
+
+All parts of the path are real except the network, the clock and the searchers' connections.
+"""
 
 from collections import defaultdict
 
@@ -31,29 +34,38 @@
 from tests.texts import SMALL
 
 MINTER = HostId("h9")
-LOST = Unknown(Reason.SEARCHER_LOST, Step.UPSTREAM)
-SHED = NotRun(Reason.SEARCHER_SHED, Step.UPSTREAM)
+SEARCHER_LOST = Unknown(Reason.SEARCHER_LOST, Step.UPSTREAM)
+SEARCHER_SHED = NotRun(Reason.SEARCHER_SHED, Step.UPSTREAM)
 DELAYS = st.sampled_from([1.0, 1.0, 20.0, 250.0])
-COPIES = st.sampled_from([(1.0,), (1.0,), (1.0,), (250.0,), (1.0, 1.0), (1.0, 250.0), ()])
-NETWORK = st.fixed_dictionaries(
+COPY_DELAYS = st.sampled_from([(1.0,), (1.0,), (1.0,), (250.0,), (1.0, 1.0), (1.0, 250.0), ()])
+FAULT_PLANS = st.fixed_dictionaries(
     {
-        "book": COPIES,
-        "cancel": COPIES,
-        "reply": COPIES,
+        "book": COPY_DELAYS,
+        "cancel": COPY_DELAYS,
+        "reply": COPY_DELAYS,
         "idle": DELAYS,
         "service": DELAYS,
-        "searcher": st.sampled_from(["run", "run", "refuse", "refuse", "cut", "run then cut"]),
+        "searcher": st.sampled_from(
+            ["run", "run", "refuse", "refuse", "disconnect", "run then disconnect"]
+        ),
     }
 )
-"""The delays of each copy of a message, none where it is lost, and what the searcher does."""
+"""Plans for one booking: delays in milliseconds, and what the searcher does.
+
+``book``, ``cancel`` and ``reply`` give the delay of each copy of a message; a message without a
+copy is lost. ``idle`` is the delay until a connection is idle, and ``service`` the running time.
+"""
 
 
 class OwnerHost:
-    """A real owner; its searchers' connections follow the plan."""
+    """A host with a real owner, whose connections to searchers behave as the plan says.
+
+    ``runs`` lists the queries that ran, by ticket.
+    """
 
-    def __init__(self, runtime, searched):
+    def __init__(self, runtime, runs):
         self.runtime = runtime
-        self.searched = searched
+        self.runs = runs
         self.alive = True
         timeline = TimeLine(HostId("owner"), runtime.clock)
         versions = VersionStore(timeline, lambda configuration: None)
@@ -64,15 +76,15 @@
         self.owner = Owner(self.pools, versions, runtime.clock, lambda: 3)
         self.idle_connections = []
 
-    def receive(self, message, answer, plan):
+    def receive(self, message, send_reply, plan):
         if not self.alive:
             return
         match message:
             case Cancel():
                 self.owner.cancel(message)
             case Book():
-                self.owner.submit_booking(message, answer)
-                self.runtime.at(plan["idle"], lambda: self.add_idle(plan))
+                self.owner.submit_booking(message, send_reply)
+                self.runtime.schedule(plan["idle"], lambda: self.add_idle(plan))
 
     def add_idle(self, plan):
         for pool in self.pools.list_pools():
@@ -87,22 +99,27 @@
             return
         work = attempt.entry.work
 
-        def end():
+        def finish():
             if plan["searcher"].startswith("run"):
-                self.searched[work.ticket].append(work.query)
-            result = {"run": Ran("1"), "refuse": SHED}.get(plan["searcher"], LOST)
+                self.runs[work.ticket].append(work.query)
+            result = {"run": Ran("1"), "refuse": SEARCHER_SHED}.get(plan["searcher"], SEARCHER_LOST)
             if self.alive:
                 pool.finish(attempt, result)
 
-        self.runtime.at(plan["service"], end)
+        self.runtime.schedule(plan["service"], finish)
 
 
 class BookingMachine(RuleBasedStateMachine):
+    """Submits bookings under faults, and restarts the minter and the owners meanwhile.
+
+    ``results`` holds the ticket, the request and the outcome of each booking.
+    """
+
     def __init__(self):
         super().__init__()
-        self.runtime = ScriptedRuntime(SMALL, self.react)
+        self.runtime = ScriptedRuntime(SMALL, self.respond)
         self.runs = defaultdict(list)
-        self.told = []
+        self.results = []
         self.tickets = []
         self.requests = 0
         self.incarnation = 0
@@ -114,17 +131,17 @@
 
     @rule()
     def restart_minter(self):
-        """All tickets of the incarnation before are lost with it."""
+        """Restart the minter, which loses all tickets of its previous incarnation."""
         self.incarnation += 1
-        self.runtime.minted.clear()
+        self.runtime.own_tickets.clear()
         self.table = TicketTable(MINTER, Incarnation(self.incarnation), self.runtime.clock)
-        self.runtime.learn = self.table.record_late_outcome
+        self.runtime.record_late_outcome = self.table.record_late_outcome
         self.mint()
 
     @rule()
     def mint(self):
         self.tickets.append(self.table.mint())
-        self.runtime.minted.add(self.tickets[-1])
+        self.runtime.own_tickets.add(self.tickets[-1])
 
     @rule(host=st.sampled_from(["h0", "h1", "h2"]))
     def restart_owner(self, host):
@@ -134,39 +151,39 @@
     @rule(duration=st.sampled_from([30.0, 1000.0]))
     def let_time_pass(self, duration):
         end = self.runtime.clock.now() + duration
-        while self.runtime.run_next(end):
+        while self.runtime.run_next_event(end):
             pass
         self.runtime.clock.current = Millis(end)
 
-    @rule(plan=NETWORK, newest=st.booleans(), duplicate=st.booleans(), data=st.data())
+    @rule(plan=FAULT_PLANS, newest=st.booleans(), duplicate=st.booleans(), data=st.data())
     def book(self, plan, newest, duplicate, data):
-        """Submit a ticket, with a new request or with one that comes twice."""
+        """Submit a booking under a ticket, as a new request or as a duplicate of an earlier one."""
         ticket = self.tickets[-1] if newest else data.draw(st.sampled_from(self.tickets))
-        earlier = [request for used, request, _ in self.told if used == ticket]
+        earlier = [request for used, request, _ in self.results if used == ticket]
         self.requests += 1
         name = earlier[-1] if duplicate and earlier else QueryId(f"q{self.requests}")
         self.plan = plan
         outcome = run_booking(self.booking(ticket, name), self.table, self.runtime)
-        self.told.append((ticket, name, outcome))
+        self.results.append((ticket, name, outcome))
 
     def booking(self, ticket, name):
-        end = Millis(self.runtime.clock.now() + 200.0)
+        deadline = Millis(self.runtime.clock.now() + 200.0)
         incarnation = Incarnation(self.incarnation)
-        return Booking(name, ticket, MINTER, incarnation, "orders", Rank.URGENT, end, "{}")
+        return Booking(name, ticket, MINTER, incarnation, "orders", Rank.URGENT, deadline, "{}")
 
-    def react(self, host, message, deliver):
-        """Carry each copy of a message; a crash of the owner takes what is on the way."""
+    def respond(self, host, message, deliver):
+        """Deliver each copy of a message; copies in transit to an owner that restarts are lost."""
         if host not in self.owners:
             return
         owner, plan = self.owners[host], self.plan
 
-        def answer(reply):
+        def send_reply(reply):
             for delay in plan["reply"]:
                 deliver(delay, reply)
 
         copies = plan["book"] if isinstance(message, Book) else plan["cancel"]
         for delay in copies:
-            self.runtime.at(delay, lambda: owner.receive(message, answer, plan))
+            self.runtime.schedule(delay, lambda: owner.receive(message, send_reply, plan))
 
     @invariant()
     def runs_at_most_once(self):
@@ -174,7 +191,7 @@
 
     @invariant()
     def not_run_is_final_and_ran_is_true(self):
-        for ticket, request, outcome in self.told:
+        for ticket, request, outcome in self.results:
             if isinstance(outcome, NotRun):
                 assert request not in self.runs[ticket]
             if isinstance(outcome, Ran):
--- a/tests/request/test_owner_change.py
+++ b/tests/request/test_owner_change.py
@@ -1,4 +1,4 @@
-"""A search whose owners change under it."""
+"""A search while the owners of its services change."""
 
 import pytest
 
@@ -17,29 +17,29 @@
     @pytest.mark.parametrize(
         "reason", [Reason.NO_CONFIGURATION, Reason.UNKNOWN_SERVICE, Reason.SHUTTING_DOWN]
     )
-    def test_an_owner_that_lacks_the_service_is_passed_over(self, reason):
-        def react(host, ask, deliver):
+    def test_asks_next_owner_if_owner_lacks_service(self, reason):
+        def respond(host, ask, deliver):
             for part in ask.parts:
                 hits = Hits(1, part.shards, (Hit("x", 1.0, part.shards[0], "{}"),))
                 failure = NotRun(reason, Step.QUEUE, peer=host)
                 result = failure if host == "h0" else hits
                 deliver(1.0, Reply(ask.query, part.service, result))
 
-        runtime = ScriptedRuntime(SMALL, react)
+        runtime = ScriptedRuntime(SMALL, respond)
         runtime.catalogue = read_catalogue(CATALOGUE)
         services = (ServiceId("ledger/1"),)
         query = Query(QueryId("q"), Rank.URGENT, Millis(200.0), 0.5, services, "lamp", 10)
         assert run_search(query, runtime).whole
         assert [host for host, _ in runtime.sent] == ["h0", "h1"]
 
-    def test_a_silent_owner_that_was_left_is_told_to_stop(self):
-        def react(host, message, deliver):
+    def test_cancels_at_silent_owner_that_was_replaced(self):
+        def respond(host, message, deliver):
             if isinstance(message, Ask) and host == "h1":
                 for part in message.parts:
                     hits = Hits(1, part.shards, (Hit("x", 1.0, part.shards[0], "{}"),))
                     deliver(1.0, Reply(message.query, part.service, hits))
 
-        runtime = ScriptedRuntime(SMALL, react)
+        runtime = ScriptedRuntime(SMALL, respond)
         runtime.silent = {"h0"}
         runtime.catalogue = read_catalogue(CATALOGUE)
         services = (ServiceId("ledger/1"),)
--- a/tests/request/test_search_faults.py
+++ b/tests/request/test_search_faults.py
@@ -1,4 +1,8 @@
-"""The search under mixed faults, against a recount and a naive search over the same searchers."""
+"""Searches under combinations of faults.
+
+The coverage of each answer is compared with a recount, and the hits of a whole answer with a search
+of every searcher one after the other.
+"""
 
 import itertools
 import json
@@ -21,23 +25,23 @@
     "slow",
     "duplicate",
     "lost",
-    "wrong version",
-    "other version",
+    "other version gone",
+    "hits of other version",
     "failure",
     "owner lost",
 )
-DEADLINE = 230.0
+TIMEOUT_MS = 230.0
 
 
-class NaiveSearchers:
-    """The searchers' side: what each holds, and a log of what each answered."""
+class ReferenceSearchers:
+    """The searchers of all services: the snapshots that they hold, and a log of their answers."""
 
     def __init__(self):
         self.held = {service: set() for service in SERVICES}
         self.log = []
 
     def search(self, query, snapshot, service, shards, text):
-        """Answer as the stand-in does; ``None`` where the snapshot is not held."""
+        """Return the hits of one service, or ``None`` if it does not hold the snapshot."""
         if snapshot not in self.held[service]:
             return None
         self.log.append((query, snapshot, service, tuple(shards)))
@@ -50,12 +54,12 @@
 
 
 class SearchMachine(RuleBasedStateMachine):
-    """Rules set faults, of which several may be at work, and search through them."""
+    """Sets faults, several of which may apply at once, and searches under them."""
 
     def __init__(self):
         super().__init__()
-        self.searchers = NaiveSearchers()
-        self.runtime = ScriptedRuntime(SMALL, self.react)
+        self.searchers = ReferenceSearchers()
+        self.runtime = ScriptedRuntime(SMALL, self.respond)
         self.faults = {service: [] for service in SERVICES}
         self.numbers = itertools.count()
 
@@ -84,16 +88,16 @@
 
     @rule(service=st.sampled_from(SERVICES), fault=st.sampled_from(FAULTS), other=st.booleans())
     def set_faults(self, service, fault, other):
-        """Seed one fault, beside the last one where ``other`` is set."""
+        """Set one fault of a service, in addition to its latest one if ``other`` is set."""
         self.faults[service] = [*self.faults[service][-1:], fault] if other else [fault]
 
-    @rule(host=st.sampled_from(["h0", "h1", "h2"]), kind=st.sampled_from(["closed", "silent"]))
+    @rule(host=st.sampled_from(["h0", "h1", "h2"]), kind=st.sampled_from(["unreachable", "silent"]))
     def lose_owner(self, host, kind):
         getattr(self.runtime, kind).add(host)
 
     @rule()
     def recover(self):
-        self.runtime.closed.clear()
+        self.runtime.unreachable.clear()
         self.runtime.silent.clear()
         self.runtime.gone.clear()
         self.faults = {service: [] for service in SERVICES}
@@ -101,17 +105,17 @@
     @rule(rank=st.sampled_from(list(Rank)))
     def search(self, rank):
         name = QueryId(f"q{next(self.numbers)}")
-        end = Millis(self.runtime.clock.now() + DEADLINE)
+        end = Millis(self.runtime.clock.now() + TIMEOUT_MS)
         query = Query(name, rank, end, 0.5, (SERVICES[0],), "lamp", 50)
         result = run_search(query, self.runtime)
         assert self.runtime.clock.now() <= end
-        assert {m.query for _, m in self.runtime.sent} <= self.runtime.forgotten
+        assert {m.query for _, m in self.runtime.sent} <= self.runtime.discarded_queries
         if isinstance(result, Answer):
             self.check_answer(result, name)
         else:
             assert isinstance(result, NotRun)
 
-    def react(self, host, message, deliver):
+    def respond(self, host, message, deliver):
         if isinstance(message, Ask) and host not in self.runtime.silent:
             for part in message.parts:
                 self.answer_part(message, part, deliver)
@@ -125,11 +129,11 @@
         if "failure" in faults:
             lost = Unknown(Reason.SEARCHER_LOST, Step.UPSTREAM)
             deliver(delay, Reply(ask.query, part.service, lost))
-        if "other version" in faults:
+        if "hits of other version" in faults:
             shards = part.shards
             wrong = Hits(ask.snapshot + 1, shards, self.searchers.hits(999, shards, ask.text))
             deliver(delay / 2, Reply(ask.query, part.service, wrong))
-        if "wrong version" in faults:
+        if "other version gone" in faults:
             deliver(delay / 2, Reply(ask.query, part.service, VersionGone(ask.snapshot - 1, ())))
         if "lost" in faults:
             return
@@ -143,31 +147,31 @@
     def check_answer(self, answer, name):
         (snapshot,) = (s for s in self.runtime.catalogue.snapshots if s.version == answer.snapshot)
         weights = {s: w for service in SERVICES for s, w in snapshot.shards_of(service).items()}
-        counted = Counter(hit.shard for hit in answer.hits)
-        assert set(counted) <= set(weights)
-        assert set(counted.values()) <= {1}
+        hits_per_shard = Counter(hit.shard for hit in answer.hits)
+        assert set(hits_per_shard) <= set(weights)
+        assert set(hits_per_shard.values()) <= {1}
         assert {hit.document for hit in answer.hits} <= {str(answer.snapshot)}
-        self.check_coverage(answer, snapshot, weights, counted)
+        self.check_coverage(answer, snapshot, weights, hits_per_shard)
         logged = {
             shard
             for query, version, _, shards in self.searchers.log
             for shard in shards
             if query.startswith(f"{name}.") and version == answer.snapshot
         }
-        assert set(counted) <= logged
+        assert set(hits_per_shard) <= logged
         if answer.whole:
             assert answer.hits == self.search_naively(snapshot)
 
-    def check_coverage(self, answer, snapshot, weights, counted):
+    def check_coverage(self, answer, snapshot, weights, hits_per_shard):
         mapped = sum(bool(snapshot.shards_of(service)) for service in SERVICES)
         share = mapped / len(SERVICES)
-        true = share * sum(weights[shard] for shard in counted) / sum(weights.values())
+        true = share * sum(weights[shard] for shard in hits_per_shard) / sum(weights.values())
         assert abs(answer.coverage - true) < 1e-9
-        assert {m.shard for m in answer.missing if m.shard} == set(weights) - set(counted)
+        assert {m.shard for m in answer.missing if m.shard} == set(weights) - set(hits_per_shard)
         assert answer.whole == (true == 1.0)
 
     def search_naively(self, snapshot):
-        """Ask every searcher directly, one after the other, and sort what they say."""
+        """Return the sorted hits of all searchers, which are searched directly one by one."""
         found = []
         for service in SERVICES:
             found += self.searchers.hits(snapshot.version, snapshot.shards_of(service), "lamp")
@@ -180,7 +184,7 @@
 
 
 class TestSearchUnderFaults(SearchMachine.TestCase):
-    """Runs the machine."""
+    """Runs the rules of the state machine in generated sequences."""
 
 
 class TestSearch:
@@ -193,7 +197,7 @@
         machine.publish_first()
         return machine
 
-    def test_keeps_the_other_services_where_the_only_snapshot_is_gone_from_one(self):
+    def test_answers_without_service_that_lacks_the_only_snapshot(self):
         machine = self.machine()
         machine.searchers.held[SERVICES[1]].clear()
         machine.faults[SERVICES[0]] = ["slow"]
@@ -201,35 +205,35 @@
         assert answer.coverage == 0.5
         assert {m.failure.reason for m in answer.missing} == {Reason.VERSION_GONE}
 
-    def test_goes_on_where_a_version_it_did_not_ask_for_is_gone(self):
+    def test_ignores_version_gone_for_other_snapshot(self):
         machine = self.machine()
-        machine.faults[SERVICES[1]] = ["wrong version", "duplicate"]
+        machine.faults[SERVICES[1]] = ["other version gone", "duplicate"]
         assert self.search(machine).whole
 
-    def test_restarts_whole_on_an_older_snapshot(self):
+    def test_restarts_on_older_snapshot_if_newest_is_gone(self):
         machine = self.machine()
         machine.publish_snapshot(3, 1)
         machine.searchers.held[SERVICES[1]].discard(2)
         answer = self.search(machine)
         assert answer.whole and answer.snapshot == 1
 
-    def test_leaves_a_silent_owner_though_other_replies_keep_coming(self):
+    def test_replaces_silent_owner_while_other_replies_arrive(self):
         machine = self.machine()
         silent = machine.runtime.hosts[0]
 
-        def react(host, message, deliver):
+        def respond(host, message, deliver):
             if host == silent and isinstance(message, Ask):
                 for delay in range(5, 200, 5):
-                    strange = Hits(99, (), ())
-                    deliver(delay, Reply(message.query, SERVICES[0], strange))
+                    unusable = Hits(99, (), ())
+                    deliver(delay, Reply(message.query, SERVICES[0], unusable))
             else:
-                machine.react(host, message, deliver)
+                machine.respond(host, message, deliver)
 
-        machine.runtime.react = react
+        machine.runtime.respond = respond
         machine.runtime.silent.add(silent)
         assert self.search(machine).whole
 
-    def test_a_service_that_the_shard_map_lacks_is_missing(self):
+    def test_reports_service_without_shards_as_missing(self):
         machine = self.machine()
         machine.publish_snapshot(2, 0)
         answer = self.search(machine)
--- a/tests/test_operators_pages.py
+++ b/tests/test_operators_pages.py
@@ -1,4 +1,4 @@
-"""The operators' pages name what the code reads."""
+"""The operators' pages describe the settings, names and commands that the code has."""
 
 import re
 import shlex
@@ -42,7 +42,7 @@
 
 
 def rows_of(page: str) -> dict[str, str]:
-    """Return the default that the page's table gives for each key."""
+    """Return the default of each key according to the table of ``page``."""
     text = (PAGES / page).read_text(encoding="utf-8")
     rows = re.findall(r"^\| `([^`]+)` \| ([^|]*) \| ([^|]*) \| .+ \|$", text, re.MULTILINE)
     return {key: default.strip("` ") for key, _, default in rows}
@@ -70,10 +70,10 @@
 
 class TestPages:
     @pytest.mark.parametrize(("page", "models"), [("settings.md", SETTINGS), ("text.md", TEXT)])
-    def test_give_each_key_with_its_default_and_no_other(self, page, models):
+    def test_list_exactly_the_keys_with_their_defaults(self, page, models):
         assert rows_of(page) == defaults_of(models)
 
-    def test_show_settings_that_a_host_takes(self):
+    def test_show_valid_settings(self):
         page = (PAGES / "settings.md").read_text(encoding="utf-8")
         example = "".join(line for line in page.splitlines(True) if line.startswith("    "))
         assert isinstance(check_settings(example, "example"), Settings)
@@ -84,13 +84,13 @@
 
 
 def table_names(path: Path) -> set[str]:
-    """Return the names in code style in the first column of the page's tables."""
+    """Return the names in code style in the first column of the tables of a page."""
     cells = re.findall(r"^\| (`[^|]*) \|", path.read_text(encoding="utf-8"), re.MULTILINE)
     return {name for cell in cells for name in re.findall(r"`([^`]+)`", cell)}
 
 
 def metric_names() -> set[str]:
-    """Return the names of the metrics in the code, as the page writes them."""
+    """Return the names of the metrics in the code, spelled as on the page."""
     sources = (ROOT / "src").rglob("*.py")
     found = [name for path in sources for name in METRIC.findall(path.read_text(encoding="utf-8"))]
     named = [name.replace("{rank.label}", "RANK") for name in found]
@@ -98,19 +98,19 @@
 
 
 class TestNames:
-    def test_of_all_reasons_that_a_caller_can_get_are_explained(self):
+    def test_of_all_reasons_for_callers_are_documented(self):
         reasons = {reason.value for reason in Reason if reason not in NOT_FOR_CALLERS}
         assert reasons <= table_names(ROOT / "docs" / "API.md")
 
-    def test_of_all_events_and_no_others_are_explained(self):
+    def test_of_exactly_the_timeline_events_are_documented(self):
         assert table_names(PAGES / "timeline.md") == {kind.value for kind in EventKind}
 
-    def test_of_all_metrics_and_no_others_are_explained(self):
+    def test_of_exactly_the_metrics_are_documented(self):
         page = (ROOT / "docs" / "METRICS.md").read_text(encoding="utf-8")
         table = page.partition("## Suggested alerts")[0]
         assert set(re.findall(r"^\| `([^`]+)` \|", table, re.MULTILINE)) == metric_names()
 
-    def test_of_all_log_events_and_no_others_are_explained(self):
+    def test_of_exactly_the_log_events_are_documented(self):
         page = (ROOT / "docs" / "LOGS.md").read_text(encoding="utf-8")
         rows = re.findall(r"^\| ([^|]+) \| [^|]+ \| [^|]+ \|$", page, re.MULTILINE)
         names = [name for row in rows for name in re.findall(r"`([^`]+)`", row)]
@@ -133,7 +133,7 @@
             ("{", "x:1:2: Expecting property name"),
         ],
     )
-    def test_are_refused_with_place_expectation_and_finding(self, text, words):
+    def test_problem_states_position_expectation_and_value(self, text, words):
         problems = check_settings(text, "x").problems
         assert any(problem.startswith(words) for problem in problems), problems
 
@@ -142,7 +142,7 @@
 
 
 def commands() -> list[str]:
-    """Return every command that a page shows on a line of its own, but for ``serve``."""
+    """Return every command that a page shows on a line of its own, except ``serve``."""
     shown = [
         line
         for page in sorted(PAGES.glob("*.md"))
@@ -159,7 +159,7 @@
 
 
 class TestShownCommands:
-    def test_there_are_some(self):
+    def test_include_the_main_commands(self):
         assert {"check", "query", "book", "status", "timeline"} <= {
             c.split()[0] for c in commands()
         }
--- a/tests/texts.py
+++ b/tests/texts.py
@@ -1,11 +1,11 @@
-"""Operators' texts that tests share."""
+"""Texts of operators that are shared by tests."""
 
 from pathlib import Path
 
 EXAMPLES = Path(__file__).resolve().parents[1] / "examples"
 
 SMALL = """
-// Two departments; the desk needs the ledger.
+// Three departments; the desk's service depends on the ledger's.
 {
   "format": 1,
   "deployment": "small",
@@ -32,5 +32,5 @@
 
 
 def example(name: str) -> str:
-    """Return one of the example texts."""
+    """Return the text ``name`` of the examples folder."""
     return (EXAMPLES / f"{name}.jsonc").read_text(encoding="utf-8")
--- a/tests/version/test_placement.py
+++ b/tests/version/test_placement.py
@@ -1,4 +1,4 @@
-"""Which hosts own which services."""
+"""The owners of services, and the connections that each owner may open."""
 
 from collections import Counter
 
@@ -22,21 +22,21 @@
 
 
 class TestOwnerTable:
-    def test_gives_every_service_with_searchers_an_owner(self, configuration):
+    def test_assigns_an_owner_to_every_service_with_searchers(self, configuration):
         table = owner_table(configuration, hosts(7))
         assert set(table) == {s.id for s in configuration.services.values() if s.searchers}
         assert all(owners for owners in table.values())
 
-    def test_is_the_same_whatever_the_order_of_the_hosts(self, configuration):
+    def test_is_independent_of_the_order_of_hosts(self, configuration):
         assert owner_table(configuration, hosts(7)) == owner_table(configuration, hosts(7)[::-1])
 
-    def test_shares_the_services_of_a_department_evenly(self, configuration):
+    def test_distributes_services_of_a_department_evenly(self, configuration):
         table = owner_table(configuration, hosts(7))
-        wide = [s for s in table if "/01" in s][0].split("/")[0]
-        owned = Counter(owners[0] for s, owners in table.items() if s.startswith(f"{wide}/"))
+        department = [s for s in table if "/01" in s][0].split("/")[0]
+        owned = Counter(owners[0] for s, owners in table.items() if s.startswith(f"{department}/"))
         assert max(owned.values()) <= 5
 
-    def test_reaches_few_owners_however_many_hosts_there_are(self, configuration):
+    def test_limits_owners_of_a_department_whatever_the_host_count(self, configuration):
         table = owner_table(configuration, hosts(300))
         for department in configuration.departments:
             services = [
@@ -51,14 +51,12 @@
 class TestServiceConnections:
     @pytest.mark.parametrize("listed", range(1, 9))
     @pytest.mark.parametrize(("slots", "limit"), [(2, 25), (2, 100), (3, 40)])
-    def test_all_candidate_owners_together_stay_within_the_limit(self, listed, slots, limit):
+    def test_sum_over_candidate_owners_stays_within_limit(self, listed, slots, limit):
         searcher = Searcher("s", "127.0.0.1:1", "north", slots, limit)
         assert listed * connections_per_owner(searcher, listed) <= limit
 
     @pytest.mark.parametrize(("slots", "limit"), [(2, 25), (2, 100), (3, 40)])
-    def test_owners_that_count_hosts_differently_stay_within_the_limits_of_today(
-        self, slots, limit
-    ):
+    def test_sum_stays_within_current_limits_if_owners_count_hosts_differently(self, slots, limit):
         searcher = Searcher("s", "127.0.0.1:1", "north", slots, limit)
         largest = max(connections_per_owner(searcher, listed) for listed in range(1, 20))
         assert MAX_OWNER_CANDIDATES * largest <= limit
--- a/tests/version/test_sections.py
+++ b/tests/version/test_sections.py
@@ -1,4 +1,4 @@
-"""Sections of an accepted text, and the choice of watchers."""
+"""Sections of an accepted text, and the choice of the hosts that watch the platform."""
 
 import dataclasses
 
@@ -37,19 +37,19 @@
 
 class TestSections:
     @pytest.mark.parametrize("text", TEXTS)
-    def test_make_the_same_configuration_again(self, text):
+    def test_rebuild_the_same_configuration(self, text):
         configuration = configuration_of(text)
         sections = split_sections(configuration)
         rebuilt = configuration_of(sections.to_text())
         assert rebuilt == configuration
         assert split_sections(rebuilt) == sections
 
-    def test_are_the_same_whatever_the_comments_and_the_order(self):
+    def test_are_independent_of_comments_and_order(self):
         moved = SMALL.replace('"desk": {}, "ledger": {}', '"ledger": {}, /* x */ "desk": {}')
         assert moved != SMALL
         assert split_sections(configuration_of(moved)) == split_sections(configuration_of(SMALL))
 
-    def test_of_one_department_alone_travel_after_its_edit(self):
+    def test_push_contains_only_the_edited_department(self):
         text = example("kerala")
         before = split_sections(configuration_of(text))
         after = split_sections(configuration_of(edit_of(text), 2))
@@ -60,14 +60,14 @@
         assert len(encode_message(push)) * 10 < len(whole)
         assert decode_message(encode_message(push)) == push
 
-    def test_of_a_removed_department_go(self):
+    def test_push_removes_section_of_removed_department(self):
         before = split_sections(configuration_of(SMALL))
         after = Sections({id: text for id, text in before.texts.items() if id != "orders"})
         push = after.changes_since(Revision(1), before.digests, Revision(2))
         assert (push.changed, push.removed) == ((), ("orders",))
         assert before.apply(push) == after
 
-    def test_of_another_text_are_noticed(self):
+    def test_push_is_rejected_with_other_base_or_damaged_section(self):
         before = split_sections(configuration_of(SMALL))
         after = split_sections(configuration_of(SMALL.replace('"slots": 2', '"slots": 3', 1)))
         push = after.changes_since(Revision(1), before.digests, Revision(2))
@@ -81,7 +81,7 @@
             st.sampled_from([HEAD_SECTION, "a"]), st.sampled_from(["{", "[]", "{}", "1"])
         )
     )
-    def test_that_are_none_join_to_nothing(self, texts):
+    def test_invalid_sections_have_no_text(self, texts):
         assert Sections(texts).to_text() in (None, '{"departments":{},"services":{}}')
 
 
@@ -93,17 +93,17 @@
         return [h for h in usable if should_watch(h, self.domain, usable, reachable)]
 
     @pytest.mark.parametrize("count", [1, 2, 3, 9])
-    def test_are_two_however_many_hosts_there_are(self, count):
+    def test_are_two_whatever_the_host_count(self, count):
         assert len(self.watchers(self.hosts, self.hosts[:count])) == min(2, count)
 
-    def test_are_replaced_where_none_can_be_reached(self):
+    def test_are_replaced_if_none_is_reachable(self):
         ranked = rank_hosts(f"watchers:{self.domain}", self.hosts)
         others = self.watchers(ranked[2:])
         assert set(others) == set(ranked[:4])
 
-    def test_are_not_replaced_while_one_can_be_reached(self):
+    def test_are_not_replaced_while_one_is_reachable(self):
         ranked = rank_hosts(f"watchers:{self.domain}", self.hosts)
         assert set(self.watchers(ranked[1:])) == set(ranked[:2])
 
-    def test_a_host_cut_off_from_all_watches_for_itself(self):
+    def test_include_every_host_that_reaches_no_other(self):
         assert self.watchers(()) == list(self.hosts)
