--- a/src/masticgate/process/gateway/_fleet.py
+++ b/src/masticgate/process/gateway/_fleet.py
@@ -88,6 +88,10 @@
 
     It chooses a searcher for each call, and opens, reuses and closes the connections. The tasks of
     the connections report what happens through the ``handle_`` methods.
+
+    ``accepted_connections`` is the number of connections that one searcher of a service accepts
+    from all gateways together. ``drained_start_times`` has the start of each searcher that drained,
+    so that a late listing of that start does not put it back into use.
     """
 
     def __init__(
@@ -132,8 +136,9 @@
     def send(self, call: Call, tried: set[SearcherId]) -> DispatchedCall | NotRun:
         """Send ``call`` to the best searcher of its service that is not in ``tried``.
 
-        A retry may go to an ejected searcher if there is no other. Return why the call was not sent
-        if no searcher is usable, all connections are busy, or no task can be started.
+        If all others are ejected, a request that failed at one searcher is still sent to one of
+        them, unless it is a hedge. Return why the call was not sent if no searcher is usable, all
+        connections are busy, or no task can be started.
         """
         while True:
             with self.lock:
@@ -205,8 +210,8 @@
     def handle_close(self, task: SearcherTask, *, connected: bool) -> None:
         """Remove a closed connection from its searcher.
 
-        If it never connected and was opened without a call, count that as a failure of the
-        searcher. Otherwise the outcome of its call has been recorded already.
+        A connection that was opened without a call and never connected counts as a failure of the
+        searcher. The outcomes of calls are recorded by :meth:`handle_outcome`.
         """
         with self.lock:
             replica = self.tasks.pop(task)
@@ -351,7 +356,9 @@
         cost = replica.cost(now) + (CROSS_DOMAIN_COST if in_other_domain else 0.0)
         return replica.state is ReplicaState.LEAVING, cost
 
-    def _open_connection(self, replica: Replica, first: Call | None = None) -> SearcherTask | None:
+    def _open_connection(
+        self, replica: Replica, initial_call: Call | None = None
+    ) -> SearcherTask | None:
         """Start the task of a new connection; return ``None`` if no task can be started.
 
         The lock is held.
@@ -361,7 +368,9 @@
             self.peer_header_names if entry.service == PEER_SERVICE else self.header_names
         )
         number = ConnectionNumber(next(self.connection_numbers))
-        task = SearcherTask(entry.id, entry.address, self, header_names, self.clock, first, number)
+        task = SearcherTask(
+            entry.id, entry.address, self, header_names, self.clock, initial_call, number
+        )
         replica.connection_count += 1
         self.tasks[task] = replica
         refusal = self.starter.start(task.run)
@@ -477,8 +486,8 @@
 
     def _is_replacement(self, known: SearcherEntry, entry: SearcherEntry) -> bool:
         """Return whether a listing has another start, address or service than the known one."""
-        same = (known.born, known.address, known.service)
-        return same != (entry.born, entry.address, entry.service)
+        known_start = (known.born, known.address, known.service)
+        return known_start != (entry.born, entry.address, entry.service)
 
     def _add(self, entry: SearcherEntry, now: Millis) -> Replica:
         replica = Replica(entry, self._max_connections(entry.service), now)
--- a/src/masticgate/process/gateway/_follower.py
+++ b/src/masticgate/process/gateway/_follower.py
@@ -51,10 +51,10 @@
 MAX_RETRY_DELAY_UNREADY = Millis(300.0)
 """The upper bound on the retry delay while there is no configuration.
 
-It is shorter than ``MAX_RETRY_DELAY``, since a gateway without a configuration serves nothing.
+It is shorter than ``MAX_RETRY_DELAY``, since a gateway without a configuration serves nothing and
+has to notice soon that the platform is available again.
 """
 
-
 RELIST_TIMEOUT = Millis(2_300.0)
 """How long a removed listing may take to return after the platform became available again.
 
@@ -66,7 +66,9 @@
 class Follower:
     """Keeps the route table and the fleet up to date; :meth:`run` is its task.
 
-    While the platform is unavailable, the last known state stays in force.
+    While the platform is unavailable, the last known state stays in force. ``held_searchers`` are
+    those whose listing was removed while or just after the platform was unavailable; they stay in
+    use until ``RELIST_TIMEOUT`` has passed.
     """
 
     def __init__(
--- a/src/masticgate/process/gateway/_relay.py
+++ b/src/masticgate/process/gateway/_relay.py
@@ -1,6 +1,7 @@
 """Relays the platform's catalogue between gateways, so that only few of them read the platform.
 
-A seed keeps the catalogue and its latest changes, and serves them to the other gateways over HTTP.
+The catalogue is the configuration and the listings of the searchers. A relay keeps the catalogue
+and its latest changes, and serves them to the other gateways over HTTP.
 """
 
 import json
