--- a/src/masticgate/connection/__init__.py
+++ b/src/masticgate/connection/__init__.py
@@ -1,4 +1,4 @@
-"""What lives as long as one connection: sockets, codecs and the tasks that serve them."""
+"""Everything that lives as long as one connection: sockets, codecs and the tasks that use them."""
 
 from typing import TYPE_CHECKING, Any
 
--- a/src/masticgate/connection/_address.py
+++ b/src/masticgate/connection/_address.py
@@ -1,4 +1,4 @@
-"""Addresses of sockets."""
+"""Functions that open sockets: connecting to an address, listening on one and accepting."""
 
 import socket
 from collections.abc import Callable, Iterator
@@ -9,11 +9,14 @@
 from .._ids import Address, Millis
 
 ACCEPT_RETRY_DELAY_S = 0.05
-"""After a failed accept, which is for want of a descriptor: until some connection ended."""
+"""The pause after a failed accept, in seconds.
+
+An accept fails when the process has no free file descriptor; one is free once a connection ends.
+"""
 
 
 def split_address(address: Address) -> tuple[str, int]:
-    """Return the IP number and the port of ``address``."""
+    """Return the IP address and the port of ``address``."""
     number, _, port = address.rpartition(":")
     return number, int(port)
 
@@ -34,7 +37,10 @@
 def accept_connections(
     accept: Callable[[], tuple[socket.socket, Any]], stopped: Callable[[], bool]
 ) -> Iterator[tuple[socket.socket, Any]]:
-    """Yield accepted connections until ``stopped``, pausing where none can be accepted."""
+    """Yield accepted connections until ``stopped`` returns ``True``.
+
+    After an accept that failed there is a pause before the next one.
+    """
     while not stopped():
         try:
             accepted = accept()
--- a/src/masticgate/connection/_caller_app.py
+++ b/src/masticgate/connection/_caller_app.py
@@ -1,4 +1,8 @@
-"""The callers' and operators' HTTP interface, as one werkzeug application."""
+"""The HTTP interface for callers and operators, as one werkzeug application.
+
+It checks the input, passes it to the process and encodes the outcome as JSON. The connections are
+served elsewhere.
+"""
 
 import json
 import math
@@ -17,10 +21,17 @@
 from ..request import Answer, BookingOutcome, Ran
 
 MAX_REMAINING_MS = Millis(60_000.0)
+"""The longest time that a caller may state to wait for its answer."""
+
 RETRY_AFTER_SECONDS = 1
+"""The value of the ``Retry-After`` header in responses that invite to send a request again."""
+
 MAX_SERVICES = 1000
+"""The most services that one search may name."""
+
 MAX_TEXT_CHARACTERS = 4000
 MAX_LIMIT = 1000
+"""The most hits that one search may ask for."""
 
 
 class _Body(BaseModel):
@@ -53,7 +64,11 @@
 
 @dataclass(frozen=True, slots=True)
 class SearchRequest:
-    """A checked search, before it has a deadline on a clock."""
+    """A search whose input was checked.
+
+    ``remaining`` is how long the caller waits for the answer; the process turns it into a deadline
+    on its own clock. ``limit`` is the number of hits to return.
+    """
 
     services: tuple[ServiceId, ...]
     text: str
@@ -64,7 +79,10 @@
 
 @dataclass(frozen=True, slots=True)
 class BookingRequest:
-    """A checked booking."""
+    """A booking whose input was checked.
+
+    ``remaining`` is how long the caller waits for the outcome. ``payload`` is JSON.
+    """
 
     ticket: TicketId
     service: ServiceId
@@ -74,26 +92,26 @@
 
 
 class CallerHandler(Protocol):
-    """What the process does for callers and operators."""
+    """Serves the requests of callers and operators, in the process that has the application."""
 
     def search(self, request: SearchRequest) -> Answer | NotRun:
-        """Run a search."""
+        """Return the answer to a search, or why it did not run."""
         ...
 
     def mint_ticket(self) -> TicketId | NotRun:
-        """Return a ticket for one booking."""
+        """Return a new ticket, which allows one booking, or why there is none."""
         ...
 
     def book(self, request: BookingRequest) -> BookingOutcome:
-        """Run a booking at most once."""
+        """Run a booking, at most once for its ticket, and return its outcome."""
         ...
 
     def status(self) -> dict[str, Any]:
-        """Return what ``masticgate status`` shows."""
+        """Return the values that the command ``masticgate status`` shows."""
         ...
 
     def events(self) -> list[dict[str, Any]]:
-        """Return the time line's events."""
+        """Return the events of this host's timeline."""
         ...
 
 
@@ -108,8 +126,13 @@
     Reason.DEPARTMENT_LEFT: 410,
 }
 UNKNOWN_STATUS = 504
+"""The status of a response to work that may or may not have run."""
+
 DEFAULT_NOT_RUN_STATUS = 503
+"""The status for work that did not run, for a reason that has no status of its own above."""
+
 STATUSES_TO_RETRY = frozenset({429, 503})
+"""The statuses with which the caller may send the request again later."""
 
 URLS = Map(
     [
@@ -123,7 +146,10 @@
 
 
 class CallerApp:
-    """Turns HTTP requests into checked requests, and outcomes into responses."""
+    """Converts HTTP requests to checked requests, and their outcomes to HTTP responses.
+
+    ``max_body_bytes`` bounds the body of a request.
+    """
 
     def __init__(self, handler: CallerHandler, max_body_bytes: int) -> None:
         self.handler = handler
@@ -138,7 +164,7 @@
         return response(environ, start_response)
 
     def respond(self, request: Request) -> Response:
-        """Return the response to ``request``; bad input becomes a 4xx response."""
+        """Return the response to ``request``, with a 4xx status if its input is invalid."""
         try:
             endpoint, _ = URLS.bind_to_environ(request.environ).match()
             return self._dispatch(endpoint, request)
@@ -213,7 +239,7 @@
 
 
 def failure_response(failure: Failure) -> Response:
-    """Return the response that says what did not happen, and whether it is certain."""
+    """Return the response for work that did not run, or that may or may not have run."""
     if isinstance(failure, NotRun):
         status = STATUS_BY_REASON.get(failure.reason, DEFAULT_NOT_RUN_STATUS)
         outcome = "not_run"
@@ -227,7 +253,7 @@
 
 
 def failure_fields(failure: Failure) -> dict[str, str]:
-    """Return a failure's fields for JSON."""
+    """Return the fields of a failure in a JSON response."""
     return {
         "reason": failure.reason.value,
         "step": failure.step.value,
@@ -267,7 +293,7 @@
 
 
 def _round_down(coverage: float) -> float:
-    """Round to six figures, but never up: a coverage must not look higher than it is."""
+    """Round down to six decimal places, so that the coverage never seems higher than it is."""
     return math.floor(coverage * 1e6) / 1e6
 
 
@@ -284,7 +310,7 @@
     try:
         return Rank.from_label(label)
     except KeyError:
-        return NotRun(Reason.BAD_REQUEST, Step.READ, detail=f"no rank {label!r}")
+        return NotRun(Reason.BAD_REQUEST, Step.READ, detail=f"unknown rank {label!r}")
 
 
 def _parse_json_or_text(text: str) -> Any:
--- a/src/masticgate/connection/_caller_client.py
+++ b/src/masticgate/connection/_caller_client.py
@@ -1,4 +1,7 @@
-"""A caller's client: one connection to one entry host."""
+"""The client for the callers' HTTP interface of an entry host.
+
+The entry host is the host that a caller sends its request to.
+"""
 
 import json
 from dataclasses import dataclass
@@ -8,46 +11,50 @@
 from ._http_connection import HttpConnection, HttpFailure, HttpReply
 
 RESPONSE_MARGIN = Millis(500.0)
-"""Waited beyond the request's own deadline for the answer to arrive."""
+"""How long the client waits for the response after the remaining time of the request is over."""
 
 DEFAULT_TIMEOUT = Millis(5000.0)
+"""The time limit of a request that states no remaining time."""
 
 
 @dataclass(frozen=True, slots=True)
 class CallerReply:
-    """An entry host's answer: the HTTP status and the JSON body."""
+    """The response of an entry host: its HTTP status and its JSON body."""
 
     status: int
     body: dict[str, Any]
 
 
 class CallerClient:
-    """Calls one entry host; a lost connection is returned as :class:`HttpFailure`."""
+    """Sends requests to one entry host over one connection.
+
+    A request without a complete response returns :class:`HttpFailure`.
+    """
 
     def __init__(self, address: Address) -> None:
         self.address = address
         self.connection = HttpConnection(address)
 
     def search(self, body: dict[str, Any]) -> CallerReply | HttpFailure:
-        """Run a search; it is idempotent."""
+        """Run a search, which may be repeated since it changes nothing."""
         timeout = Millis(float(body["remaining_ms"]) + RESPONSE_MARGIN)
         return _read(self.connection.post("/v1/search", json.dumps(body).encode(), timeout))
 
     def mint_ticket(self) -> CallerReply | HttpFailure:
-        """Ask for a ticket for one booking."""
+        """Return a response with a ticket, which allows one booking."""
         return _read(self.connection.post("/v1/tickets", b"", DEFAULT_TIMEOUT))
 
     def book(self, body: dict[str, Any]) -> CallerReply | HttpFailure:
-        """Submit a booking; with the same ticket this may be repeated through any host."""
+        """Submit a booking; with the same ticket it may be submitted again through any host."""
         timeout = Millis(float(body["remaining_ms"]) + RESPONSE_MARGIN)
         return _read(self.connection.post("/v1/bookings", json.dumps(body).encode(), timeout))
 
     def status(self) -> CallerReply | HttpFailure:
-        """Return the host's status."""
+        """Return a response with the status of the host."""
         return _read(self.connection.get("/v1/status", DEFAULT_TIMEOUT))
 
     def events(self) -> CallerReply | HttpFailure:
-        """Return the events of the host's time line."""
+        """Return a response with the events of the host's timeline."""
         return _read(self.connection.get("/v1/events", DEFAULT_TIMEOUT))
 
     def close(self) -> None:
@@ -61,7 +68,7 @@
     try:
         body = json.loads(reply.body)
     except ValueError:
-        return HttpFailure(True, f"status {reply.status} without JSON")
+        return HttpFailure(True, f"status {reply.status} with a body that is not JSON")
     if not isinstance(body, dict):
-        return HttpFailure(True, f"status {reply.status} without a JSON object")
+        return HttpFailure(True, f"status {reply.status} with a body that is not a JSON object")
     return CallerReply(reply.status, body)
--- a/src/masticgate/connection/_caller_server.py
+++ b/src/masticgate/connection/_caller_server.py
@@ -1,4 +1,4 @@
-"""One task for each caller's connection: HTTP/1.1 with keep-alive."""
+"""The HTTP/1.1 server for callers, with one task for each connection and keep-alive."""
 
 import socket
 from concurrent.futures import Executor
@@ -18,10 +18,14 @@
 from ._caller_app import CallerApp, failure_response
 
 MAX_DISCARDED_BYTES = 1_000_000
+"""The most bytes of a refused body that are read before the connection is closed."""
 
 
 class CallerConnection(BaseHTTPRequestHandler):
-    """Serves one caller, one request after another."""
+    """Serves the requests of one connection, one after another, until it ends.
+
+    The base class parses a request and calls :meth:`do_GET` or :meth:`do_POST`.
+    """
 
     protocol_version = "HTTP/1.1"
     server_version = "masticgate"
@@ -31,13 +35,13 @@
     server: "CallerServer"  # type: ignore[assignment]
 
     def setup(self) -> None:
-        """Set the longest wait for a caller that sends nothing."""
+        """Set the timeout of reads and writes, after which the connection is closed."""
         self.connection = self.request
         self.connection.settimeout(self.server.timeout / MILLIS_PER_SECOND)
         super().setup()
 
     def parse_request(self) -> bool:
-        """Parse a request whose first line came; from now on it is in progress."""
+        """Parse a request whose first line was received; the connection is no longer idle."""
         with self.server.lock:
             self.server.idle_connections.discard(self.connection)
         return super().parse_request()
@@ -54,7 +58,7 @@
         length = self._content_length()
         if length is None or "Transfer-Encoding" in self.headers:
             self.close_connection = True
-            detail = "a Content-Length is needed"
+            detail = "exactly one valid Content-Length and no Transfer-Encoding is required"
             self._send_response(
                 failure_response(NotRun(Reason.BAD_REQUEST, Step.READ, detail=detail))
             )
@@ -107,7 +111,11 @@
         return int(text) if len(values) == 1 and text.isdecimal() and len(text) < 16 else None
 
     def _discard(self, length: int) -> None:
-        """Read what the caller still sends, so that it sees the response and not a reset."""
+        """Read and discard the rest of the body.
+
+        If the connection were closed with unread bytes, the caller would get a reset of the
+        connection instead of the response.
+        """
         with suppress(OSError):
             while length > 0:
                 chunk = self.rfile.read(min(length, 65_536))
@@ -138,7 +146,10 @@
         }
 
     def send_error(self, code: int, message: str | None = None, explain: str | None = None) -> None:
-        """Refuse what cannot be parsed as HTTP, in the same form as any other refusal."""
+        """Refuse a request that is not valid HTTP, with the same JSON body as other refusals.
+
+        The base class calls this when it cannot parse a request.
+        """
         self.request_version = self.protocol_version
         self.close_connection = True
         response = failure_response(NotRun(Reason.BAD_REQUEST, Step.READ, detail=message or ""))
@@ -146,7 +157,7 @@
         self._send_response(response)
 
     def log_message(self, format: str, *args: Any) -> None:
-        """Log nothing: requests are counted, not logged."""
+        """Log nothing, since requests are counted and not logged."""
 
 
 class _BusyConnection:
@@ -166,7 +177,10 @@
 
 
 class CallerServer:
-    """Accepts callers' connections, at most ``max_callers`` at once."""
+    """Accepts the connections of callers, of which at most ``max_callers`` are open at once.
+
+    ``timeout`` bounds each wait for a caller to send or to accept bytes.
+    """
 
     def __init__(
         self,
@@ -188,7 +202,7 @@
         self.stopping = False
 
     def run(self) -> None:
-        """Accept connections until stopped."""
+        """Accept connections until :meth:`stop` is called."""
         accepted = accept_connections(lambda: self.listener.accept(), lambda: self.stopping)
         for connection, peer in accepted:
             with self.lock:
@@ -211,7 +225,7 @@
             _refuse_connection(connection)
 
     def serve(self, connection: socket.socket, peer: Any) -> None:
-        """Serve one connection until the caller closes it or falls silent."""
+        """Serve one connection until the caller closes it or sends nothing for the timeout."""
         try:
             CallerConnection(connection, peer, self)  # type: ignore[arg-type]
         except OSError:
@@ -224,15 +238,15 @@
             connection.close()
 
     def mark_busy(self, connection: socket.socket) -> _BusyConnection:
-        """Return a context in which ``connection`` is not closed by :meth:`stop`."""
+        """Return a context manager within which :meth:`stop` does not close ``connection``."""
         return _BusyConnection(self, connection)
 
     def close_after_response(self) -> None:
-        """Close each connection after its next response, so that callers go elsewhere."""
+        """Close each connection after its next response, so that callers turn to other hosts."""
         self.closing = True
 
     def stop(self) -> None:
-        """Stop accepting and let idle connections end; requests in progress go on."""
+        """Stop accepting connections and close the idle ones; requests in progress continue."""
         self.closing = True
         self.stopping = True
         with suppress(OSError):
@@ -244,7 +258,7 @@
             _shut_down_reading(connection)
 
     def abort(self) -> None:
-        """Close the connections that are still open, whatever runs on them."""
+        """Close all open connections, even those with a request in progress."""
         with self.lock:
             connections = list(self.open_connections)
         for connection in connections:
@@ -252,7 +266,7 @@
                 connection.shutdown(socket.SHUT_RDWR)
 
     def await_closed(self, timeout: Millis) -> bool:
-        """Wait until every connection has ended; return ``False`` where some did not in time."""
+        """Wait until all connections are closed; return ``False`` if some are open in the end."""
         with self.lock:
             return self.lock.wait_for(
                 lambda: not self.open_connections, timeout / MILLIS_PER_SECOND
@@ -260,13 +274,13 @@
 
 
 def _shut_down_reading(connection: socket.socket) -> None:
-    """Let the connection's task see the end once it has read what came."""
+    """Let the task of the connection read the bytes that arrived, and then the end."""
     with suppress(OSError):
         connection.shutdown(socket.SHUT_RD)
 
 
 def _refuse_connection(connection: socket.socket) -> None:
-    """Say "not run" to a caller beyond the limit and close."""
+    """Send a refusal for overload and close the connection."""
     response = failure_response(NotRun(Reason.OVERLOAD, Step.READ, detail="too many callers"))
     body = response.get_data()
     head = (
--- a/src/masticgate/connection/_frames.py
+++ b/src/masticgate/connection/_frames.py
@@ -1,4 +1,4 @@
-"""Encodes the messages between hosts as Cap'n Proto frames, and decodes them again."""
+"""The encoding of the messages between hosts as Cap'n Proto structs, and their decoding."""
 
 from pathlib import Path
 from typing import Any
@@ -79,11 +79,11 @@
 
 
 class BadFrameError(Exception):
-    """A frame that is truncated, too large, or holds no known message."""
+    """A received frame is truncated, too large, or does not contain a known message."""
 
 
 def encode_message(message: Message) -> bytes:
-    """Return ``message`` as one Cap'n Proto message, without its length."""
+    """Return ``message`` encoded as one Cap'n Proto message, without a length prefix."""
     frame = SCHEMA.Frame.new_message()
     match message:
         case Hello():
@@ -124,9 +124,9 @@
 
 
 def decode_message(data: bytes) -> Message:
-    """Return the message in ``data``.
+    """Return the message that is encoded in ``data``.
 
-    :raises BadFrameError: the data is no frame, or holds a value that no message may hold.
+    :raises BadFrameError: the data is not a valid frame, or a value in it is not allowed.
     """
     try:
         with SCHEMA.Frame.from_bytes(data) as frame:
@@ -171,4 +171,4 @@
         case "sectionsPush":
             return read_sections(frame.sectionsPush)
         case other:
-            raise BadFrameError(f"no message {other}")
+            raise BadFrameError(f"unknown message kind {other}")
--- a/src/masticgate/connection/_http_connection.py
+++ b/src/masticgate/connection/_http_connection.py
@@ -1,4 +1,4 @@
-"""One kept-alive HTTP connection to one server, through pycurl."""
+"""The client side of a kept-alive HTTP connection to one server, based on pycurl."""
 
 import socket
 from contextlib import suppress
@@ -11,6 +11,7 @@
 from .._ids import Address, Millis
 
 MAX_BODY_BYTES = 2_000_000
+"""The size of the largest response body that is accepted."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -23,17 +24,20 @@
 
 @dataclass(frozen=True, slots=True)
 class HttpFailure:
-    """No complete response came; ``sent`` tells whether a byte may have left."""
+    """No complete response was received.
+
+    ``sent`` is whether a part of the request may have been sent.
+    """
 
     sent: bool
     message: str
 
 
 class HttpConnection:
-    """Runs one request at a time over its own connection; :meth:`abort` comes from any task.
+    """Sends one request at a time over one connection; any task may call :meth:`abort`.
 
-    A request whose body was read is never sent again: libcurl would resend a POST where a
-    kept-alive connection closes before the response, which is beyond every budget of retries.
+    A request whose body was read is never sent again. If a kept-alive connection closes before the
+    response, libcurl would send a POST again on its own, and no budget for retries would count it.
     """
 
     def __init__(self, address: Address) -> None:
@@ -48,13 +52,13 @@
         self._set_options()
 
     def get(self, path: str, timeout: Millis) -> HttpReply | HttpFailure:
-        """Run a GET request."""
+        """Send a GET request and return the response."""
         self._reset_if_closed()
         self.curl.setopt(pycurl.HTTPGET, 1)
         return self._perform(path, timeout)
 
     def post(self, path: str, body: bytes, timeout: Millis) -> HttpReply | HttpFailure:
-        """Run a POST request."""
+        """Send a POST request and return the response."""
         self._reset_if_closed()
         self.curl.setopt(pycurl.POST, 1)
         self.curl.setopt(pycurl.POSTFIELDSIZE, len(body))
@@ -62,10 +66,10 @@
         return self._perform(path, timeout)
 
     def post_once(self, path: str, body: bytes, timeout: Millis) -> HttpReply | HttpFailure:
-        """Run a POST request on a connection of its own.
+        """Send a POST request on a new connection that no other request uses.
 
-        A kept-alive connection may close just as the request leaves, and then nobody knows
-        whether it ran; a new connection does not.
+        The server may close a kept-alive connection just as the request is sent, and then it is
+        unknown whether the request ran. A server does not close a new connection for being idle.
         """
         self.reset()
         self.curl.setopt(pycurl.FORBID_REUSE, 1)
@@ -74,9 +78,9 @@
         return reply
 
     def abort(self) -> None:
-        """Cut the connection; the request in progress fails at once.
+        """Shut the connection down, so that the request in progress fails at once.
 
-        Until :meth:`allow_requests` is called no other connection opens.
+        No further connection is opened before :meth:`allow_requests` is called.
         """
         with self.lock:
             self.aborted = True
@@ -85,13 +89,13 @@
                     self.socket.shutdown(socket.SHUT_RDWR)
 
     def allow_requests(self) -> None:
-        """Allow the next request, over a new connection after an abort."""
+        """Allow further requests; after an abort, the next one opens a new connection."""
         if self.aborted:
             self.reset()
             self.aborted = False
 
     def reset(self) -> None:
-        """Close the connection; the next request opens a new one."""
+        """Close the connection, so that the next request opens a new one."""
         self.close()
         self.curl = pycurl.Curl()
         self._set_options()
@@ -103,7 +107,7 @@
         self.path = ""
 
     def _set_options(self) -> None:
-        """Set what stays the same for every request."""
+        """Set the options that are the same for every request."""
         curl = self.curl
         curl.setopt(pycurl.NOSIGNAL, 1)
         curl.setopt(pycurl.NOPROXY, "*")
@@ -114,7 +118,7 @@
         curl.setopt(pycurl.HTTPHEADER, ["Content-Type: application/json", "Expect:"])
 
     def _close_socket(self) -> None:
-        """Close this side's descriptor; libcurl has a duplicate of it."""
+        """Close this object's file descriptor of the socket; libcurl has a duplicate of it."""
         with self.lock:
             if self.socket is not None:
                 self.socket.close()
@@ -125,7 +129,7 @@
             self.reset()
 
     def _is_closed_by_server(self) -> bool:
-        """Tell whether the server closed the kept connection while it was idle."""
+        """Return whether the server closed the connection while it was idle."""
         if self.socket is None:
             return False
         try:
--- a/src/masticgate/connection/_peer.py
+++ b/src/masticgate/connection/_peer.py
@@ -1,4 +1,8 @@
-"""One task for each peer: the links that a host opens, and those that it accepts."""
+"""The links between hosts: those that a host opens and those that it accepts.
+
+A link is a TCP connection to another host, the peer. Each link has a task of its own, which reads
+the messages that arrive.
+"""
 
 import socket
 from collections.abc import Callable
@@ -17,9 +21,14 @@
 
 CONNECT_TIMEOUT = Millis(500.0)
 READ_TIMEOUT = Millis(3000.0)
-"""A link on which nothing arrives for this long is closed; heartbeats come more often."""
+"""A link is closed if no complete message arrives within this time.
+
+Heartbeats arrive more often on a link that works.
+"""
 
 MIN_RECONNECT_DELAY = Millis(100.0)
+"""The pause before the first attempt to open a link again; it doubles with each failure."""
+
 MAX_RECONNECT_DELAY = Millis(2000.0)
 
 
@@ -32,14 +41,14 @@
 
 
 class PeerHandler(Protocol):
-    """What the process does with peers and their messages."""
+    """Handles the messages of peers, and the opening and closing of links, for a process."""
 
     def hello(self) -> Hello:
-        """Return this host's own hello."""
+        """Return the message by which this host introduces itself on a new link."""
         ...
 
     def probe_heartbeat(self) -> Heartbeat:
-        """Return a heartbeat that only asks for an answer."""
+        """Return a heartbeat whose only purpose is to get a reply."""
         ...
 
     def handle_message(
@@ -49,23 +58,26 @@
         ...
 
     def handle_link_opened(self, peer: Hello) -> None:
-        """Note that the link to ``peer`` is open."""
+        """Handle that the link to ``peer`` was opened."""
         ...
 
     def handle_link_lost(self, host: HostId) -> None:
-        """Note that the link to ``host`` is closed and replies over it will not come."""
+        """Handle that the link to ``host`` was closed, so that no reply will arrive over it."""
         ...
 
 
 def shares_protocol_version(own: Hello, peer: Hello) -> bool:
-    """Tell whether two releases share a protocol version."""
+    """Return whether the releases of two hosts have a protocol version in common."""
     return (
         own.oldest_protocol <= peer.newest_protocol and peer.oldest_protocol <= own.newest_protocol
     )
 
 
 class PeerLink:
-    """The link that this host opened to one peer; requests go out, replies come back."""
+    """The link that this host opens to one peer, to send requests and receive their replies.
+
+    ``unanswered_since`` is when the first heartbeat was sent after the last message arrived.
+    """
 
     def __init__(self, host: HostId, address: Address, handler: PeerHandler, clock: Clock) -> None:
         self.host = host
@@ -81,7 +93,7 @@
         self.stopping = Event()
 
     def run(self) -> None:
-        """Connect, read replies until the link breaks, wait and connect again."""
+        """Open the link, read messages until it closes, and open it again after a pause."""
         delay = MIN_RECONNECT_DELAY
         while not self.stopping.is_set():
             if self._connect_and_read():
@@ -90,7 +102,7 @@
             delay = min(MAX_RECONNECT_DELAY, Millis(delay * 2))
 
     def send(self, message: Message) -> bool:
-        """Send ``message``; ``False`` means that the peer did not receive it whole."""
+        """Send ``message``; return ``False`` if the peer did not receive the whole of it."""
         frame_socket = self.frame_socket
         if self.state is not LinkState.OPEN or frame_socket is None:
             return False
@@ -99,7 +111,7 @@
         return frame_socket.send(message)
 
     def stop(self) -> None:
-        """Close the link for good."""
+        """Close the link and do not open it again."""
         self.stopping.set()
         frame_socket = self.frame_socket
         if frame_socket is not None:
@@ -151,7 +163,7 @@
 
 
 class PeerServer:
-    """Accepts the links of other hosts; each is served by a task of its own."""
+    """Accepts the links of other hosts and serves each in a task of its own."""
 
     def __init__(self, address: Address, handler: PeerHandler, tasks: Executor) -> None:
         self.listener = listen_on(address)
@@ -162,7 +174,7 @@
         self.stopping = False
 
     def run(self) -> None:
-        """Accept links until stopped."""
+        """Accept links until :meth:`stop` is called."""
         accepted = accept_connections(lambda: self.listener.accept(), lambda: self.stopping)
         for connection, _ in accepted:
             try:
@@ -171,7 +183,7 @@
                 connection.close()
 
     def serve(self, connection: socket.socket) -> None:
-        """Serve one link until it closes; a bad frame closes this link only."""
+        """Handle the messages of one link until it closes; an invalid frame closes the link."""
         frame_socket = FrameSocket(connection)
         with self.lock:
             self.links.add(frame_socket)
@@ -193,7 +205,7 @@
             frame_socket.release()
 
     def stop(self) -> None:
-        """Stop accepting and close every accepted link."""
+        """Stop accepting links and close those that are open."""
         self.stopping = True
         with suppress(OSError):
             self.listener.shutdown(socket.SHUT_RDWR)
--- a/src/masticgate/connection/_platform.py
+++ b/src/masticgate/connection/_platform.py
@@ -1,4 +1,4 @@
-"""Reads the platform over HTTP: the configuration service and the lagging host list."""
+"""A client for the platform's HTTP interfaces: the configuration service and the host list."""
 
 from dataclasses import dataclass
 from urllib.parse import quote
@@ -11,6 +11,7 @@
 from ._http_connection import HttpConnection, HttpReply
 
 READ_TIMEOUT = Millis(1000.0)
+"""The time limit of a read; a watch is given this in addition to its own wait."""
 
 
 class _ValueBody(BaseModel):
@@ -34,7 +35,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Value:
-    """A key's value and its revision."""
+    """The value of a key and its revision."""
 
     revision: Revision
     text: str
@@ -42,12 +43,12 @@
 
 @dataclass(frozen=True, slots=True)
 class Unchanged:
-    """The key has no revision above the one known."""
+    """The key has no revision above the one that the caller already has."""
 
 
 @dataclass(frozen=True, slots=True)
 class ListedHost:
-    """One line of the host list; it may lag."""
+    """One host in the host list, which may be outdated."""
 
     host: HostId
     address: Address
@@ -56,7 +57,10 @@
 
 
 class PlatformReader:
-    """One connection to the platform; one task uses it at a time."""
+    """Reads from the platform over one connection to each of its two services.
+
+    Only one task may read at a time.
+    """
 
     def __init__(self, configuration: Address, hosts: Address) -> None:
         self.configuration = configuration
@@ -64,23 +68,27 @@
         self.hosts = HttpConnection(hosts)
 
     def read(self, key: str) -> Value | Unchanged | Unknown:
-        """Return the present value of ``key``."""
+        """Return the current value of ``key``, or a failure."""
         return self._get(f"/v1/values/{quote(key, safe='')}", READ_TIMEOUT)
 
     def watch(self, key: str, after: Revision, wait: Millis) -> Value | Unchanged | Unknown:
-        """Wait up to ``wait`` for a revision of ``key`` above ``after``."""
+        """Return the value of ``key`` once its revision is above ``after``.
+
+        The platform responds after ``wait`` at the latest; without a newer revision the result is
+        :class:`Unchanged`.
+        """
         path = f"/v1/values/{quote(key, safe='')}?after={after}&wait_ms={int(wait)}"
         return self._get(path, Millis(wait + READ_TIMEOUT))
 
     def list_hosts(self) -> tuple[ListedHost, ...] | Unknown:
-        """Return the host list."""
+        """Return all hosts in the host list, or a failure."""
         reply = self.hosts.get("/v1/hosts", READ_TIMEOUT)
         if not isinstance(reply, HttpReply) or reply.status != 200:
             return self._make_failure(reply)
         try:
             listed = _HostsBody.model_validate_json(reply.body)
         except ValidationError:
-            return Unknown(Reason.BAD_REQUEST, Step.READ, self.hosts.address, "unreadable list")
+            return Unknown(Reason.BAD_REQUEST, Step.READ, self.hosts.address, "invalid host list")
         return tuple(
             ListedHost(
                 HostId(item.host),
@@ -92,7 +100,7 @@
         )
 
     def allow_requests(self) -> None:
-        """Allow the next read after an abort; only the reading task calls this."""
+        """Allow reads again after an abort; only the task that reads may call this."""
         self.values.allow_requests()
         self.hosts.allow_requests()
 
@@ -118,7 +126,7 @@
         try:
             value = _ValueBody.model_validate_json(reply.body)
         except ValidationError:
-            return Unknown(Reason.BAD_REQUEST, Step.READ, self.configuration, "unreadable value")
+            return Unknown(Reason.BAD_REQUEST, Step.READ, self.configuration, "invalid value")
         return Value(Revision(value.revision), value.value)
 
     def _make_failure(self, reply: object) -> Unknown:
--- a/src/masticgate/connection/_process_structs.py
+++ b/src/masticgate/connection/_process_structs.py
@@ -1,4 +1,7 @@
-"""The messages between processes as Cap'n Proto structs."""
+"""Functions that convert messages about hosts and their load to and from Cap'n Proto structs.
+
+Each ``target`` and ``source`` is a struct of ``peer.capnp``.
+"""
 
 from typing import Any
 
@@ -27,7 +30,7 @@
 
 
 def write_hello(target: Any, hello: Hello) -> None:
-    """Write a greeting."""
+    """Write a hello, with which a host introduces itself on a new link."""
     target.host = hello.host
     target.address = hello.address
     target.failureDomain = hello.failure_domain
@@ -37,7 +40,7 @@
 
 
 def read_hello(source: Any) -> Hello:
-    """Read a greeting."""
+    """Read a hello."""
     return Hello(
         HostId(source.host),
         Address(source.address),
@@ -49,7 +52,7 @@
 
 
 def write_heartbeat(target: Any, heartbeat: Heartbeat | HeartbeatReply) -> None:
-    """Write a heartbeat or its reply."""
+    """Write a heartbeat or a reply to one."""
     target.events = heartbeat.events
     write_versions(target.init("versions"), heartbeat.versions)
     write_list(target.init("members", len(heartbeat.members)), heartbeat.members, _write_member)
@@ -60,7 +63,7 @@
 def read_heartbeat(
     source: Any,
 ) -> tuple[int, Versions, tuple[Member, ...], tuple[int, ...]]:
-    """Read the fields of a heartbeat or its reply."""
+    """Read the fields of a heartbeat or of a reply to one."""
     members = tuple(_read_member(item) for item in source.members)
     return source.events, read_versions(source.versions), members, tuple(source.digest)
 
@@ -86,24 +89,24 @@
 
 
 def write_refused(target: Any, refused: RefusedCount) -> None:
-    """Write one count of refused work."""
+    """Write how many sub-queries of one service and rank were refused."""
     target.service = refused.service
     target.rank = refused.rank.value
     target.count = refused.count
 
 
 def read_refused(source: Any) -> RefusedCount:
-    """Read one count of refused work."""
+    """Read how many sub-queries of one service and rank were refused."""
     return RefusedCount(ServiceId(source.service), Rank(source.rank), source.count)
 
 
 def write_pressure(target: Any, pressure: ServicePressure) -> None:
-    """Write one service's pressure."""
+    """Write the pressure of one service: the share of each rank's queries that it can admit."""
     target.service = pressure.service
     target.admitted = list(pressure.admitted)
 
 
 def read_pressure(source: Any) -> ServicePressure:
-    """Read one service's pressure."""
+    """Read the pressure of one service."""
     urgent, standard, bulk = source.admitted
     return ServicePressure(ServiceId(source.service), (urgent, standard, bulk))
--- a/src/masticgate/connection/_request_structs.py
+++ b/src/masticgate/connection/_request_structs.py
@@ -1,4 +1,7 @@
-"""The messages of one request as Cap'n Proto structs."""
+"""Functions that convert the messages of a request to and from Cap'n Proto structs.
+
+Each ``target`` and ``source`` is a struct of ``peer.capnp``.
+"""
 
 from typing import Any
 
@@ -30,7 +33,7 @@
 
 
 def write_ask(target: Any, ask: Ask) -> None:
-    """Write an ask into its Cap'n Proto struct."""
+    """Write an ask, by which an entry host sends parts of a search to another host."""
     target.query = ask.query
     target.rank = ask.rank.value
     target.remaining = ask.remaining
@@ -62,7 +65,7 @@
 
 
 def write_reply(target: Any, reply: Reply) -> None:
-    """Write a reply."""
+    """Write the reply to an ask for one service."""
     target.query = reply.query
     target.service = reply.service
     result = target.result
@@ -80,7 +83,7 @@
 
 
 def read_reply(source: Any) -> Reply:
-    """Read a reply."""
+    """Read the reply to an ask for one service."""
     return Reply(QueryId(source.query), ServiceId(source.service), _read_result(source.result))
 
 
@@ -131,7 +134,7 @@
 
 
 def write_book(target: Any, book: Book) -> None:
-    """Write one attempt of a booking."""
+    """Write one attempt of a booking, which is sent to the owner of its service."""
     target.query = book.query
     target.ticket = book.ticket
     target.attempt = book.attempt
@@ -155,7 +158,7 @@
 
 
 def write_forward(target: Any, forward: Forward) -> None:
-    """Write a forwarded booking."""
+    """Write a booking that is forwarded to the host that minted its ticket."""
     target.query = forward.query
     target.incarnation = forward.incarnation
     target.ticket = forward.ticket
@@ -166,7 +169,7 @@
 
 
 def read_forward(source: Any) -> Forward:
-    """Read a forwarded booking."""
+    """Read a booking that is forwarded to the host that minted its ticket."""
     return Forward(
         QueryId(source.query),
         Incarnation(source.incarnation),
@@ -179,7 +182,7 @@
 
 
 def write_outcome(target: Any, query: QueryId, outcome: BookingOutcome) -> None:
-    """Write what became of a booking."""
+    """Write the outcome of a booking."""
     target.query = query
     match outcome:
         case Ran(result=result):
@@ -191,7 +194,7 @@
 
 
 def read_outcome(source: Any) -> BookingOutcome:
-    """Read what became of a booking."""
+    """Read the outcome of a booking."""
     match str(source.result.which()):
         case "ran":
             return Ran(source.result.ran)
--- a/src/masticgate/connection/_searcher.py
+++ b/src/masticgate/connection/_searcher.py
@@ -1,4 +1,8 @@
-"""One task for each connection to a searcher: take work, send it, hand back the result."""
+"""The connections to searchers, each with a task of its own.
+
+The task waits for work from the pool of the searcher's service, sends it to the searcher and
+reports the result to the pool.
+"""
 
 from typing import Annotated, Any
 
@@ -23,15 +27,20 @@
 from ._http_connection import HttpConnection, HttpFailure, HttpReply
 
 RESPONSE_GRACE = Millis(5.0)
-"""Added to the deadline before the call is given up, since the searcher keeps it too."""
+"""How long a response is waited for after the deadline of the work.
+
+The searcher stops at the same deadline, and its response takes a moment to arrive.
+"""
 
 LOAD_TIMEOUT = Millis(1000.0)
+"""The time limit of a request for the searcher's load."""
 
 NOT_RUN_REASONS = {
     "draining": Reason.SEARCHER_DRAINING,
     "shed": Reason.SEARCHER_SHED,
     "cold": Reason.SEARCHER_SHED,
 }
+"""The reasons in a refusal that state that the searcher did not run the work."""
 
 
 class _HitItem(BaseModel):
@@ -68,7 +77,7 @@
 
 
 def run_searcher_connection(pool: ServicePool, searcher: Searcher, clock: Clock) -> None:
-    """Serve ``pool`` over one connection to ``searcher`` until it is no longer wanted."""
+    """Do work of ``pool`` over one connection to ``searcher`` until the pool closes it."""
     wanted = True
     while wanted:
         connection = HttpConnection(searcher.address)
@@ -145,7 +154,7 @@
     try:
         parsed = _HitsBody.model_validate_json(body)
     except ValidationError:
-        return Unknown(Reason.SEARCHER_ERROR, Step.UPSTREAM, searcher, "unreadable answer")
+        return Unknown(Reason.SEARCHER_ERROR, Step.UPSTREAM, searcher, "invalid response body")
     if parsed.snapshot != work.snapshot:
         detail = f"asked for snapshot {work.snapshot}, got {parsed.snapshot}"
         return Unknown(Reason.WRONG_VERSION, Step.UPSTREAM, searcher, detail)
@@ -160,7 +169,7 @@
     try:
         held = _VersionGoneBody.model_validate_json(body).held
     except ValidationError:
-        return Unknown(Reason.SEARCHER_ERROR, Step.UPSTREAM, searcher, "unreadable answer")
+        return Unknown(Reason.SEARCHER_ERROR, Step.UPSTREAM, searcher, "invalid response body")
     return VersionGone(work.snapshot, tuple(map(SnapshotVersion, held)))
 
 
@@ -184,7 +193,11 @@
 
 
 def _read_failure(reply: HttpReply | HttpFailure, attempt: SearcherAttempt) -> NotRun | Unknown:
-    """Return ``NotRun`` only where the searcher states it, or where no byte left."""
+    """Return why work failed.
+
+    The result is ``NotRun`` only if the searcher states that the work did not run, or if no part
+    of the request was sent.
+    """
     searcher = attempt.searcher
     match reply:
         case HttpFailure(sent=False, message=message):
@@ -198,11 +211,16 @@
 
 
 def _read_refusal(body: bytes, attempt: SearcherAttempt) -> NotRun | Unknown:
-    """Read a refusal; a searcher that gives no known reason may have run the work."""
+    """Return the failure that a refusal states.
+
+    If the searcher does not state a known reason, it may have run the work.
+    """
     try:
         parsed = _RefusalBody.model_validate_json(body)
     except ValidationError:
-        return Unknown(Reason.SEARCHER_ERROR, Step.UPSTREAM, attempt.searcher, "unreadable refusal")
+        return Unknown(
+            Reason.SEARCHER_ERROR, Step.UPSTREAM, attempt.searcher, "invalid refusal body"
+        )
     attempt.incarnation = parsed.incarnation
     reason = NOT_RUN_REASONS.get(parsed.reason)
     if reason is None:
--- a/src/masticgate/connection/_socket.py
+++ b/src/masticgate/connection/_socket.py
@@ -1,4 +1,4 @@
-"""Length-prefixed frames over one TCP connection between two hosts."""
+"""The exchange of messages over a TCP connection between two hosts, in length-prefixed frames."""
 
 import select
 import socket
@@ -14,14 +14,20 @@
 LENGTH_PREFIX = struct.Struct("!I")
 MAX_FRAME_BYTES = 4_000_000
 SEND_TIMEOUT = Millis(50.0)
-"""The longest that a sender waits for room in the socket before the peer counts as stuck."""
+"""How long a send waits for space in the send buffer before the connection is closed.
+
+A peer that reads nothing for this long counts as unresponsive.
+"""
 
 SEND_BUFFER_BYTES = 1_000_000
 RECEIVE_BUFFER_BYTES = 65_536
 
 
 class FrameSocket:
-    """Sends frames from any task and reads them in one."""
+    """Sends and reads messages over one connection.
+
+    Any task may send; only one task may read.
+    """
 
     def __init__(self, connection: socket.socket) -> None:
         connection.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
@@ -34,13 +40,13 @@
         self.closed = False
 
     def set_timeout(self, timeout: Millis) -> None:
-        """Let a read fail where the next message is not whole within ``timeout``."""
+        """Make a read fail if the next message is not complete within ``timeout``."""
         self.timeout = timeout
 
     def send(self, message: Message) -> bool:
-        """Send ``message`` whole; return ``False`` and close where the peer takes no more.
+        """Send ``message``; return ``False`` if that failed, and close the connection.
 
-        ``False`` means that the peer cannot have received the whole message.
+        If the result is ``False``, the peer cannot have received the complete message.
         """
         data = encode_message(message)
         with self.lock:
@@ -52,9 +58,9 @@
         return False
 
     def read_messages(self) -> Iterator[Message]:
-        """Yield messages until the peer closes.
+        """Yield messages until the peer closes the connection.
 
-        :raises BadFrameError: a frame is truncated, too large or undecodable.
+        :raises BadFrameError: a frame is truncated, too large or cannot be decoded.
         :raises OSError: the connection failed or timed out.
         """
         while True:
@@ -75,7 +81,7 @@
             yield decode_message(data)
 
     def close(self) -> None:
-        """Close the connection; a task that reads from it returns."""
+        """Shut the connection down, so that a read in progress ends; any task may call this."""
         self.closed = True
         try:
             self.connection.shutdown(socket.SHUT_RDWR)
@@ -83,12 +89,12 @@
             return
 
     def release(self) -> None:
-        """Close the file descriptor; only the reading task calls this, at its end."""
+        """Close the file descriptor; only the task that reads may call this, when it ends."""
         self.close()
         self.connection.close()
 
     def _read(self, size: int, deadline_s: float | None) -> bytes:
-        """Return ``size`` bytes, or fewer at the end of the connection."""
+        """Return ``size`` bytes, or fewer if the connection ends before."""
         while len(self.unread) < size and (chunk := self._receive(deadline_s)):
             self.unread += chunk
         data = bytes(self.unread[:size])
@@ -96,12 +102,17 @@
         return data
 
     def _receive(self, deadline_s: float | None) -> bytes:
-        """Wait for bytes in a way that leaves sends without a timeout of their own."""
+        """Return the next bytes that arrive before the deadline.
+
+        The wait is a poll and not a timeout of the socket, since that would apply to sends too.
+
+        :raises TimeoutError: no bytes arrived before the deadline.
+        """
         remaining = None if deadline_s is None else (deadline_s - monotonic()) * MILLIS_PER_SECOND
         poller = select.poll()
         poller.register(self.connection, select.POLLIN)
         if (remaining is not None and remaining <= 0) or not poller.poll(remaining):
-            raise TimeoutError("no whole message in time")
+            raise TimeoutError("no complete message in time")
         return self.connection.recv(RECEIVE_BUFFER_BYTES)
 
     def _send_all(self, data: bytes) -> bool:
--- a/src/masticgate/connection/_version_structs.py
+++ b/src/masticgate/connection/_version_structs.py
@@ -1,4 +1,8 @@
-"""The messages that spread versions as Cap'n Proto structs."""
+"""Functions that convert the messages with configurations to and from Cap'n Proto structs.
+
+Each ``target`` and ``source`` is a struct of ``peer.capnp``. Hosts send each other these messages
+to distribute new versions of the configuration text and of the catalogue.
+"""
 
 from typing import Any
 
@@ -16,18 +20,18 @@
 
 
 def write_versions(target: Any, versions: Versions) -> None:
-    """Write what a host has."""
+    """Write the versions that a host has."""
     target.revision = versions.revision
     target.catalogue = versions.catalogue
 
 
 def read_versions(source: Any) -> Versions:
-    """Read what a host has."""
+    """Read the versions that a host has."""
     return Versions(Revision(source.revision), SnapshotVersion(source.catalogue))
 
 
 def write_sections(target: Any, push: SectionsPush) -> None:
-    """Write the changed sections of a text."""
+    """Write the sections of a configuration text that differ from an earlier revision."""
     target.base = push.base
     target.revision = push.revision
     target.digest = push.digest
@@ -41,7 +45,7 @@
 
 
 def read_sections(source: Any) -> SectionsPush:
-    """Read the changed sections of a text."""
+    """Read the sections of a configuration text that differ from an earlier revision."""
     return SectionsPush(
         Revision(source.base),
         Revision(source.revision),
