--- a/src/masticgate/process/gateway/_peers.py
+++ b/src/masticgate/process/gateway/_peers.py
@@ -39,6 +39,8 @@
 """
 
 HEARTBEAT_TIMEOUTS = GetTimeouts(Millis(400.0), Millis(400.0))
+"""The timeouts for the connection to a seed, and for its reply to a heartbeat."""
+
 MAX_MISSED_HEARTBEATS = 2
 """The number of missed heartbeats after which a gatherer is no longer used, about a second."""
 
@@ -49,7 +51,10 @@
 """How long a starting gateway waits to learn of the others before it opens connections ahead."""
 
 MIN_MEMBERS_TO_RELAY = 13
-"""The number of gateways from which on the seeds read the platform's catalogue for all others."""
+"""The number of gateways from which on the seeds read the platform's catalogue for the others.
+
+The catalogue is the configuration and the listings of the searchers.
+"""
 
 MIN_CONNECTIONS_TO_GATHER = 2
 """The connections to each searcher that a gateway needs to gather queries itself.
--- a/src/masticgate/process/gateway/_replica.py
+++ b/src/masticgate/process/gateway/_replica.py
@@ -13,6 +13,8 @@
 """The duration of the first ejection; each further one without a success lasts twice as long."""
 
 MAX_EJECTION_TIME = Millis(4_000.0)
+"""The upper bound on the duration of an ejection."""
+
 LATENCY_RATIO_WEIGHT = 0.15
 """The weight of the latest answer in the smoothed latency ratio."""
 
@@ -50,9 +52,9 @@
 class ReplicaState(Enum):
     """How a gateway treats a searcher.
 
-    An ``ACTIVE`` searcher is sent requests. An ``EJECTED`` one failed repeatedly; once
-    its ejection time is over, it is sent one request at a time as a probe. A ``LEAVING`` one is
-    used only if there is no other, and a ``GONE`` one is sent nothing.
+    An ``ACTIVE`` searcher is sent requests. An ``EJECTED`` one failed repeatedly; once its ejection
+    time is over, it is sent one request at a time as a probe. A ``LEAVING`` one is used only if
+    there is no other, and a ``GONE`` one is sent nothing.
     """
 
     ACTIVE = "active"
--- a/src/masticgate/process/gateway/_service.py
+++ b/src/masticgate/process/gateway/_service.py
@@ -35,7 +35,8 @@
 LOG_SAMPLE_INTERVAL = 16
 """One in this many ordinary requests is logged.
 
-An ordinary request has a whole answer that was sent within the objective and received regularly.
+A request is ordinary if its reply is whole, was ready within the objective, and came from answers
+that stated where they end and came alone on their connections.
 """
 
 
--- a/src/masticgate/process/gateway/_shares.py
+++ b/src/masticgate/process/gateway/_shares.py
@@ -20,7 +20,7 @@
 """The part of the allowed ratio for queries that are repeated because their gatherer was lost."""
 
 PEER_REPEAT_SLACK = 1.0
-"""The number of such queries that may be repeated in a window beside the ratio."""
+"""The number of such queries that may be repeated in a window in addition."""
 
 
 @dataclass(frozen=True, slots=True)
--- a/tests/gateway/loopback.py
+++ b/tests/gateway/loopback.py
@@ -32,6 +32,7 @@
 
 
 def head_value(head: bytes, name: bytes) -> bytes:
+    """Return the value of the header ``name`` (in lower case), empty if there is none."""
     for line in head.split(b"\r\n"):
         key, _, value = line.partition(b": ")
         if key.lower() == name:
@@ -40,6 +41,7 @@
 
 
 def reply_to(head: bytes, body: bytes = b"ok", status: int = 200, extra: bytes = b"") -> bytes:
+    """Return a response to the request with ``head``, with the request's id and a stamp."""
     identity = head_value(head, b"x-id")
     return b"HTTP/1.1 %d X\r\nx-id: %s\r\nx-stamp: s\r\n%sContent-Length: %d\r\n\r\n%s" % (
         status,
@@ -236,6 +238,7 @@
         self.socket.sendall(data)
 
     def get(self, path: str = "/a/x", identity: str = "q1", extra: bytes = b"") -> "RawCaller":
+        """Send a GET request with a caller timeout of 400 ms; ``extra`` is further header lines."""
         self.send(
             b"GET %s HTTP/1.1\r\nHost: host.example\r\nX-Id: %s\r\nX-Patience: 400\r\n%s\r\n"
             % (path.encode(), identity.encode(), extra)
--- a/tests/gateway/test_fleet.py
+++ b/tests/gateway/test_fleet.py
@@ -27,6 +27,7 @@
 
 
 def finish(fleet, dispatched, outcome):
+    """End a call with ``outcome``; its connection can be reused."""
     dispatched.call.outcome = outcome
     fleet.handle_outcome(dispatched.task, dispatched.call, None, reusable=True)
 
--- a/tests/gateway/test_follower.py
+++ b/tests/gateway/test_follower.py
@@ -51,6 +51,7 @@
 
 
 def follow(*answers: tuple[float, object]):
+    """Run a follower on the scripted answers; return it, its fleet and its source."""
     clock = ManualClock()
     fleet = make_fleet(clock)
     source = ScriptedSource(clock, *answers)
@@ -70,6 +71,7 @@
 
 
 def is_used(fleet, searcher: str) -> bool:
+    """Return whether the fleet sends a request to ``searcher`` if it is the only one untried."""
     call = Call(make_request(), ROUTE, ServiceId("orders"), Millis(1e9), None)
     others = {known for known in fleet.replicas if known != searcher}
     return getattr(fleet.send(call, others), "searcher", None) == searcher
