--- a/tests/gateway/test_refused_tasks.py
+++ b/tests/gateway/test_refused_tasks.py
@@ -67,7 +67,7 @@
         near, far = connect_pair()
         highest = near.fileno() + 16
         pool.refuse_threads()
-        listener._admit(near)
+        listener._add_connection(near)
         far.settimeout(5)
         assert far.recv(1) == b""
         opened: list[int] = []
@@ -117,13 +117,13 @@
         refused = [connect_pair() for _ in range(2)]
         pool.refuse_threads()
         for near, _ in refused:
-            listener._admit(near)
+            listener._add_connection(near)
         pool.monkeypatch.undo()
         pool.release.set()
         kept = []
         for _ in range(4):
             near, far = connect_pair()
-            listener._admit(near)
+            listener._add_connection(near)
             far.settimeout(2)
             far.sendall(b"GET / HTTP/1.1\r\nHost: h\r\nx-id: q\r\n\r\n")
             kept.append(far)
