--- a/tests/process/fake_connections.py
+++ b/tests/process/fake_connections.py
@@ -1,4 +1,8 @@
-"""A service pool over fake connections and a clock set by hand."""
+"""A service pool whose connections are fakes and whose clock is set by the test.
+
+A service pool holds the queue of one service and dispatches its work to connections to the
+searchers of the service.
+"""
 
 from masticgate import (
     Address,
@@ -24,6 +28,8 @@
 
 SERVICE = ServiceId("s")
 SHARE = 3
+"""The connections that the pool may open to each searcher."""
+
 HITS = Hits(SnapshotVersion(1), (), ())
 DRAINING = NotRun(Reason.SEARCHER_DRAINING, Step.UPSTREAM)
 SHED = NotRun(Reason.SEARCHER_SHED, Step.UPSTREAM)
@@ -40,7 +46,7 @@
 
 
 def add_idle_connection(pool, health):
-    """Let a connection of a searcher fall idle, as the start of ``take`` does."""
+    """Add an idle connection to a searcher, as the start of ``wait_for_work`` does."""
     with pool.delivery_lock:
         connection = IdleConnection(pool.lock, health)
         pool.idle_connections.add(connection)
@@ -49,7 +55,11 @@
 
 
 class FakeConnections:
-    """Connections of a pool that sit down and finish when a test says so."""
+    """Connections of a pool that become idle and finish their attempts when a test says so.
+
+    ``results`` holds what was delivered for each query, ``attempts`` the attempts in flight, and
+    ``aborted`` the attempts whose call was aborted.
+    """
 
     def __init__(self, names="ab"):
         self.clock = ManualClock(Millis(1000.0))
@@ -108,7 +118,7 @@
         return self.start_assigned()
 
     def start_assigned(self):
-        """Take up the sends that were given to idle connections."""
+        """Start the attempts that were assigned to idle connections, and return them."""
         assigned = [
             connection.attempt
             for connection in self.idle_connections
@@ -128,7 +138,7 @@
         return self.start_assigned()
 
     def run_searches(self, rounds, result=HITS, latency=20.0):
-        """Run searches one after another, so that latencies and health are known."""
+        """Run searches one after another, so that latencies and the searchers' state are known."""
         for _ in range(rounds):
             self.search()
             self.start_assigned()
--- a/tests/process/test_bookings.py
+++ b/tests/process/test_bookings.py
@@ -1,4 +1,9 @@
-"""Bookings through real processes, counted in the searchers' own logs."""
+"""Bookings through real processes, whose runs are counted in the searchers' own logs.
+
+A booking changes data at a searcher. The caller first gets a ticket for it from one host, the
+minter, and sends the ticket with each request. The owner of the service queues the booking and
+sends it to a searcher.
+"""
 
 import signal
 from concurrent.futures import ThreadPoolExecutor
@@ -16,6 +21,7 @@
 
 
 def count_runs(fleet, ticket):
+    """Return how many times the searchers ran the booking of ``ticket``."""
     booked = [b for s in fleet.searchers().values() for b in s["bookings"]]
     return sum(b["ticket"] == ticket for b in booked)
 
@@ -28,6 +34,7 @@
 
 
 def outcome(fleet, index, ticket, **fields):
+    """Book with ``ticket`` through the host with this index; return the outcome."""
     return fleet.book(index, ticket, "orders", **fields).body["outcome"]
 
 
@@ -43,7 +50,9 @@
 
 
 class TestBookingUnderFaults:
-    def test_retry_through_another_host_shares_the_first_run(self, fleet):
+    """A booking runs at most once, and its outcome is "unknown" when nobody can be certain."""
+
+    def test_repeats_through_other_hosts_get_the_outcome_of_the_first_run(self, fleet):
         fleet.turn([], service_ms=200.0, spread="fixed")
         ticket = fleet.mint(0)
         with ThreadPoolExecutor() as callers:
@@ -54,7 +63,7 @@
         assert outcomes == ["ran"] * 4
         assert count_runs(fleet, ticket) == 1
 
-    def test_searcher_that_books_and_cuts_leaves_it_unknown_and_run_once(self, fleet):
+    def test_outcome_is_unknown_and_run_once_if_searcher_books_and_closes_connection(self, fleet):
         fleet.turn(["oa", "ob"], book_then_cut=True)
         ticket = fleet.mint(0)
         outcomes = [outcome(fleet, n, ticket) for n in (0, 1)]
@@ -63,7 +72,7 @@
         assert outcomes == ["unknown"] * 3
         assert count_runs(fleet, ticket) == 1
 
-    def test_refusal_by_the_searcher_did_not_run_and_may_be_retried(self, fleet):
+    def test_booking_refused_by_searchers_does_not_run_and_may_be_repeated(self, fleet):
         fleet.turn(["oa", "ob"], shed_above=0)
         ticket = fleet.mint(0)
         assert outcome(fleet, 1, ticket) == "not_run"
@@ -73,6 +82,11 @@
         assert count_runs(fleet, ticket) == 1
 
     def test_paused_owner_leaves_it_unknown_and_a_later_retry_learns_the_truth(self, fleet):
+        """Guard against an outcome that stays "unknown" although the owner reports it later.
+
+        The owner is paused when the request arrives, so that the request times out with
+        "unknown". The owner reports the outcome after the pause, and a later request has to get it.
+        """
         owner = find_owner(fleet, "orders")
         minter = (owner + 1) % 3
         ticket = fleet.mint(minter)
@@ -84,7 +98,7 @@
         assert first == "unknown"
         assert count_runs(fleet, ticket) == 1
 
-    def test_killed_owner_leaves_it_unknown_and_run_at_most_once(self, fleet):
+    def test_outcome_is_unknown_and_run_at_most_once_if_owner_is_killed(self, fleet):
         owner = find_owner(fleet, "orders")
         minter = (owner + 1) % 3
         fleet.turn(["oa", "ob"], service_ms=400.0, spread="fixed")
@@ -100,7 +114,7 @@
         fleet.start_host(owner)
         fleet.wait_until(fleet.is_ready, 20, "the host did not come back")
 
-    def test_killed_minter_leaves_it_unknown_also_after_its_return(self, fleet):
+    def test_outcome_stays_unknown_after_killed_minter_is_back(self, fleet):
         used, unused = fleet.mint(0), fleet.mint(0)
         assert outcome(fleet, 1, used) == "ran"
         fleet.kill("h1")
--- a/tests/process/test_commands.py
+++ b/tests/process/test_commands.py
@@ -23,16 +23,16 @@
 
 class TestGroup:
     @pytest.mark.parametrize("command", ["serve", "check", "query", "book", "status", "timeline"])
-    def test_every_command_explains_itself(self, command):
+    def test_every_command_prints_its_usage(self, command):
         result = run(command, "--help")
         assert result.exit_code == 0 and "Usage" in result.output
 
-    def test_tells_its_version(self):
+    def test_prints_its_version(self):
         assert run("--version").output.startswith("masticgate, version ")
 
 
 class TestServe:
-    def test_refuses_settings_with_path_and_place(self, tmp_path):
+    def test_refuses_invalid_settings_and_prints_path_and_position(self, tmp_path):
         settings = tmp_path / "bad.jsonc"
         settings.write_text('{\n  "host": "h1",\n  "max_callers": "many"\n}')
         result = run("serve", "--settings", str(settings))
@@ -42,18 +42,18 @@
 
 
 class TestCheck:
-    def test_accepts_the_examples(self):
+    def test_accepts_example_texts(self):
         for name in ("kerala", "norte"):
             assert run("check", str(EXAMPLES / f"{name}.jsonc")).exit_code == 0
 
-    def test_refuses_with_line_and_service(self, tmp_path):
+    def test_refuses_unknown_dependency_and_prints_line_and_service(self, tmp_path):
         text = tmp_path / "text.jsonc"
         text.write_text(SMALL.replace('"depends_on": ["ledger/1"]', '"depends_on": ["gone"]'))
         result = run("check", str(text))
         assert result.exit_code == 5
         assert "line 8" in result.output and "'desk/1' depends on 'gone'" in result.output
 
-    def test_tells_who_leaves_and_who_depends_on_it(self, tmp_path):
+    def test_prints_leaving_department_and_services_that_depend_on_it(self, tmp_path):
         old, new = tmp_path / "old.jsonc", tmp_path / "new.jsonc"
         old.write_text(SMALL)
         new.write_text(SMALL.replace('"ledger": {}', '"ledger": {"leaving": true}'))
@@ -64,20 +64,20 @@
 
 
 class TestCallers:
-    def test_query_shows_a_whole_answer_as_table_and_json(self, fleet):
+    def test_query_prints_whole_answer_as_text_and_json(self, fleet):
         table = run("query", fleet.callers[0], "--service", "desk/1")
         assert table.exit_code == 0 and "coverage 1.0000  whole" in table.output
         answer = run("query", fleet.callers[0], "--service", "desk/1", "--json")
         assert json.loads(answer.output)["whole"] is True
 
-    def test_query_goes_on_to_the_next_host(self, fleet):
+    def test_query_asks_next_host_if_first_is_unreachable(self, fleet):
         assert run("query", "127.0.0.1:1", fleet.callers[1], "--service", "desk/1").exit_code == 0
 
-    def test_query_says_not_run_and_unreachable_by_exit_code(self, fleet):
+    def test_query_exits_1_if_not_run_and_6_if_unreachable(self, fleet):
         assert run("query", fleet.callers[0], "--service", "nowhere").exit_code == 1
         assert run("query", "127.0.0.1:1", "--service", "desk/1").exit_code == 6
 
-    def test_book_runs_once_however_often_its_ticket_is_used(self, fleet):
+    def test_book_with_the_same_ticket_twice_runs_once(self, fleet):
         first = run("book", *fleet.callers, "--service", "orders", "--json")
         assert first.exit_code == 0
         ticket = json.loads(first.output)["ticket"]
@@ -88,18 +88,18 @@
 
 
 class TestOperators:
-    def test_status_shows_versions_peers_and_owned_services(self, fleet):
+    def test_status_prints_versions_peers_and_owned_services(self, fleet):
         result = run("status", *fleet.callers)
         assert result.exit_code == 0
         assert result.output.count("in force") == 3
         assert "desk/1" in result.output and "alive, reachable" in result.output
 
-    def test_status_counts_what_callers_got(self, fleet):
+    def test_status_counts_answers_to_callers(self, fleet):
         fleet.search(0, ["desk/1"], rank="urgent")
         counters = fleet.status(0)["counters"]
         assert counters["search.urgent.whole"] >= 1
 
-    def test_timeline_merges_all_hosts(self, fleet, tmp_path):
+    def test_timeline_merges_events_of_all_hosts(self, fleet, tmp_path):
         page = tmp_path / "line.html"
         result = run("timeline", *fleet.callers, "--json", "--html", str(page))
         assert result.exit_code == 0
@@ -107,25 +107,25 @@
         assert {event["host"] for event in events} == {"h1", "h2", "h3"}
         assert "text_accepted" in page.read_text()
 
-    def test_a_host_that_does_not_answer_is_said_so(self, fleet):
+    def test_status_exits_6_and_names_host_that_does_not_answer(self, fleet):
         result = run("status", fleet.callers[0], "127.0.0.1:1")
         assert result.exit_code == 6 and "127.0.0.1:1: no answer" in result.output
 
-    def test_log_lines_tell_changes_of_state_only(self, fleet):
+    def test_log_holds_changes_of_state_but_no_requests(self, fleet):
         lines = fleet.log_of("h1").splitlines()
         assert any("text_accepted" in line for line in lines)
         assert not any("/v1/search" in line for line in lines)
 
 
 class TestShutdown:
-    def test_sigterm_ends_with_status_0(self):
+    def test_sigterm_stops_host_with_status_0(self):
         with Fleet(SMALL, hosts=1) as fleet:
             fleet.signal("h1", signal.SIGTERM)
             assert fleet.processes["h1"].wait(15) == 0
 
 
 class TestTimelineOfAFleet:
-    def test_no_event_comes_before_one_that_its_host_had_heard_of(self, fleet):
+    def test_every_event_comes_after_the_events_that_its_host_knew_of(self, fleet):
         revision = fleet.put_text(fleet.text + "\n")
         fleet.wait_until(
             lambda: all(fleet.status(n)["revision"] == revision for n in range(3)), 10, "no text"
--- a/tests/process/test_concurrency.py
+++ b/tests/process/test_concurrency.py
@@ -1,4 +1,4 @@
-"""The searches that one entry host has in progress."""
+"""The limit on the searches that one host has in progress for its callers."""
 
 from types import SimpleNamespace
 
@@ -15,6 +15,7 @@
 
 
 def fill(limit: ConcurrencyLimit, rank: Rank) -> int:
+    """Start searches of ``rank`` until one is refused; return how many were started."""
     acquired = 0
     while limit.acquire(rank):
         acquired += 1
@@ -22,7 +23,7 @@
 
 
 class TestConcurrencyLimit:
-    def test_a_flood_of_one_rank_leaves_room_for_the_others(self):
+    def test_flood_of_one_rank_leaves_room_for_other_ranks(self):
         limit = ConcurrencyLimit(ManualClock())
         assert fill(limit, Rank.BULK) == INITIAL_LIMIT / 2
         assert fill(limit, Rank.URGENT) == INITIAL_LIMIT * 3 / 4
@@ -35,7 +36,7 @@
             limit.release(Rank.URGENT, late=False)
         assert limit.limit > INITIAL_LIMIT + 10
 
-    def test_falls_once_an_interval_and_never_to_nothing(self):
+    def test_falls_at_most_once_per_interval_and_not_below_the_minimum(self):
         clock = ManualClock()
         limit = ConcurrencyLimit(clock)
         for _ in range(200):
@@ -57,13 +58,13 @@
         request = SearchRequest((ServiceId("desk"),), "", Rank.BULK, Millis(100.0), 1)
         return service.search(request).reason
 
-    def test_are_refused_before_anything_else(self):
+    def test_are_refused_as_overload_before_any_other_check(self):
         assert self.reason(OWNER_POLICY) is Reason.OVERLOAD
 
-    def test_are_all_admitted_by_the_naive_baseline(self):
+    def test_are_all_admitted_by_the_naive_policy(self):
         assert self.reason(NAIVE_POLICY) is Reason.NO_CONFIGURATION
 
-    def test_that_are_refused_before_their_fan_out_do_not_move_the_limit(self):
+    def test_do_not_change_the_limit_if_refused_before_their_fan_out(self):
         clock = ManualClock()
         runtime = SimpleNamespace(policy=OWNER_POLICY, configuration=lambda: None)
         metrics = SimpleNamespace(count=lambda name: None)
--- a/tests/process/test_explain.py
+++ b/tests/process/test_explain.py
@@ -1,4 +1,4 @@
-"""The story of one request from the logs of several gateways."""
+"""``masticgate explain``, which shows one request from the logs of several gateways."""
 
 import json
 
@@ -32,7 +32,7 @@
         logs = [str(tmp_path / "g1.log"), str(tmp_path / "g2.log")]
         return CliRunner().invoke(main, ["explain", request, *logs])
 
-    def test_the_beliefs_that_decided_a_request_come_before_it(self, tmp_path):
+    def test_shows_earlier_state_changes_that_may_have_affected_the_request(self, tmp_path):
         result = self.run(tmp_path, "q1")
         assert result.exit_code == 0
         events = [row.split()[-3:] for row in result.output.splitlines()]
@@ -40,9 +40,9 @@
         rows = result.output.splitlines()
         assert "platform_lost" in rows[0] and "i-7" in rows[1] and rows[2].startswith("* ")
 
-    def test_other_searchers_and_other_hosts_are_left_out(self, tmp_path):
+    def test_omits_other_searchers_other_hosts_and_later_changes(self, tmp_path):
         output = self.run(tmp_path, "q1").output
         assert "i-8" not in output and "g2" not in output and "version=9" not in output
 
-    def test_an_unknown_request_is_said_so(self, tmp_path):
+    def test_exits_3_for_unknown_request(self, tmp_path):
         assert self.run(tmp_path, "q3").exit_code == 3
--- a/tests/process/test_hedge_budget.py
+++ b/tests/process/test_hedge_budget.py
@@ -1,4 +1,8 @@
-"""One budget for hedges and retries."""
+"""The common budget of hedges and retries.
+
+A hedge is a second attempt of a search while a slow first one is in flight. A retry is another
+attempt after one failed.
+"""
 
 from masticgate.process import OWNER_POLICY
 from masticgate.process._hedge_budget import MAX_TOKENS, RETRY_RESERVE, HedgeBudget
@@ -14,7 +18,7 @@
             retries += 1
         assert retries == RETRY_RESERVE
 
-    def test_both_together_spend_no_more_than_was_earned(self):
+    def test_hedges_and_retries_together_spend_at_most_what_was_earned(self):
         budget = HedgeBudget(OWNER_POLICY.hedging)
         first = budget.tokens
         spent = 0
--- a/tests/process/test_owner_bookings.py
+++ b/tests/process/test_owner_bookings.py
@@ -1,4 +1,7 @@
-"""A booking at its owner: once, also when its message comes twice or late."""
+"""A booking at the owner of its service, which runs it once even if its message comes twice.
+
+The owner queues the work of a service and sends it to the service's searchers.
+"""
 
 from masticgate import (
     HostId,
@@ -23,6 +26,8 @@
 
 
 class OwnerSetup:
+    """An owner that has no connections but those that a test adds, and the replies it sent."""
+
     def __init__(self):
         self.clock = ManualClock()
         timeline = TimeLine(HostId("h1"), self.clock)
@@ -41,7 +46,7 @@
         return self.pools.list_pools()[0]
 
     def next_attempt(self):
-        """Take the next work as an idle connection would."""
+        """Add an idle connection; return the attempt that it is assigned, if any."""
         pool = self.pool()
         return add_idle_connection(pool, pool.health[SearcherId("oa")]).attempt
 
@@ -50,7 +55,7 @@
 
 
 class TestOwnerBooking:
-    def test_second_copy_is_neither_run_nor_refused(self):
+    def test_second_copy_of_message_is_neither_run_nor_refused(self):
         setup = OwnerSetup()
         setup.book()
         setup.book()
@@ -62,7 +67,12 @@
         assert setup.outcomes() == [Ran("1")]
         assert setup.next_attempt() is None
 
-    def test_second_copy_is_dropped_after_a_refusal_and_by_a_newly_opened_pool(self):
+    def test_second_copy_is_ignored_after_refusal_of_first_and_change_of_pool(self):
+        """Guard against running a booking that was reported as not run.
+
+        The first copy arrives after its deadline and is refused. Then the number of hosts changes,
+        which reconfigures the pool, and the second copy arrives in time.
+        """
         setup = OwnerSetup()
         setup.book(remaining=0.0)
         setup.hosts = 4
@@ -70,7 +80,7 @@
         assert [outcome.reason for outcome in setup.outcomes()] == [Reason.DEADLINE]
         assert setup.next_attempt() is None
 
-    def test_cancelled_while_queued_never_runs(self):
+    def test_booking_cancelled_while_queued_never_runs(self):
         setup = OwnerSetup()
         setup.book()
         setup.owner.cancel(Cancel(QueryId("q1")))
@@ -78,7 +88,7 @@
         assert setup.next_attempt() is None
         assert [o.reason for o in setup.outcomes()] == [Reason.CANCELLED]
 
-    def test_cancel_of_what_was_sent_or_never_came_says_nothing(self):
+    def test_cancel_of_sent_or_unknown_booking_has_no_effect(self):
         setup = OwnerSetup()
         setup.owner.cancel(Cancel(QueryId("q1")))
         setup.book()
@@ -99,7 +109,7 @@
 
 
 class TestReplyRouter:
-    def test_tells_the_tickets_of_a_booking_nobody_waits_for(self):
+    def test_passes_on_outcome_of_booking_that_nobody_waits_for(self):
         recorded = []
         reply_router = ReplyRouter(lambda query, outcome: recorded.append((query, outcome)))
         reply_router.deliver(HostId("h2"), BookReply(QueryId("q1"), Ran("1")))
--- a/tests/process/test_owner_faults.py
+++ b/tests/process/test_owner_faults.py
@@ -1,4 +1,8 @@
-"""An owner, its searchers and their limits under faults, with real processes."""
+"""An owner of services, its searchers and their limits under faults, with real processes.
+
+The owner of a service queues its work and holds the connections to its searchers. The operators'
+text limits the connections that all hosts together may open to a searcher.
+"""
 
 import signal
 import time
@@ -12,7 +16,7 @@
 
 
 class Load:
-    """Searches through some hosts of a fleet, one after another in each of some tasks."""
+    """Searches through some hosts of a fleet; each task runs one search after another."""
 
     def __init__(self, fleet, hosts=(0, 1, 2), tasks=12):
         self.fleet = fleet
@@ -56,7 +60,12 @@
 
 
 class TestSearcherLimits:
-    def test_hold_in_sum_while_owners_pause_die_and_change(self, fleet):
+    def test_hold_over_all_hosts_while_owner_is_paused_killed_and_replaced(self, fleet):
+        """Guard against more connections to a searcher than its limit, summed over all hosts.
+
+        Several hosts may act as the owner of a service at once, for instance when the owner is
+        paused or lost, when it comes back, or when the configuration changes meanwhile.
+        """
         owner = find_owner(fleet, "desk/1")
         name = fleet.hosts[owner]["host"]
         with Load(fleet):
@@ -84,7 +93,8 @@
 
 
 class TestShareOfOneOwner:
-    def test_holds_while_the_text_changes_under_load(self):
+    def test_holds_while_text_changes_under_load(self):
+        """Guard against connections beyond the share when a new text reconfigures the pool."""
         text = SMALL.replace('"connections": 25', '"connections": 3')
         with Fleet(text, hosts=1, knobs={"service_ms": 30.0}) as fleet, Load(fleet, [0]):
             for floor in (0.1, 0.2, 0.3):
@@ -99,7 +109,7 @@
 
 
 class TestRestartedSearcher:
-    def test_gets_no_work_while_it_drains_and_work_again_as_a_new_incarnation(self, fleet):
+    def test_gets_no_work_while_draining_and_work_again_as_new_incarnation(self, fleet):
         def completed_count():
             return fleet.searchers()["d1a"]["counts"].get("completed", 0)
 
@@ -114,8 +124,13 @@
             fleet.wait_until(lambda: completed_count() > before, 20.0, "d1a got no work again")
 
 
-class TestCutBooking:
-    def test_is_unknown_and_ran_once_after_a_warm_connection(self, fleet):
+class TestBookingOnClosedConnection:
+    def test_is_unknown_and_ran_once_if_searcher_closes_a_reused_connection(self, fleet):
+        """Guard against resending a booking when a reused connection ends without a response.
+
+        An HTTP client may take that as an idle connection that timed out, and send the request
+        again, although the searcher has run it.
+        """
         first = fleet.book(0, fleet.mint(0), "orders")
         assert first.body["outcome"] == "ran"
         fleet.turn(["oa", "ob"], book_then_cut=True)
--- a/tests/process/test_pool_faults.py
+++ b/tests/process/test_pool_faults.py
@@ -1,4 +1,4 @@
-"""One service's queue and dispatch under any order of events."""
+"""The queue of a service and its dispatch to searchers, under any order of events."""
 
 from collections import Counter
 
--- a/tests/process/test_rank_queue.py
+++ b/tests/process/test_rank_queue.py
@@ -1,4 +1,7 @@
-"""The order of pending work: urgent first, floors for the rest."""
+"""The order of queued work: urgent first, with a floor for each lower rank.
+
+The floor of a rank is the share of the served work that it gets even if more urgent work waits.
+"""
 
 from hypothesis import given, settings
 from hypothesis import strategies as st
@@ -36,7 +39,7 @@
 class TestRankQueue:
     @settings(derandomize=True, max_examples=50, deadline=None)
     @given(flood=st.sampled_from(list(Rank)), served=st.integers(40, 400))
-    def test_keeps_the_floors_and_starves_no_rank_in_any_flood(self, flood, served):
+    def test_every_rank_gets_its_floor_in_a_flood_of_any_rank(self, flood, served):
         queue = RankQueue(RankOrder(SHARED_ORDER_AFTER), FLOORS)
         for number in range(served):
             for rank in Rank:
@@ -49,7 +52,7 @@
 
     @settings(derandomize=True, max_examples=50, deadline=None)
     @given(ranks=st.lists(st.sampled_from(list(Rank)), min_size=1, max_size=8))
-    def test_serves_urgent_before_the_rest_until_a_floor_is_owed(self, ranks):
+    def test_serves_more_urgent_ranks_first_without_floors(self, ranks):
         queue = RankQueue(RankOrder(SHARED_ORDER_AFTER), {})
         for number, rank in enumerate(ranks):
             queue.add(make_entry(number, rank))
@@ -60,9 +63,7 @@
         admission_numbers=st.lists(st.floats(0, 1), min_size=2, max_size=20, unique=True),
         data=st.data(),
     )
-    def test_serves_an_overloaded_rank_in_the_same_order_on_every_owner(
-        self, admission_numbers, data
-    ):
+    def test_serves_overloaded_rank_in_same_order_on_every_owner(self, admission_numbers, data):
         orders = []
         for arrivals in (admission_numbers, data.draw(st.permutations(admission_numbers))):
             queue = RankQueue(RankOrder(SHARED_ORDER_AFTER), FLOORS)
@@ -76,7 +77,7 @@
             )
         assert orders[0] == orders[1] == sorted(admission_numbers)
 
-    def test_takes_work_that_expired_off_no_floor(self):
+    def test_expired_work_uses_up_no_floor(self):
         queue = RankQueue(RankOrder(SHARED_ORDER_AFTER), {Rank.BULK: 0.5})
         for number in range(9):
             queue.add(make_entry(f"u{number}", Rank.URGENT))
--- a/tests/process/test_searcher_choice.py
+++ b/tests/process/test_searcher_choice.py
@@ -1,4 +1,7 @@
-"""Which searcher of a service is given work."""
+"""The choice of the searcher that gets the next work of a service.
+
+The searchers of a service are replicas of one another.
+"""
 
 from collections import Counter
 
@@ -16,7 +19,7 @@
 
 
 class TestSearcherChoice:
-    def test_hardly_heeds_a_searcher_that_lies_about_its_load(self):
+    def test_wrong_reported_load_changes_share_of_work_by_at_most_a_tenth(self):
         shares = []
         for reported_load in (0, 1000):
             connections = FakeConnections()
@@ -34,7 +37,7 @@
             shares.append(assigned["a"] / sum(assigned.values()))
         assert max(shares) - min(shares) <= 0.1
 
-    def test_ejects_a_failing_searcher_and_takes_it_back_after_one_probe(self):
+    def test_ejects_failing_searcher_and_uses_it_again_after_one_probe(self):
         connections = FakeConnections()
         connections.add_all_idle()
         health = connections.pool.health["a"]
@@ -49,7 +52,7 @@
         assert health.state is SearcherState.WARMING
         assert health.max_in_flight(connections.clock.now()) == 1
 
-    def test_never_ejects_more_than_half_of_a_service(self):
+    def test_never_ejects_more_than_half_of_the_searchers(self):
         connections = FakeConnections()
         connections.add_all_idle()
         for _ in range(20):
@@ -57,7 +60,7 @@
         states = [health.state for health in connections.pool.health.values()]
         assert states.count(SearcherState.EJECTED) == 1
 
-    def test_keeps_a_drained_incarnation_out_and_takes_back_the_next(self):
+    def test_sends_no_work_to_drained_incarnation_but_to_the_next(self):
         connections = FakeConnections()
         connections.add_all_idle()
         health = connections.pool.health["a"]
@@ -69,7 +72,7 @@
         connections.pool.record_load(SEARCHERS["a"], LoadReport(0, False, "2"))
         assert health.state is SearcherState.WARMING
 
-    def test_takes_back_a_restarted_searcher_that_states_no_incarnation(self):
+    def test_uses_restarted_searcher_again_that_states_no_incarnation(self):
         connections = FakeConnections()
         health = connections.pool.health["a"]
         health.drain()
@@ -79,7 +82,7 @@
         connections.pool.record_load(SEARCHERS["a"], LoadReport(0, False))
         assert health.state is SearcherState.WARMING
 
-    def test_gives_less_to_a_searcher_that_sheds_but_does_not_eject_it(self):
+    def test_sends_less_to_searcher_that_sheds_load_but_does_not_eject_it(self):
         connections = FakeConnections()
         connections.add_all_idle()
         health = connections.pool.health["a"]
@@ -94,7 +97,7 @@
 
     @staticmethod
     def run(connections, results):
-        """Run four searches at once, each ending as its searcher does."""
+        """Run four searches at once, each with the result given for its searcher."""
         for _ in range(4):
             connections.search()
         ran = []
--- a/tests/process/test_service_pool.py
+++ b/tests/process/test_service_pool.py
@@ -1,4 +1,7 @@
-"""One service's queue and its delivery, hedges and limits."""
+"""The queue of one service: delivery of results, hedges and the limit on connections.
+
+A hedge is a second attempt at another searcher while a slow first attempt is in flight.
+"""
 
 from masticgate import Millis, Rank, Reason
 from masticgate.process import SearcherAttempt
@@ -15,7 +18,7 @@
 
 
 class TestDelivery:
-    def test_retries_elsewhere_what_a_draining_searcher_refused(self):
+    def test_retries_search_at_other_searcher_after_draining_one_refused_it(self):
         connections = FakeConnections()
         query, _ = connections.search()
         (first,) = connections.add_idle("a")
@@ -26,7 +29,7 @@
         connections.finish(second, HITS)
         assert connections.results[query] == [HITS]
 
-    def test_settles_pending_work_once_every_searcher_drains(self):
+    def test_settles_queued_work_once_every_searcher_drains(self):
         connections = FakeConnections("a")
         first, _ = connections.search()
         waiting, _ = connections.search()
@@ -35,7 +38,7 @@
         assert connections.results[first] == [DRAINING]
         assert [r.reason for r in connections.results[waiting]] == [Reason.NO_SEARCHER]
 
-    def test_settles_work_that_expires_while_every_connection_is_stuck(self):
+    def test_settles_work_that_expires_while_every_connection_is_busy(self):
         connections = FakeConnections("a")
         connections.search(remaining=5000.0)
         waiting, _ = connections.search(remaining=50.0)
@@ -44,7 +47,7 @@
         connections.search()
         assert [r.reason for r in connections.results[waiting]] == [Reason.DEADLINE]
 
-    def test_says_not_run_only_of_what_never_left(self):
+    def test_stop_delivers_result_of_failed_attempt_and_not_not_run(self):
         connections = FakeConnections()
         query, _ = connections.search()
         (attempt,) = connections.add_idle("a")
@@ -52,7 +55,7 @@
         connections.pool.stop()
         assert connections.results[query] == [LOST]
 
-    def test_cancels_a_search_without_a_result_and_cuts_its_call(self):
+    def test_cancelled_search_gets_no_result_and_its_call_is_aborted(self):
         connections = FakeConnections()
         query, _ = connections.search()
         (attempt,) = connections.add_idle("a")
@@ -60,7 +63,7 @@
         connections.finish(attempt, LOST)
         assert connections.aborted == [attempt] and connections.results[query] == []
 
-    def test_leaves_a_sent_booking_alone_and_never_sends_it_again(self):
+    def test_sent_booking_is_neither_cancelled_nor_hedged_nor_retried(self):
         connections = FakeConnections()
         query, _ = connections.book("t")
         (attempt,) = connections.add_idle("a")
@@ -73,7 +76,7 @@
 
 
 class TestHedges:
-    def test_asks_the_other_searcher_and_cuts_the_loser(self):
+    def test_hedge_goes_to_other_searcher_and_its_answer_aborts_first_attempt(self):
         connections = FakeConnections()
         connections.add_all_idle()
         connections.run_searches(40)
@@ -86,7 +89,7 @@
         assert connections.results[query] == [HITS]
         assert first.state is AttemptState.SUPERSEDED and connections.aborted == [first]
 
-    def test_sends_no_hedge_after_the_deadline(self):
+    def test_no_hedge_is_sent_after_the_deadline(self):
         connections = FakeConnections()
         connections.add_all_idle()
         connections.run_searches(40)
@@ -95,7 +98,7 @@
         connections.clock.advance(Millis(400.0))
         assert not connections.dispatch_and_start()
 
-    def test_follows_a_change_of_latency_within_a_few_answers(self):
+    def test_delay_follows_change_of_latency(self):
         connections = FakeConnections()
         connections.add_all_idle()
         connections.run_searches(100, latency=20.0)
@@ -105,7 +108,7 @@
         connections.run_searches(250, latency=20.0)
         assert connections.pool.budget.hedge_delay() < 2 * before
 
-    def test_goes_before_pending_work_of_a_lower_rank(self):
+    def test_hedge_is_sent_before_queued_work_of_lower_rank(self):
         connections = FakeConnections()
         connections.add_all_idle()
         connections.run_searches(60)
@@ -121,7 +124,7 @@
 
 
 class TestLimits:
-    def test_opens_no_more_than_the_share_while_old_connections_close(self):
+    def test_opens_at_most_the_share_while_old_connections_close(self):
         connections = FakeConnections("a")
         connections.search()
         connections.add_idle("a")
@@ -133,7 +136,7 @@
         assert len(missing) == SHARE - 1
         assert connections.pool.open_connections() == SHARE
 
-    def test_keeps_a_closing_connection_that_is_wanted_again(self):
+    def test_reopens_closing_connection_that_is_wanted_again(self):
         connections = FakeConnections("a")
         connections.pool.stop()
         health = connections.pool.searchers.find(SEARCHERS["a"])
@@ -143,8 +146,8 @@
         assert connections.pool.open_connections() == SHARE
 
 
-class TestTypes:
-    def test_gives_a_connection_its_work(self):
+class TestWaitForWork:
+    def test_idle_connection_gets_an_attempt(self):
         connections = FakeConnections()
         connections.search()
         outcome = connections.pool.wait_for_work(SEARCHERS["a"])
