--- a/tests/process/faults.py
+++ b/tests/process/faults.py
@@ -1,4 +1,4 @@
-"""Random faults of a fleet: the same seed gives the same schedule."""
+"""Random faults of a fleet of real processes; the same seed gives the same schedule of faults."""
 
 import random
 import signal
@@ -13,17 +13,21 @@
 
 @dataclass(frozen=True)
 class HostKilled:
+    """An entry host is killed; it starts again when the fault is removed."""
+
     host: int
 
 
 @dataclass(frozen=True)
 class HostPaused:
+    """An entry host is stopped by a signal, and continues when the fault is removed."""
+
     host: int
 
 
 @dataclass(frozen=True)
 class SearcherKnobSet:
-    """Knobs of one searcher, and their values without the fault."""
+    """One knob of a stand-in searcher is set to ``value``, and back to ``normal`` afterwards."""
 
     searcher: str
     knob: str
@@ -33,13 +37,18 @@
 
 @dataclass(frozen=True)
 class SnapshotPublished:
-    """Another partition of the index; the old one goes away when the fault ends."""
+    """A snapshot with ``shards`` shards a service is published.
+
+    The searchers hold the previous snapshot too until the fault is removed.
+    """
 
     shards: int
 
 
 @dataclass(frozen=True)
 class TextEdited:
+    """The configuration text is published with ``old`` replaced by ``new``, then unchanged."""
+
     old: str
     new: str
 
@@ -54,7 +63,7 @@
 
 @dataclass(frozen=True)
 class FaultStep:
-    """One or two faults at once, for a while, and a while without."""
+    """One or two faults at the same time, and the time without a fault that follows them."""
 
     faults: tuple[Fault, ...]
     fault_seconds: float
@@ -62,12 +71,14 @@
 
 
 def plan_step(source: random.Random, hosts: int) -> FaultStep:
+    """Draw one or two faults of different kinds, and their durations, for ``hosts`` hosts."""
     kinds = source.sample(range(6), source.choice((1, 2)))
     faults = tuple(plan_fault(source, kind, hosts) for kind in kinds)
     return FaultStep(faults, source.uniform(0.3, 1.5), source.uniform(0.2, 0.8))
 
 
 def plan_fault(source: random.Random, kind: int, hosts: int) -> Fault:
+    """Draw the details of a fault of the kind with index ``kind``."""
     knob_faults = [
         ("draining", True, False),
         ("loss_share", 0.5, 0.0),
@@ -90,6 +101,7 @@
 
 
 def inject(fleet: Fleet, fault: Fault) -> None:
+    """Cause ``fault`` in ``fleet``."""
     match fault:
         case HostKilled(host=host):
             fleet.kill(fleet.hosts[host]["host"])
@@ -114,6 +126,7 @@
 
 
 def remove(fleet: Fleet, fault: Fault) -> None:
+    """Undo ``fault``, except that a published snapshot replaces the ones before it."""
     match fault:
         case HostKilled(host=host):
             fleet.start_host(host)
--- a/tests/process/test_against_naive.py
+++ b/tests/process/test_against_naive.py
@@ -1,4 +1,8 @@
-"""The owner routing against the naive one: same questions, same index, same answers."""
+"""Comparison of owner routing with naive routing: equal answers to equal searches.
+
+With owner routing one host, the owner, queues all work of a service; with naive routing each host
+queues the work of its own requests.
+"""
 
 import itertools
 
@@ -22,13 +26,13 @@
 
 
 def routing_independent_fields(reply):
-    """What must not depend on the routing."""
+    """Return the parts of a reply that must not depend on the routing."""
     body = reply.body
     return body["snapshot"], body["coverage"], body["hits"], body["missing"]
 
 
 def compare(fleets, minimum):
-    """Ask both fleets the same; return how many pairs of answers were whole and equal."""
+    """Search in both fleets; check that whole answers are equal, in at least ``minimum`` pairs."""
     compared = 0
     for index, text, scope in itertools.product(range(3), TEXTS, SCOPES):
         replies = [fleet.search(index, scope, text=text) for fleet in fleets]
@@ -39,10 +43,10 @@
 
 
 class TestAgainstNaive:
-    def test_gives_equal_answers(self, fleets):
+    def test_answers_are_equal(self, fleets):
         compare(fleets, minimum=27)
 
-    def test_gives_equal_answers_from_a_new_snapshot_with_other_shards(self, fleets):
+    def test_answers_are_equal_from_a_new_snapshot_with_other_shards(self, fleets):
         for fleet in fleets:
             fleet.turn([], held=[1, 2])
             shards = {s: {f"{s}/n{n}": 1.0 for n in range(3)} for s in fleet.snapshots[0]["shards"]}
@@ -54,7 +58,7 @@
         compare(fleets, minimum=27)
 
     @pytest.mark.parametrize("knobs", [{"draining": True}, {"loss_share": 1.0}])
-    def test_gives_equal_answers_with_a_searcher_gone(self, fleets, knobs):
+    def test_answers_are_equal_without_one_searcher_per_service(self, fleets, knobs):
         for fleet in fleets:
             fleet.turn(["d1a", "l1b"], **knobs)
         compare(fleets, minimum=9)
--- a/tests/process/test_departure.py
+++ b/tests/process/test_departure.py
@@ -1,4 +1,4 @@
-"""Departments, searchers and hosts that leave, and hosts that are cut off, under load."""
+"""Searchers, departments and hosts that leave, and a network partition, under load."""
 
 import time
 
@@ -11,18 +11,19 @@
 from tests.texts import SMALL
 
 LEAVE_SECONDS = 3.0
-"""An upstream that leaves may receive new work for this long."""
+"""The longest time for which a searcher that leaves may still receive new work."""
 
 LEDGER_LEAVES = SMALL.replace('"ledger": {}', '"ledger": {"leaving": true}')
 NOWHERE = {"configuration": "127.0.0.1:1", "hosts": "127.0.0.1:1"}
 
 
 def received(fleet, names):
+    """Return how many requests the searchers ``names`` have received so far."""
     return sum(fleet.searchers()[name]["counts"].get("received", 0) for name in names)
 
 
 def received_after_leaving(fleet, names):
-    """Return how much work the searchers get in a second, once the time to leave has passed."""
+    """Return how many requests the searchers receive in one second, after ``LEAVE_SECONDS``."""
     time.sleep(LEAVE_SECONDS)
     before = received(fleet, names)
     time.sleep(1.0)
@@ -31,13 +32,14 @@
 
 @pytest.fixture(scope="class")
 def fleet():
-    cut_off = {2: {"platform": NOWHERE}}
-    with Fleet(SMALL, knobs={"service_ms": 5.0}, host_settings=cut_off) as started:
+    """Yield a fleet whose third host can't reach the platform."""
+    without_platform = {2: {"platform": NOWHERE}}
+    with Fleet(SMALL, knobs={"service_ms": 5.0}, host_settings=without_platform) as started:
         yield started
 
 
 class TestDrain:
-    def test_a_draining_searcher_gets_no_new_work_and_answers_stay_whole(self, fleet):
+    def test_draining_searcher_receives_no_new_work_and_answers_stay_whole(self, fleet):
         with Load(fleet, ["desk/1"]) as load:
             time.sleep(0.5)
             fleet.turn(["d1a"], draining=True)
@@ -47,7 +49,7 @@
 
 
 class TestDepartment:
-    def test_leaves_within_seconds_on_a_host_without_platform_too(self, fleet):
+    def test_leaves_within_seconds_also_on_host_without_platform(self, fleet):
         searchers = ["l1a", "l1b"]
         with Load(fleet, ["desk/1"]) as load:
             time.sleep(0.5)
@@ -63,7 +65,11 @@
 
 
 class TestListedLeaving:
-    def test_a_host_that_the_list_calls_leaving_hands_over_and_still_answers(self, fleet):
+    def test_host_listed_as_leaving_gives_up_its_services_and_still_answers(self, fleet):
+        """Guard against a host that returns to alive when the list no longer marks it as leaving.
+
+        The host list lags behind, so leaving holds for the rest of the host's incarnation.
+        """
         leaving = [{**host, "leaving": index == 0} for index, host in enumerate(fleet.hosts)]
         with Load(fleet, ["desk/1"], callers=1) as load:
             fleet.list_hosts(leaving)
@@ -76,7 +82,10 @@
 
 @pytest.fixture(scope="class")
 def partitionable():
-    """Yield a fleet, and a function that parts the first host from the others or heals."""
+    """Yield a fleet, and a function that cuts the first host off from the others or reconnects it.
+
+    Each host listens behind a relay, which refuses connections from the hosts on the other side.
+    """
     fleet = Fleet(SMALL, knobs={"service_ms": 5.0})
     ports = [host["address"].rpartition(":") for host in fleet.hosts]
     behind = [f"{number}:{int(port) + 500}" for number, _, port in ports]
@@ -94,8 +103,8 @@
         relay.stop()
 
 
-class TestSplit:
-    def test_both_sides_answer_and_agree_again_once_healed(self, partitionable):
+class TestNetworkPartition:
+    def test_both_sides_answer_and_agree_again_after_it(self, partitionable):
         fleet, set_partition = partitionable
         before = [owned_services(fleet, index) for index in range(3)]
         with Load(fleet, ["desk/1"], callers=1) as load:
@@ -105,7 +114,7 @@
             wait_for_state(fleet, "h3", "dead", [0])
             assert owned_services(fleet, 0) == set().union(*before)
             set_partition(False)
-            fleet.wait_until(fleet.is_ready, SETTLE_SECONDS, "the split did not heal")
+            fleet.wait_until(fleet.is_ready, SETTLE_SECONDS, "the hosts did not reconnect")
             for host in ("h1", "h2", "h3"):
                 wait_for_state(fleet, host, "alive", [0, 1, 2])
         assert [owned_services(fleet, index) for index in range(3)] == before
--- a/tests/process/test_distribution.py
+++ b/tests/process/test_distribution.py
@@ -1,4 +1,4 @@
-"""How an edit of the text reaches every host and stays in force, over real processes."""
+"""Distribution of edits of the configuration text to every host, with real processes."""
 
 import signal
 
@@ -10,7 +10,10 @@
 from tests.texts import SMALL
 
 IN_FORCE_SECONDS = 5.0
+"""The longest time until an edit is in force on every host."""
+
 PLATFORM_BACK_SECONDS = 12.0
+"""The same after an outage of the platform, in which hosts wait up to 10 s between reads."""
 
 
 @pytest.fixture(scope="class")
@@ -20,6 +23,7 @@
 
 
 def edit(number: int) -> str:
+    """Return the text with an edit: the first searcher has ``number`` slots."""
     return SMALL.replace('"slots": 2', f'"slots": {number}', 1)
 
 
@@ -35,22 +39,23 @@
 
 
 def events(fleet: Fleet, index: int, kind: str) -> list[str]:
+    """Return the details of the events of ``kind`` on one host's time line."""
     found = call(fleet.callers[index], "GET", "/v1/events").body["events"]
     return [event["detail"] for event in found if event["kind"] == kind]
 
 
 class TestEdit:
-    def test_is_in_force_on_every_host_within_seconds(self, fleet):
+    def test_comes_into_force_on_every_host_within_seconds(self, fleet):
         wait_in_force(fleet, fleet.put_text(edit(3)))
 
-    def test_that_is_refused_changes_nothing_and_says_where(self, fleet):
+    def test_invalid_edit_changes_nothing_and_reports_its_position(self, fleet):
         before = revisions(fleet)
         refused = fleet.put_text(edit(3).replace('["ledger/1"]', '["gone"]'))
 
         def is_refused() -> bool:
             return all(fleet.status(i)["refused_revision"] == refused for i in range(3))
 
-        fleet.wait_until(is_refused, IN_FORCE_SECONDS, "the text was not judged")
+        fleet.wait_until(is_refused, IN_FORCE_SECONDS, "the text was not refused everywhere")
         assert revisions(fleet) == before
         assert "line 8, column" in fleet.status(0)["problems"][0]
         assert "service 'desk/1' depends on 'gone'" in fleet.status(0)["problems"][0]
@@ -58,7 +63,7 @@
         wait_in_force(fleet, fleet.put_text(edit(4)))
         assert fleet.status(0)["problems"] == []
 
-    def test_made_while_the_platform_is_down_is_in_force_once_it_is_back(self, fleet):
+    def test_edit_during_platform_outage_comes_into_force_after_it(self, fleet):
         fleet.platform("down", down=True)
         before = revisions(fleet)
         revision = fleet.put_text(edit(5))
@@ -67,16 +72,21 @@
         fleet.platform("down", down=False)
         wait_in_force(fleet, revision, PLATFORM_BACK_SECONDS)
 
-    def test_reaches_a_host_that_the_platform_does_not(self, fleet):
+    def test_reaches_host_that_cannot_reach_the_platform(self, fleet):
         fleet.kill("h3")
         nowhere = f"{fleet.network}:9"
         fleet.start_host(2, platform={"configuration": nowhere, "hosts": nowhere})
-        fleet.wait_until(fleet.is_ready, 10.0, "the host did not start by its peers alone")
+        fleet.wait_until(fleet.is_ready, 10.0, "the host did not start with its peers alone")
         wait_in_force(fleet, fleet.put_text(edit(6)))
 
 
-class TestStaleness:
-    def test_does_not_revert_a_host_that_restarts_with_no_memory(self, fleet):
+class TestStalePlatform:
+    def test_does_not_revert_a_restarted_host(self, fleet):
+        """Guard against a restarted host that puts the platform's stale text in force.
+
+        A host stores nothing across restarts. The platform answers with the previous text and the
+        peers are paused, so the host must wait for the peers before it serves.
+        """
         revision = fleet.put_text(edit(3))
         wait_in_force(fleet, revision)
         fleet.platform("freeze", freeze=True, previous=True)
@@ -84,7 +94,7 @@
         for peer in ("h2", "h3"):
             fleet.signal(peer, signal.SIGSTOP)
         fleet.start_host(0)
-        fleet.wait_until(lambda: answers(fleet), 10.0, "the host does not listen")
+        fleet.wait_until(lambda: answers(fleet), 10.0, "the host does not answer")
         reply = fleet.search(0, ["desk/1"])
         assert (reply.body["outcome"], reply.body["reason"]) == ("not_run", "no_configuration")
         for peer in ("h2", "h3"):
@@ -95,7 +105,7 @@
         assert serving.startswith("complete: the platform and 2 peers in ")
         assert serving.endswith(f"serves revision {revision}")
 
-    def test_that_comes_and_goes_reverts_nothing(self, fleet):
+    def test_intermittent_staleness_reverts_nothing(self, fleet):
         fleet.platform("freeze", freeze=False)
         revision = fleet.put_text(edit(4))
         wait_in_force(fleet, revision)
@@ -105,8 +115,8 @@
         wait_in_force(fleet, fleet.put_text(edit(5)), PLATFORM_BACK_SECONDS)
 
 
-class TestLoneStart:
-    def test_serves_the_platform_alone_and_says_so(self):
+class TestStartWithoutPeers:
+    def test_serves_the_text_of_the_platform_and_records_a_partial_start(self):
         with Fleet(SMALL, hosts=2) as fleet:
             fleet.kill("h1")
             fleet.kill("h2")
@@ -118,6 +128,7 @@
 
 
 def answers(fleet: Fleet) -> bool:
+    """Return whether the first host answers a search, with whatever status."""
     try:
         return fleet.search(0, ["desk/1"]).status > 0
     except OSError:
@@ -126,17 +137,17 @@
 
 class TestReads:
     @pytest.mark.parametrize(("hosts", "watchers"), [(3, 3), (7, 4)])
-    def test_grow_with_failure_domains_and_not_with_hosts(self, hosts, watchers):
+    def test_number_grows_with_failure_domains_and_not_with_hosts(self, hosts, watchers):
         with Fleet(SMALL, hosts=hosts) as fleet:
 
             def is_settled() -> bool:
                 return fleet.platform("reads")["waiting"] == watchers * WATCHED_KEYS
 
-            fleet.wait_until(is_settled, 10.0, "the watches are not those of the watchers")
+            fleet.wait_until(is_settled, 10.0, "not exactly the watchers watch")
             domains = {host["failure_domain"] for host in fleet.hosts}
             before = fleet.platform("reads")["reads"]
             wait_in_force(fleet, fleet.put_text(edit(3)))
-            fleet.wait_until(is_settled, 10.0, "the watches did not come back")
+            fleet.wait_until(is_settled, 10.0, "the watches did not resume after the edit")
             read = fleet.platform("reads")["reads"] - before
             assert read <= most_reads(len(domains), Millis(10_000.0), changes=1, starts=0)
             statuses = [fleet.status(index) for index in range(hosts)]
@@ -144,9 +155,9 @@
 
 
 class TestWatchers:
-    def test_of_a_failure_domain_are_replaced_when_both_are_lost(self):
+    def test_both_lost_watchers_of_a_failure_domain_are_replaced(self):
         with Fleet(SMALL, hosts=7) as fleet:
-            fleet.wait_until(lambda: is_settled(fleet), 10.0, "not two watchers a failure domain")
+            fleet.wait_until(lambda: is_settled(fleet), 10.0, "a domain lacks two watchers")
             lost = [index for index in watchers(fleet) if domain_of(fleet, index) == "north"]
             assert len(lost) == 2
             for index in lost:
@@ -162,6 +173,7 @@
 
 
 def running(fleet: Fleet) -> list[int]:
+    """Return the indexes of the running hosts."""
     return [i for i, host in enumerate(fleet.hosts) if fleet.is_running(host["host"])]
 
 
@@ -170,11 +182,12 @@
 
 
 def watchers(fleet: Fleet) -> list[int]:
+    """Return the indexes of the running hosts that watch the platform."""
     return [index for index in running(fleet) if fleet.status(index)["watcher"]]
 
 
 def is_settled(fleet: Fleet) -> bool:
-    """Tell whether two hosts of each domain watch, and each of them waits at the platform."""
+    """Return whether two hosts of each failure domain watch, each with an open watch per key."""
     domains = sorted(domain_of(fleet, index) for index in watchers(fleet))
     waiting = fleet.platform("reads")["waiting"]
     return domains == ["north", "north", "south", "south"] and waiting == 4 * WATCHED_KEYS
--- a/tests/process/test_fetches.py
+++ b/tests/process/test_fetches.py
@@ -1,4 +1,4 @@
-"""What one host asks of its peers, and what it sends them."""
+"""The versions that a host fetches from its peers, and the pushes that it sends them."""
 
 from masticgate import (
     Address,
@@ -23,11 +23,12 @@
 
 
 def edit(number: int) -> str:
+    """Return the text with an edit: the first searcher has ``number`` slots."""
     return SMALL.replace('"slots": 2', f'"slots": {number}', 1)
 
 
 class RecordingLinks:
-    """Links that keep what is sent to all peers."""
+    """Links that record the messages sent to all peers."""
 
     def __init__(self) -> None:
         self.sent: list[object] = []
@@ -37,7 +38,7 @@
 
 
 class DistributionHost:
-    """One host's distribution, with no platform and no links."""
+    """The distribution of one host, without a platform and with recording links."""
 
     def __init__(self, name: str) -> None:
         settings = Settings(
@@ -64,21 +65,21 @@
     def compare_versions(
         self, other: "DistributionHost", revision: int, catalogue: int = 0
     ) -> list[object]:
-        """Return what this node asks after ``other`` named its versions."""
+        """Return the replies to a heartbeat of ``other`` that names these versions."""
         self.replies.clear()
         versions = Versions(Revision(revision), SnapshotVersion(catalogue))
         self.distribution.compare_versions(other.hello, versions, self.send_reply)
         return list(self.replies)
 
     def answer_fetch(self, have: int) -> list[object]:
-        """Return what this node sends a peer at revision ``have``."""
+        """Return what this host sends to a peer that fetches and is at revision ``have``."""
         self.replies.clear()
         versions = Versions(Revision(have), SnapshotVersion(0))
         self.distribution.answer_fetch(versions, self.send_reply)
         return list(self.replies)
 
     def handle_push(self, push) -> list[object]:
-        """Return what this node asks after it got ``push``."""
+        """Return what this host replies to ``push``."""
         self.replies.clear()
         self.distribution.handle_push(push, self.send_reply)
         return list(self.replies)
@@ -89,7 +90,7 @@
 
 
 class TestFetch:
-    def test_asks_one_peer_at_a_time_for_one_revision(self):
+    def test_fetches_one_revision_from_one_peer_at_a_time(self):
         host, first, second = DistributionHost("h1"), DistributionHost("h2"), DistributionHost("h3")
         asked = [FetchVersions(Versions(Revision(0), SnapshotVersion(0)))]
         assert host.compare_versions(first, 5) == asked
@@ -98,7 +99,7 @@
         host.clock.advance(Millis(FETCH_TIMEOUT + 1))
         assert host.compare_versions(first, 6) == asked
 
-    def test_asks_for_nothing_that_it_has_or_refused(self):
+    def test_does_not_fetch_what_it_has_or_refused(self):
         host, peer = DistributionHost("h1"), DistributionHost("h2")
         host.versions.offer_text(SMALL, Revision(5))
         host.versions.offer_text("{", Revision(7))
@@ -110,14 +111,14 @@
         )
         assert host.compare_versions(peer, 6) != []
 
-    def test_asks_for_a_newer_catalogue_while_a_text_is_awaited(self):
+    def test_fetches_newer_catalogue_while_it_waits_for_a_text(self):
         host, peer = DistributionHost("h1"), DistributionHost("h2")
         assert host.compare_versions(peer, 5) != []
         assert host.compare_versions(peer, 0, catalogue=2) != []
 
 
 class TestPush:
-    def test_brings_a_peer_forward_by_sections_and_tells_the_others(self):
+    def test_updates_a_peer_by_sections_which_announces_them_once(self):
         host, peer = DistributionHost("h1"), DistributionHost("h2")
         for revision in (1, 2):
             host.versions.offer_text(edit(revision), Revision(revision))
@@ -129,7 +130,7 @@
         assert [message.versions.revision for message in peer.links.sent] == [2]
         assert peer.handle_push(push) == [] and len(peer.links.sent) == 1
 
-    def test_against_another_revision_or_text_is_asked_for_again(self):
+    def test_fetches_again_if_sections_start_from_another_revision_or_text(self):
         host, peer = DistributionHost("h1"), DistributionHost("h2")
         for revision in (1, 2, 3):
             host.versions.offer_text(edit(revision), Revision(revision))
@@ -146,7 +147,7 @@
         assert isinstance(whole, TextPush) and peer.handle_push(whole) == []
         assert peer.versions.configuration == host.versions.configuration
 
-    def test_sends_a_newer_catalogue_as_published(self):
+    def test_sends_newer_catalogue_as_published(self):
         host, peer = DistributionHost("h1"), DistributionHost("h2")
         text = '{"versions": [{"version": 4, "shards": {"desk/1": {"a": 1.0}}}]}'
         host.versions.offer_catalogue(text)
--- a/tests/process/test_members.py
+++ b/tests/process/test_members.py
@@ -1,4 +1,4 @@
-"""Beliefs about hosts and failure detection."""
+"""Membership: the merge of updates about hosts, failure detection and the host list."""
 
 from hypothesis import given, settings
 from hypothesis import strategies as st
@@ -23,6 +23,7 @@
 
 
 def members_of(name, clock=None, count=0):
+    """Return the membership table of the host ``name``, which knows ``count`` other hosts."""
     clock = clock or ManualClock()
     own = member(name)
     view = Members(own, clock, TimeLine(own.host, clock), lambda changed: None)
@@ -42,7 +43,7 @@
 class TestMerge:
     @settings(derandomize=True)
     @given(st.lists(member_updates, max_size=8), st.randoms(use_true_random=False))
-    def test_ends_the_same_in_any_order_and_repeated(self, updates, random):
+    def test_result_does_not_depend_on_order_or_repetition(self, updates, random):
         one, other = members_of("a"), members_of("b")
         shuffled = updates * 2
         random.shuffle(shuffled)
@@ -53,7 +54,7 @@
 
     @settings(derandomize=True)
     @given(st.lists(member_updates, max_size=12))
-    def test_leaving_is_sticky_for_its_incarnation(self, updates):
+    def test_leaving_holds_for_the_rest_of_the_incarnation(self, updates):
         view = members_of("a")
         left = 0
         for update in updates:
@@ -66,25 +67,25 @@
 
     @settings(derandomize=True)
     @given(st.lists(member_updates, max_size=12))
-    def test_digest_and_usable_hosts_follow_the_beliefs(self, updates):
+    def test_digest_and_usable_hosts_match_the_entries(self, updates):
         view = members_of("a")
         view.merge(updates)
         listed = view.list_members()
         assert tuple(view.digest) == digest_of(listed)
         assert view.list_usable() == [m.host for m in listed if is_usable(m)]
 
-    def test_a_restarted_host_wins_at_once_over_its_death(self):
+    def test_later_incarnation_supersedes_a_dead_one_at_once(self):
         assert supersedes(member("x", incarnation=2), member("x", MemberState.DEAD, counter=9))
 
 
 class TestRefutation:
-    def test_a_host_called_dead_raises_its_counter(self):
+    def test_host_reported_dead_refutes_it_by_a_higher_counter(self):
         view = members_of("a")
         corrections = view.merge([member("a", MemberState.DEAD, counter=4)])
         assert corrections == (member("a", counter=5),)
         assert supersedes(corrections[0], member("a", MemberState.DEAD, counter=4))
 
-    def test_a_host_called_leaving_leaves(self):
+    def test_host_reported_leaving_leaves(self):
         view = members_of("a")
         view.merge([member("a", MemberState.LEAVING)])
         view.merge([member("a", MemberState.DEAD, counter=4)])
@@ -92,8 +93,8 @@
         assert view.list_usable() == []
 
 
-class TestForgetting:
-    def test_a_forgotten_host_does_not_return_from_old_gossip(self):
+class TestExpiry:
+    def test_removed_host_does_not_return_by_an_old_update(self):
         clock = ManualClock()
         view = members_of("a", clock)
         view.merge([member("x", MemberState.DEAD, counter=2)])
@@ -108,11 +109,11 @@
 
 
 class TestNeighbours:
-    def test_few_hosts_all_watch_each_other(self):
+    def test_hosts_all_watch_each_other_if_few(self):
         others = [member(f"h{n}") for n in range(6)]
         assert len(choose_neighbours(member("a"), others)) == 6
 
-    def test_many_hosts_are_each_watched_by_a_bounded_number(self):
+    def test_each_host_has_a_bounded_number_of_neighbours_if_many(self):
         hosts = [member(f"h{n}", domain=f"d{n % 17}") for n in range(400)]
         watchers = {host.host: 0 for host in hosts}
         for own in hosts:
@@ -136,6 +137,7 @@
         self.run_intervals(1, ["h0", "h1"])
 
     def run_intervals(self, times, responsive=()):
+        """Check the neighbours ``times`` times; only ``responsive`` hosts send in between."""
         for _ in range(times):
             self.clock.advance(INTERVAL)
             for host in responsive:
@@ -146,7 +148,7 @@
     def state(self, host):
         return self.view.get(host).state
 
-    def test_a_silent_host_becomes_suspect_then_dead(self):
+    def test_silent_host_becomes_suspect_then_dead(self):
         self.run_intervals(3, ["h0"])
         assert self.state("h1") is MemberState.ALIVE
         self.run_intervals(1, ["h0"])
@@ -154,20 +156,20 @@
         self.run_intervals(5, ["h0"])
         assert (self.state("h0"), self.state("h1")) == (MemberState.ALIVE, MemberState.DEAD)
 
-    def test_a_suspect_that_refutes_stays_usable_and_is_waited_for_longer(self):
+    def test_suspect_that_refutes_stays_usable_with_a_longer_timeout(self):
         self.run_intervals(4, ["h0"])
         self.view.merge([member("h1", counter=1)])
         self.run_intervals(2, ["h0"])
         assert self.state("h1") is MemberState.ALIVE
 
-    def test_a_host_is_not_suspect_for_the_time_without_a_link(self):
+    def test_time_without_a_link_does_not_count_as_silence(self):
         del self.last_received["h1"]
         self.run_intervals(9, ["h0"])
         self.last_received["h1"] = self.clock.now()
         self.run_intervals(3, ["h0"])
         assert self.state("h1") is MemberState.ALIVE
 
-    def test_after_a_pause_everyone_gets_a_fresh_interval(self):
+    def test_silence_of_all_hosts_is_counted_anew_after_a_pause(self):
         self.run_intervals(2, ["h0", "h1"])
         self.clock.advance(Millis(60_000.0))
         self.run_intervals(1)
@@ -183,16 +185,17 @@
         self.list = HostList(self.view.get)
 
     def read(self, leaving, at):
+        """Merge a host list read at ``at``, and return the state of its only host."""
         listed = ListedHost(HostId("h0"), Address("127.0.0.1:7001"), FailureDomainId("n"), leaving)
         self.view.merge(self.list.to_members([listed], Millis(at)))
         return self.view.get("h0").state
 
-    def test_its_word_that_a_host_leaves_counts(self):
+    def test_host_marked_as_leaving_stays_leaving(self):
         assert self.read(False, 0.0) is MemberState.ALIVE
         assert self.read(True, MAX_HOST_LIST_LAG) is MemberState.LEAVING
         assert self.read(False, MAX_HOST_LIST_LAG + 1) is MemberState.LEAVING
 
-    def test_a_late_word_does_not_stop_the_restarted_host(self):
+    def test_late_leaving_mark_does_not_apply_to_the_restarted_host(self):
         self.read(False, 0.0)
         self.view.merge([member("h0", incarnation=2)])
         assert self.read(True, MAX_HOST_LIST_LAG) is MemberState.ALIVE
@@ -200,7 +203,10 @@
 
 
 class MembershipMachine(RuleBasedStateMachine):
-    """Three hosts tell each other beliefs; whatever was lost, digests bring them together."""
+    """Three hosts send each other updates, of which some are lost.
+
+    Comparing digests then has to bring their tables into agreement.
+    """
 
     def __init__(self):
         super().__init__()
--- a/tests/process/test_metrics.py
+++ b/tests/process/test_metrics.py
@@ -1,4 +1,4 @@
-"""Counters, timers and gauges as statsd receives them."""
+"""Metrics: counters, timers and gauges, and how statsd receives them."""
 
 import socket
 
@@ -8,6 +8,7 @@
 
 
 def metrics_to(port: int) -> Metrics:
+    """Return metrics that are sent to a statsd at ``port``."""
     return Metrics(
         Settings.model_validate(
             {
@@ -23,7 +24,7 @@
 
 
 class TestMetrics:
-    def test_sends_counters_timers_and_gauges_under_the_host_name(self):
+    def test_sends_counters_timers_and_gauges_under_the_host_id(self):
         with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as receiver:
             receiver.bind(("127.0.0.1", 0))
             receiver.settimeout(5)
@@ -37,7 +38,7 @@
         assert "masticgate.h1.search.urgent.ms:12.5" in packet
         assert "masticgate.h1.queue.bulk:7|g" in packet
 
-    def test_sends_each_count_once_and_keeps_the_totals(self):
+    def test_sends_each_increment_once_and_keeps_the_totals(self):
         metrics = metrics_to(9)
         metrics.count("x")
         metrics.flush()
--- a/tests/process/test_recovery.py
+++ b/tests/process/test_recovery.py
@@ -1,4 +1,4 @@
-"""Hosts that die, pause, are replaced or stop, under load."""
+"""Hosts that are killed, paused, replaced or stopped while they serve requests."""
 
 import signal
 import time
@@ -11,6 +11,7 @@
 from tests.texts import SMALL
 
 SETTLE_SECONDS = 15.0
+"""The longest time until the hosts agree again after a fault."""
 
 
 @pytest.fixture(scope="class")
@@ -20,25 +21,27 @@
 
 
 def member_state(fleet, index, host):
-    """Return what one host believes of another."""
+    """Return what the status of the host with index ``index`` says of ``host``."""
     peers = {peer["host"]: peer for peer in fleet.status(index)["peers"]}
     return peers.get(host, {"state": "unknown", "incarnation": 0})
 
 
 def owned_services(fleet, index):
+    """Return the services that the host with index ``index`` owns, by its own status."""
     return set(fleet.status(index)["owned"])
 
 
 def wait_for_state(fleet, host, state, observers):
+    """Wait until every one of ``observers``, indexes of hosts, knows ``host`` in ``state``."""
     fleet.wait_until(
         lambda: all(member_state(fleet, index, host)["state"] == state for index in observers),
         SETTLE_SECONDS,
-        f"{host} is not {state} for all",
+        f"{host} is not {state} at every observer",
     )
 
 
 class TestHostLoss:
-    def test_its_services_move_and_return_with_its_new_incarnation(self, fleet):
+    def test_services_move_to_others_and_return_with_the_next_incarnation(self, fleet):
         before = [owned_services(fleet, index) for index in range(3)]
         lost = max(range(3), key=lambda index: len(before[index]))
         others = [index for index in range(3) if index != lost]
@@ -56,7 +59,7 @@
         assert member_state(fleet, others[0], host)["incarnation"] > incarnation
         assert [owned_services(fleet, index) for index in range(3)] == before
 
-    def test_a_paused_host_costs_no_answer_and_refutes_its_suspicion(self, fleet):
+    def test_paused_host_costs_no_answer_and_refutes_that_it_is_suspect(self, fleet):
         host = fleet.hosts[0]["host"]
         fleet.signal(host, signal.SIGSTOP)
         end = time.monotonic() + 2.0
@@ -70,7 +73,7 @@
 
 
 class TestReplacement:
-    def test_all_hosts_one_after_another_cut_no_request(self, fleet):
+    def test_replacing_all_hosts_in_turn_breaks_off_no_request(self, fleet):
         with Load(fleet, ["desk/1"]) as load:
             for index, host in enumerate(fleet.hosts):
                 time.sleep(0.5)
@@ -84,7 +87,7 @@
         assert set(kinds) <= {"shutting_down", "unreachable"}, (kinds, load.missing())
 
     @pytest.mark.parametrize("stopped", ["minter", "owner"])
-    def test_a_booking_in_flight_at_shutdown_finishes(self, fleet, stopped):
+    def test_booking_in_progress_at_shutdown_finishes(self, fleet, stopped):
         fleet.turn(["oa", "ob"], service_ms=1800.0, spread="fixed")
         owner = next(index for index in range(3) if "orders" in owned_services(fleet, index))
         minter = (owner + 1) % 3
@@ -97,7 +100,9 @@
             target=lambda: replies.append(fleet.book(minter, ticket, "orders", remaining_ms=8000.0))
         )
         thread.start()
-        fleet.wait_until(lambda: started(fleet) > before, SETTLE_SECONDS, "it did not start")
+        fleet.wait_until(
+            lambda: started(fleet) > before, SETTLE_SECONDS, "the booking did not start"
+        )
         process.send_signal(signal.SIGTERM)
         thread.join()
         assert replies[0].body["outcome"] == "ran"
@@ -107,6 +112,7 @@
 
 
 def started(fleet):
+    """Return how many bookings the searchers of the booking service have started."""
     counts = [s["counts"] for s in fleet.searchers().values() if s["service"] == "orders"]
     return sum(count.get("started", 0) for count in counts)
 
--- a/tests/process/test_soak.py
+++ b/tests/process/test_soak.py
@@ -1,4 +1,4 @@
-"""A fleet under random faults, two at a time too, audited from the searchers' own logs."""
+"""A fleet under random faults, up to two at a time, checked against the searchers' own logs."""
 
 import math
 import os
@@ -23,7 +23,11 @@
 
 @dataclass
 class Records:
-    """What callers were told, and what the searchers logged."""
+    """The outcomes that callers received, and the searches that the searchers logged.
+
+    ``outcomes`` holds the outcomes of each ticket's requests. ``searched`` holds the query, the
+    snapshot and the shard of each search that a searcher ran.
+    """
 
     answers: list = field(default_factory=list)
     refusals: int = 0
@@ -31,6 +35,7 @@
     searched: set = field(default_factory=set)
 
     def collect(self, fleet):
+        """Add what the searchers have logged so far."""
         for searcher in fleet.searchers().values():
             for entry in searcher["log"]:
                 query, _, _ = entry["query"].rpartition(".")
@@ -38,6 +43,7 @@
 
 
 def run_caller(fleet, records, source, stopping):
+    """Send searches and bookings, one after the other, until ``stopping`` is set."""
     while not stopping.is_set():
         try:
             if source.random() < 0.7:
@@ -45,7 +51,7 @@
             else:
                 book(fleet, records, source)
         except (OSError, KeyError, TypeError):
-            stopping.wait(0.05)  # The host is down or mints no tickets at present.
+            stopping.wait(0.05)  # The host is down, or cannot mint tickets at present.
 
 
 def search(fleet, records, source):
@@ -57,6 +63,7 @@
 
 
 def book(fleet, records, source):
+    """Send one to three booking requests with the same ticket, through random hosts."""
     ticket = fleet.mint(source.randrange(HOSTS))
     outcomes = records.outcomes[ticket]
     for _ in range(source.randint(1, 3)):
@@ -68,6 +75,7 @@
 
 
 def check_answer(fleet, records, answer):
+    """Check that an answer's hits, missing shards and coverage agree with the searchers' logs."""
     version = answer["snapshot"]
     (snapshot,) = (s for s in fleet.snapshots if s["version"] == version)
     weights = {k: w for name in SCOPE for k, w in snapshot["shards"][name].items()}
@@ -81,6 +89,7 @@
 
 
 def check_bookings(fleet, records):
+    """Check that each ticket ran at most once, and that its outcomes agree with that."""
     runs = defaultdict(int)
     for searcher in fleet.searchers().values():
         for booking in searcher["bookings"]:
@@ -94,6 +103,7 @@
 
 
 def run_faults(fleet, records, seed, seconds):
+    """Inject and remove the faults that ``seed`` gives, for ``seconds``."""
     source = random.Random(seed)
     stop = time.monotonic() + seconds
     while time.monotonic() < stop:
@@ -108,6 +118,7 @@
 
 
 def soak(seed, seconds):
+    """Run a fleet under faults and requests, then check every answer and booking."""
     records, stopping = Records(), Event()
     with Fleet(SMALL, hosts=HOSTS, knobs={"service_ms": 5.0}) as fleet:
         sources = [random.Random(f"{seed}-{number}") for number in range(WORKERS)]
@@ -121,7 +132,7 @@
             stopping.set()
             for caller in callers:
                 caller.join()
-        time.sleep(1.0)  # Bookings that are still under way at the searchers come to their end.
+        time.sleep(1.0)  # Bookings that still run at the searchers finish.
         records.collect(fleet)
         for answer in records.answers:
             check_answer(fleet, records, answer)
@@ -136,7 +147,7 @@
 
 
 class TestSchedule:
-    def test_same_seed_gives_the_same_faults(self):
+    def test_is_the_same_for_the_same_seed(self):
         plans = [
             [plan_step(source, HOSTS) for _ in range(50)]
             for source in (random.Random(7), random.Random(7))
@@ -148,6 +159,6 @@
 class TestSoak:
     @pytest.mark.soak
     @pytest.mark.timeout(SECONDS + 120)
-    def test_promises_hold_under_random_faults(self):
+    def test_answers_and_bookings_are_correct_under_random_faults(self):
         print(f"seed {SEED}, {SECONDS:.0f} s")
         soak(SEED, SECONDS)
--- a/tests/process/test_timeline.py
+++ b/tests/process/test_timeline.py
@@ -1,4 +1,4 @@
-"""One time line over hosts whose clocks differ."""
+"""The time line of a host, and the merge of those of hosts whose clocks differ."""
 
 from hypothesis import given, settings
 from hypothesis import strategies as st
@@ -22,21 +22,21 @@
 
 
 class TestMerge:
-    def test_puts_a_cause_before_its_effect_though_its_clock_is_ahead(self):
+    def test_puts_a_cause_before_its_effect_if_the_clock_of_its_host_is_ahead(self):
         fast, slow = line("fast", 1_000_000.0), line("slow")
         cause = fast.add(EventKind.TEXT_ACCEPTED, "revision 2")
         slow.record_sequence(HostId("fast"), cause.sequence)
         effect = slow.add(EventKind.TEXT_ACCEPTED, "revision 2")
         assert merge_events([effect, cause]) == [cause, effect]
 
-    def test_orders_independent_events_by_the_wall_clock(self):
+    def test_orders_independent_events_by_wall_clock(self):
         early, late = line("b", 10.0), line("a", 20.0)
         events = [late.add(EventKind.STARTED, "a"), early.add(EventKind.STARTED, "b")]
         assert [event.host for event in merge_events(events)] == ["b", "a"]
 
     @settings(derandomize=True)
     @given(st.lists(st.tuples(st.integers(0, 2), st.integers(0, 2), st.booleans()), max_size=40))
-    def test_contradicts_no_host_and_no_message(self, steps):
+    def test_agrees_with_the_order_of_each_host_and_with_all_messages(self, steps):
         lines = [line(f"h{n}", n * 50.0) for n in range(3)]
         events = []
         for source, target, add in steps:
--- a/tests/process/test_versions.py
+++ b/tests/process/test_versions.py
@@ -1,4 +1,4 @@
-"""The versions in force on one host, and what a starting host waits for."""
+"""The versions in force on one host, their watches, and the wait of a starting host."""
 
 import json
 from concurrent.futures import ThreadPoolExecutor
@@ -57,7 +57,7 @@
 
 
 class VersionStores(RuleBasedStateMachine):
-    """Two hosts that receive the same texts in any order, duplicate, late and from each other."""
+    """Two hosts that receive the same texts in any order, repeatedly, late and from each other."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -118,7 +118,7 @@
 
 
 class TestRefusedText:
-    def test_changes_nothing_and_says_where(self):
+    def test_changes_nothing_and_reports_its_position(self):
         store = new_store()
         store.offer_text(text_at(3), Revision(3))
         assert not store.offer_text(text_at(4), Revision(4))
@@ -131,7 +131,7 @@
 
 
 class TestCatalogue:
-    def test_that_is_none_changes_nothing_and_is_noted(self):
+    def test_invalid_catalogue_changes_nothing_and_is_recorded(self):
         store = new_store()
         assert store.offer_catalogue(catalogue_at(2))
         assert not store.offer_catalogue(catalogue_at(3).replace("1.0", "-1.0"))
@@ -139,7 +139,7 @@
         assert kinds(store) == [EventKind.CATALOGUE_CHANGED, EventKind.CATALOGUE_REFUSED]
 
 
-class TestOutlines:
+class TestDigests:
     def test_are_kept_for_the_latest_revisions_only(self):
         store = new_store()
         for revision in range(1, MAX_DIGEST_REVISIONS + 3):
@@ -147,7 +147,7 @@
         assert isinstance(store.build_push(Revision(1)), TextPush)
         assert isinstance(store.build_push(Revision(3)), SectionsPush)
 
-    def test_of_another_text_under_the_same_revision_are_noticed(self):
+    def test_reveal_another_text_at_the_same_revision(self):
         first, second = new_store(), new_store()
         first.offer_text(text_at(1), Revision(1))
         second.offer_text(text_at(2).replace('"orders": {}', '"orders": {"leaving": true}'), 1)
@@ -158,7 +158,7 @@
         assert first.configuration == second.configuration
 
 
-class TestStart:
+class TestStartup:
     seeds = {HostId(f"h{n}"): FailureDomainId("north" if n < 4 else "south") for n in range(2, 6)}
 
     def startup(self) -> Startup:
@@ -171,7 +171,7 @@
     def wait(self, startup: Startup, duration: float = 0.0) -> StartState:
         return startup.wait(Millis(startup.clock.now() + duration))
 
-    def test_nothing_is_in_force_before_the_store_opens(self):
+    def test_nothing_is_in_force_before_the_store_is_activated(self):
         notified = []
         store = new_store(notified.append, starting=True)
         store.offer_text(text_at(1), Revision(1))
@@ -180,7 +180,7 @@
         store.activate()
         assert [c.revision for c in notified] == [1] and store.configuration.revision == 1
 
-    def test_needs_the_platform_and_peers_in_two_failure_domains(self):
+    def test_is_complete_with_the_platform_and_peers_in_two_failure_domains(self):
         startup = self.startup()
         assert self.wait(startup) is StartState.ALONE
         self.record_peers(startup, "h2", "h3")
@@ -189,13 +189,14 @@
         self.record_peers(startup, "h4")
         assert self.wait(startup) is StartState.COMPLETE
 
-    def test_goes_on_without_the_platform_once_peers_answered(self):
+    def test_is_complete_without_the_platform_once_enough_peers_answered(self):
         startup = self.startup()
         self.record_peers(startup, "h2", "h3", "h4")
         startup.record_platform_read(False)
         assert self.wait(startup) is StartState.COMPLETE
 
     def test_waits_for_the_highest_version_that_a_peer_has(self):
+        """Guard against a start with a lower version than one that a peer has in force."""
         startup = self.startup()
         startup.record_platform_read(True)
         self.record_peers(startup, "h2", "h4")
@@ -210,10 +211,10 @@
 
 
 class TestReadRate:
-    def test_does_not_grow_with_the_hosts_of_a_failure_domain(self):
+    def test_is_bounded_by_the_failure_domains_whatever_the_number_of_hosts(self):
         assert most_reads(17, Millis(1000.0), changes=1, starts=0) < 2000
 
-    def test_stays_bounded_in_an_outage_with_every_host_cut_off(self):
+    def test_is_bounded_in_an_outage_with_every_host_cut_off(self):
         assert most_outage_reads_per_second(3300) <= 2000
 
     def test_backs_off_with_jitter_up_to_a_cap(self):
@@ -227,7 +228,7 @@
 
 
 class StaleReader:
-    """A platform that answers every watch at once, with the results of a script."""
+    """A reader of a platform that answers every watch at once, with ``results`` in order."""
 
     def __init__(self, *results) -> None:
         self.results = list(results)
@@ -248,7 +249,7 @@
         )
         return watch, received
 
-    def test_takes_no_older_value_and_does_not_ask_for_it_again(self):
+    def test_ignores_older_values_and_backs_off_after_them(self):
         old, new = (Value(Revision(revision), "") for revision in (3, 5))
         watch, received = self.watch(new, old, new, old)
         delays = [watch.read_once() for _ in range(4)]
@@ -256,11 +257,11 @@
         assert delays[0] == MIN_READ_INTERVAL and min(delays[1:]) >= 250
         assert delays[3] > delays[1]
 
-    def test_does_not_spin_where_every_watch_returns_at_once(self):
+    def test_backs_off_if_every_watch_returns_at_once(self):
         watch, _ = self.watch(*[Unchanged()] * 9)
         assert [watch.read_once() for _ in range(9)][-1] >= MAX_RETRY_DELAY / 2
 
-    def test_notes_an_outage_and_its_end_once(self):
+    def test_records_an_outage_and_its_end_once(self):
         lost = Unknown(Reason.PLATFORM, Step.READ)
         watch, _ = self.watch(lost, lost, Value(Revision(1), ""))
         for _ in range(3):
@@ -270,7 +271,7 @@
 
 
 class TestWatchRole:
-    def test_lets_an_aborted_reader_read_again_at_the_next_turn(self):
+    def test_aborted_reader_may_read_again_once_the_host_watches_but_not_after_a_stop(self):
         role = WatchRole(TimeLine(HostId("h1"), ManualClock()))
         reader = PlatformReader(Address("127.0.0.1:9"), Address("127.0.0.1:9"))
         reader.abort()
--- a/tests/process/test_whole_path.py
+++ b/tests/process/test_whole_path.py
@@ -1,4 +1,4 @@
-"""The whole path over real sockets and processes."""
+"""Searches and bookings through a whole fleet, over real sockets and processes."""
 
 import pytest
 
@@ -13,7 +13,7 @@
 
 
 class TestSearch:
-    def test_answers_whole_from_one_snapshot_through_every_host(self, fleet):
+    def test_answer_is_whole_and_from_one_snapshot_through_every_host(self, fleet):
         for index in range(len(fleet.hosts)):
             reply = fleet.search(index, ["desk/1"])
             assert reply.status == 200, reply
@@ -24,20 +24,20 @@
                 "ledger/1",
             }
 
-    def test_refuses_an_unknown_service_as_not_run(self, fleet):
+    def test_unknown_service_is_refused_as_not_run(self, fleet):
         reply = fleet.search(0, ["nowhere"])
         assert (reply.status, reply.body["outcome"]) == (404, "not_run")
         assert reply.body["reason"] == "unknown_service"
 
 
 class TestBooking:
-    def test_runs_once_for_one_ticket_through_any_host(self, fleet):
+    def test_runs_once_per_ticket_through_any_host(self, fleet):
         ticket = fleet.mint(0)
         replies = [fleet.book(index, ticket, "orders") for index in (0, 1, 2, 0)]
         assert [reply.body["outcome"] for reply in replies] == ["ran"] * 4
         ran = [b for s in fleet.searchers().values() for b in s["bookings"]]
         assert [b["ticket"] for b in ran] == [ticket]
 
-    def test_refuses_what_is_no_ticket(self, fleet):
+    def test_malformed_ticket_is_refused_as_not_run(self, fleet):
         reply = fleet.book(0, "none", "orders")
         assert (reply.status, reply.body["outcome"]) == (400, "not_run")
