--- a/model/__init__.py
+++ b/model/__init__.py
@@ -1,1 +1,1 @@
-"""Specifications of the core protocol, laid out by life span, and their check by z3."""
+"""Specifications of the core protocol, in folders by life span, and their check with z3."""
--- a/model/__main__.py
+++ b/model/__main__.py
@@ -1,4 +1,4 @@
-"""Checks every specification and prints what was found: ``python -m model``."""
+"""Checks every specification and prints the results: ``python -m model``."""
 
 import sys
 import time
@@ -12,19 +12,19 @@
 
 
 def check_specification(specification: Specification) -> bool:
-    """Print each result of one specification; return whether all are as they should be."""
-    click.echo(f"\n{specification.name}: {specification.fixed}")
+    """Print the results of one specification and return whether all are as expected."""
+    click.echo(f"\n{specification.name}: {specification.bounds}")
     proved = prove(specification)
     found = list(proved.values())
     for item in specification.properties:
         click.echo(f"  {item.name}: {proved[item.name].value}")
-        click.echo(f"    promise: {item.promise}")
+        click.echo(f"    requirement: {item.requirement}")
         for fault in item.faults:
             found.append(find_violation(specification, item, fault))
             click.echo(f"    seeded fault '{fault}': {found[-1].value}")
     for goal in specification.goals:
         found.append(find_goal(specification, goal))
-        click.echo(f"  goal '{goal}': {found[-1].value}, at most {specification.depth} steps")
+        click.echo(f"  goal '{goal}': {found[-1].value}, at most {specification.max_steps} steps")
     return EXPECTED.issuperset(found)
 
 
--- a/model/_spec.py
+++ b/model/_spec.py
@@ -1,4 +1,4 @@
-"""What a specification consists of, and its check by z3: induction, and bounded runs."""
+"""Specifications as transition systems, checked with z3 by induction and in bounded runs."""
 
 from collections.abc import Callable, Sequence
 from dataclasses import dataclass, field
@@ -9,14 +9,18 @@
 import z3
 
 State = Any
-"""The variables of a specification, as attributes."""
+"""The variables of a specification in one state, as attributes."""
 
 Predicate = Callable[[State], Any]
 
 
 @dataclass(frozen=True)
 class Action:
-    """One step of the protocol or of its surroundings: where ``guard`` holds, ``change``."""
+    """One step of the protocol or of its environment.
+
+    The step may occur if ``guard`` holds. ``change`` gives the new values of the variables that
+    change.
+    """
 
     name: str
     guard: Any
@@ -25,38 +29,40 @@
 
 @dataclass(frozen=True)
 class Property:
-    """An invariant of every reachable state, and the brief's promise that it covers.
+    """An invariant of every reachable state, and the users' requirement that it covers.
 
-    ``faults`` names the seeded faults that break it.
+    ``faults`` names the seeded faults that violate it.
     """
 
     name: str
-    promise: str
+    requirement: str
     holds: Predicate
     faults: tuple[str, ...] = ()
 
 
 @dataclass(frozen=True)
 class Specification:
-    """A transition system; ``actions`` takes the state and the seeded fault, ``""`` for none.
+    """A transition system and the properties that it must have.
 
-    ``lemma`` strengthens the properties until they are inductive. ``fixed`` says what is fixed;
-    the number of steps is not. Faults and ``goals`` are looked for in runs of ``depth`` steps.
+    ``actions`` takes a state and the name of a seeded fault, ``""`` for none.
+    ``inductive_invariant`` implies the properties and is preserved by every action. ``bounds`` says
+    which numbers are fixed; the number of steps is not. Violations and ``goals`` are searched for
+    in runs of at most ``max_steps`` steps.
     """
 
     name: str
-    fixed: str
-    depth: int
+    bounds: str
+    max_steps: int
     variables: dict[str, z3.SortRef]
     start: Predicate
     actions: Callable[[State, str], Sequence[Action]]
-    lemma: Predicate
+    inductive_invariant: Predicate
     properties: Sequence[Property]
     goals: dict[str, Predicate] = field(default_factory=dict)
 
 
 class Verdict(Enum):
-    """What z3 found."""
+    """The result of one check with z3."""
 
     PROVED = "proved by induction, any number of steps"
     NOT_INDUCTIVE = "not inductive"
@@ -69,14 +75,20 @@
     """Prove by induction that every property holds in every reachable state."""
     now, then = _state(specification, 0), _state(specification, 1)
     step = _step(specification, now, then, fault)
-    inductive = _is_valid(z3.Implies(specification.start(now), specification.lemma(now)))
+    inductive = _is_valid(
+        z3.Implies(specification.start(now), specification.inductive_invariant(now))
+    )
     inductive &= _is_valid(
-        z3.Implies(z3.And(specification.lemma(now), step), specification.lemma(then))
+        z3.Implies(
+            z3.And(specification.inductive_invariant(now), step),
+            specification.inductive_invariant(then),
+        )
     )
     return {
         item.name: (
             Verdict.PROVED
-            if inductive and _is_valid(z3.Implies(specification.lemma(now), item.holds(now)))
+            if inductive
+            and _is_valid(z3.Implies(specification.inductive_invariant(now), item.holds(now)))
             else Verdict.NOT_INDUCTIVE
         )
         for item in specification.properties
@@ -84,24 +96,27 @@
 
 
 def find_violation(specification: Specification, item: Property, fault: str) -> Verdict:
-    """Look for a run from the start that breaks ``item`` with ``fault`` seeded."""
+    """Search for a run from the start that violates ``item`` while ``fault`` is seeded."""
     found = _find(specification, fault, lambda state: z3.Not(item.holds(state)))
     return Verdict.VIOLATED if found else Verdict.NOT_FOUND
 
 
 def find_goal(specification: Specification, goal: str) -> Verdict:
-    """Look for a run that reaches ``goal``, so that no property holds for want of steps."""
+    """Search for a run that reaches ``goal``.
+
+    A specification in which no goal can be reached would satisfy its properties trivially.
+    """
     found = _find(specification, "", specification.goals[goal])
     return Verdict.REACHED if found else Verdict.NOT_FOUND
 
 
 def _find(specification: Specification, fault: str, wanted: Predicate) -> bool:
-    """Ask for one depth after the other, each time adding one step."""
+    """Return whether a state in which ``wanted`` holds is reachable, adding one step at a time."""
     solver = z3.Solver()
     states = [_state(specification, 0)]
     solver.add(specification.start(states[0]))
-    for depth in range(1, specification.depth + 1):
-        states.append(_state(specification, depth))
+    for step_count in range(1, specification.max_steps + 1):
+        states.append(_state(specification, step_count))
         solver.add(_step(specification, states[-2], states[-1], fault))
         solver.push()
         solver.add(wanted(states[-1]))
--- a/model/process/__init__.py
+++ b/model/process/__init__.py
@@ -1,1 +1,1 @@
-"""Specifications of what lives as long as one process."""
+"""Specifications of state that lasts for one process."""
--- a/model/process/handover.py
+++ b/model/process/handover.py
@@ -1,7 +1,7 @@
-"""One searcher's connections while its service passes from owner to owner.
+"""Specification of the connections to one searcher while the owner of its service changes.
 
-Hosts disagree freely on who owns the service: each may believe it of itself at any time. At most
-``CANDIDATES`` of them do; a crash closes a host's connections, as its kernel does.
+Hosts may disagree on the owner of the service: each may take itself for the owner at any time, but
+at most ``CANDIDATES`` of them do at once. When a host crashes, its kernel closes its connections.
 """
 
 from z3 import And, IntSort, Sum
@@ -14,7 +14,7 @@
 
 
 def start(s: State) -> object:
-    """Any limit; the share of each candidate is its even part, rounded down."""
+    """The limit is arbitrary; each candidate's share is its even part, rounded down."""
     shared = And(s.share >= 0, s.share * CANDIDATES <= s.limit)
     return And(shared, *[getattr(s, f"open{h}") == 0 for h in HOSTS])
 
@@ -23,20 +23,20 @@
     steps = []
     for h in HOSTS:
         opened = getattr(s, f"open{h}")
-        room = opened < s.share
-        if fault == "take the whole limit":
-            room = opened < s.limit
-        if fault == "one more for a hedge":
-            room = opened <= s.share
+        may_open = opened < s.share
+        if fault == "use the whole limit":
+            may_open = opened < s.limit
+        if fault == "open one more for a hedge":
+            may_open = opened <= s.share
         steps += [
-            Action("believe to own it and connect", room, {f"open{h}": opened + 1}),
+            Action("consider itself the owner and connect", may_open, {f"open{h}": opened + 1}),
             Action("close a connection", opened > 0, {f"open{h}": opened - 1}),
-            Action("stop owning it, or crash", opened > 0, {f"open{h}": 0}),
+            Action("lose the service or crash", opened > 0, {f"open{h}": 0}),
         ]
     return steps
 
 
-def lemma(s: State) -> object:
+def inductive_invariant(s: State) -> object:
     each = [And(getattr(s, f"open{h}") >= 0, getattr(s, f"open{h}") <= s.share) for h in HOSTS]
     return And(s.share * CANDIDATES <= s.limit, *each)
 
@@ -45,7 +45,7 @@
     return Sum([getattr(s, f"open{h}") for h in HOSTS]) <= s.limit
 
 
-def all_hold(s: State) -> object:
+def all_connected(s: State) -> object:
     return And([getattr(s, f"open{h}") == 1 for h in HOSTS])
 
 
@@ -56,14 +56,14 @@
     VARIABLES,
     start,
     actions,
-    lemma,
+    inductive_invariant,
     (
         Property(
             "connections stay within the limit",
             "Servers limit their connections: never exceeded in sum, though hosts disagree.",
             within_limit,
-            ("take the whole limit", "one more for a hedge"),
+            ("use the whole limit", "open one more for a hedge"),
         ),
     ),
-    {"all candidates hold one at once": all_hold},
+    {"all candidates hold a connection at once": all_connected},
 )
--- a/model/request/__init__.py
+++ b/model/request/__init__.py
@@ -1,1 +1,1 @@
-"""Specifications of what lives as long as one request."""
+"""Specifications of state that lasts for one request."""
--- a/model/request/answer.py
+++ b/model/request/answer.py
@@ -1,7 +1,8 @@
-"""One search over two services: it pins one snapshot and may start again on another.
+"""Specification of one search over two services, which may restart on another snapshot.
 
-A reply names its attempt, its service and its snapshot. It stays in transit: it may arrive late,
-any number of times or never. Each service has one shard of weight one.
+Each attempt searches one snapshot of the index, which has the attempt's number. A reply names its
+attempt, its service and its snapshot. It stays in transit, so that it may arrive late, any number
+of times or never. Each service has one shard of weight one.
 """
 
 from z3 import And, BoolSort, If, Implies, IntSort, Not, Or, Sum
@@ -10,22 +11,28 @@
 
 ATTEMPTS = (1, 2)
 SERVICES = (1, 2)
-MIXED = 3  # A snapshot other than the one an attempt asks for, which has the attempt's number.
+OTHER_SNAPSHOT = 3
+"""A snapshot other than the one that an attempt searches."""
 
+# For each service, ``merged`` is the snapshot of the merged reply and ``count`` the number of
+# merged replies. ``reply`` and ``other_snapshot`` say whether a reply with hits from the
+# attempt's snapshot, or from another one, is in transit.
 VARIABLES = {"attempt": IntSort(), "answered": BoolSort(), "coverage": IntSort()}
 for _v in SERVICES:
     VARIABLES |= {f"waiting{_v}": BoolSort(), f"merged{_v}": IntSort(), f"count{_v}": IntSort()}
     VARIABLES |= {f"reply{_a}_{_v}": BoolSort() for _a in ATTEMPTS}
-    VARIABLES |= {f"wrong{_a}_{_v}": BoolSort() for _a in ATTEMPTS}
+    VARIABLES |= {f"other_snapshot{_a}_{_v}": BoolSort() for _a in ATTEMPTS}
 
 
 def start(s: State) -> object:
-    """Attempt 1 waits for both services; nothing is merged (snapshot 0)."""
+    """Attempt 1 waits for both services, and nothing is merged, which is snapshot 0."""
     fresh = [s.attempt == 1, Not(s.answered), s.coverage == 0]
     for v in SERVICES:
         fresh += [getattr(s, f"waiting{v}"), getattr(s, f"merged{v}") == 0]
         fresh += [getattr(s, f"count{v}") == 0]
-        fresh += [Not(getattr(s, f"{n}{a}_{v}")) for n in ("reply", "wrong") for a in ATTEMPTS]
+        fresh += [
+            Not(getattr(s, f"{n}{a}_{v}")) for n in ("reply", "other_snapshot") for a in ATTEMPTS
+        ]
     return And(fresh)
 
 
@@ -35,14 +42,18 @@
         restart |= {f"waiting{v}": True, f"merged{v}": 0, f"count{v}": 0}
     if fault == "keep what was merged":
         restart = {"attempt": 2, "waiting1": True, "waiting2": True}
-    live = Not(s.answered)
+    unanswered = Not(s.answered)
     steps = [
-        Action("restart on another snapshot", And(live, s.attempt == 1), restart),
-        Action("answer", live, {"answered": True}),
+        Action("restart on another snapshot", And(unanswered, s.attempt == 1), restart),
+        Action("answer", unanswered, {"answered": True}),
     ]
     for v in SERVICES:
         steps.append(
-            Action("give up", And(live, getattr(s, f"waiting{v}")), {f"waiting{v}": False})
+            Action(
+                "record a failure",
+                And(unanswered, getattr(s, f"waiting{v}")),
+                {f"waiting{v}": False},
+            )
         )
         for a in ATTEMPTS:
             steps += replies(s, a, v, fault)
@@ -51,26 +62,26 @@
 
 def replies(s: State, a: int, v: int, fault: str) -> list[Action]:
     waiting = Or(getattr(s, f"waiting{v}"), fault == "merge a duplicate reply")
-    present = Or(s.attempt == a, fault == "merge a reply of a previous attempt")
-    taken = And(Not(s.answered), waiting, present)
+    is_current = Or(s.attempt == a, fault == "merge a reply of a previous attempt")
+    can_merge = And(Not(s.answered), waiting, is_current)
     merge = {
         f"waiting{v}": False,
         f"count{v}": getattr(s, f"count{v}") + 1,
         "coverage": s.coverage + 1,
     }
-    reply, wrong = f"reply{a}_{v}", f"wrong{a}_{v}"
+    reply, other_snapshot = f"reply{a}_{v}", f"other_snapshot{a}_{v}"
     steps = [
         Action("searcher replies", s.attempt >= a, {reply: True}),
-        Action("searcher replies from another snapshot", s.attempt >= a, {wrong: True}),
-        Action("merge", And(getattr(s, reply), taken), merge | {f"merged{v}": a}),
+        Action("searcher replies from another snapshot", s.attempt >= a, {other_snapshot: True}),
+        Action("merge", And(getattr(s, reply), can_merge), merge | {f"merged{v}": a}),
     ]
     if fault == "merge any snapshot":
-        other = And(getattr(s, wrong), taken)
-        steps.append(Action(fault, other, merge | {f"merged{v}": MIXED}))
+        other = And(getattr(s, other_snapshot), can_merge)
+        steps.append(Action(fault, other, merge | {f"merged{v}": OTHER_SNAPSHOT}))
     return steps
 
 
-def lemma(s: State) -> object:
+def inductive_invariant(s: State) -> object:
     counts = [getattr(s, f"count{v}") for v in SERVICES]
     each = [
         And(Or(c == 0, c == 1), Implies(getattr(s, f"waiting{v}"), c == 0))
@@ -100,7 +111,7 @@
     VARIABLES,
     start,
     actions,
-    lemma,
+    inductive_invariant,
     (
         Property(
             "all that is merged is of the pinned snapshot",
--- a/model/specifications.py
+++ b/model/specifications.py
@@ -1,4 +1,4 @@
-"""All specifications of the core protocol."""
+"""The list of all specifications of the core protocol."""
 
 from model.process import handover
 from model.request import answer, booking
--- a/model/version/__init__.py
+++ b/model/version/__init__.py
@@ -1,1 +1,1 @@
-"""Specifications of what lives as long as one version."""
+"""Specifications of state that lasts for one version."""
--- a/model/version/adoption.py
+++ b/model/version/adoption.py
@@ -1,9 +1,9 @@
-"""The operators' text on three hosts: revisions only rise, also over restarts.
+"""Specification of the revisions of the operators' text on three hosts, which never decrease.
 
-The platform answers with any published revision, however stale; a peer's push may be late,
-duplicated or lost. A host that starts has no memory: it takes the highest of what the platform and
-a serving peer say before it serves. Where none serves any more, only the platform's revision is
-left.
+The platform answers with any published revision, however stale. A push of a peer may be late,
+duplicated or lost. A host starts without a revision, and applies the highest one that the platform
+and a serving peer report before it serves. If no host serves any more, only the platform's revision
+is left.
 """
 
 from z3 import And, BoolSort, If, Implies, IntSort, Not, Or
@@ -11,70 +11,78 @@
 from model._spec import Action, Property, Specification, State
 
 HOSTS = (1, 2, 3)
-VARIABLES = {"published": IntSort(), "floor": IntSort(), "fell": BoolSort()}
+# ``decreased`` says whether a serving host ever applied a lower revision than it had.
+VARIABLES = {"published": IntSort(), "in_force": IntSort(), "decreased": BoolSort()}
 for _h in HOSTS:
     VARIABLES |= {f"revision{_h}": IntSort(), f"serving{_h}": BoolSort()}
 
 
 def start(s: State) -> object:
-    """All hosts serve the first revision; ``floor`` is what every serving host has had."""
+    """All hosts serve the first revision.
+
+    ``in_force`` is the highest revision that every serving host has had.
+    """
     hosts = [And(getattr(s, f"revision{h}") == 1, getattr(s, f"serving{h}")) for h in HOSTS]
-    return And(s.published == 1, s.floor == 1, Not(s.fell), *hosts)
+    return And(s.published == 1, s.in_force == 1, Not(s.decreased), *hosts)
 
 
 def actions(s: State, fault: str) -> list[Action]:
-    steps = [Action("publish", True, {"published": s.published + 1}), raise_floor(s)]
+    steps = [Action("publish", True, {"published": s.published + 1}), advance_in_force(s)]
     for h in HOSTS:
         revision, serving = getattr(s, f"revision{h}"), getattr(s, f"serving{h}")
         others = Or([getattr(s, f"serving{p}") for p in HOSTS if p != h])
         steps += [
             Action("crash", And(serving, others), {f"serving{h}": False, f"revision{h}": 0}),
-            adopt(s, h, s.published, fault),
-            adopt(s, h, 1, fault),  # A stale platform says any published revision, so the first.
+            apply_revision(s, h, s.published, fault),
+            # A stale platform may report any published revision, and 1 is the worst case.
+            apply_revision(s, h, 1, fault),
         ]
-        if fault == "serve before a peer was heard":
+        if fault == "serve before a peer replied":
             steps.append(Action(fault, Not(serving), {f"serving{h}": True, f"revision{h}": 1}))
         for peer in HOSTS:
             if peer != h:
-                heard = getattr(s, f"revision{peer}")
+                peer_revision = getattr(s, f"revision{peer}")
                 ready = And(Not(serving), getattr(s, f"serving{peer}"))
-                newest = If(heard > revision, heard, revision)
+                newest = If(peer_revision > revision, peer_revision, revision)
                 steps += [
                     Action("start", ready, {f"serving{h}": True, f"revision{h}": newest}),
-                    adopt(s, h, heard, fault),
+                    apply_revision(s, h, peer_revision, fault),
                 ]
     return steps
 
 
-def adopt(s: State, h: int, offered: object, fault: str) -> Action:
-    """A serving host hears of a revision, from the platform or a peer, and takes a newer one."""
+def apply_revision(s: State, h: int, offered: object, fault: str) -> Action:
+    """A serving host applies a newer revision that the platform or a peer offers."""
     revision = getattr(s, f"revision{h}")
-    newer = Or(offered > revision, And(fault == "adopt a lower revision", offered > 0))
-    change = {f"revision{h}": offered, "fell": Or(s.fell, offered < revision)}
-    return Action("adopt", And(getattr(s, f"serving{h}"), newer), change)
+    newer = Or(offered > revision, And(fault == "apply a lower revision", offered > 0))
+    change = {f"revision{h}": offered, "decreased": Or(s.decreased, offered < revision)}
+    return Action("apply revision", And(getattr(s, f"serving{h}"), newer), change)
 
 
-def raise_floor(s: State) -> Action:
-    """Every serving host now has the next revision: it is in force everywhere."""
+def advance_in_force(s: State) -> Action:
+    """The next revision is in force everywhere once every serving host has it."""
     reached = [
-        Implies(getattr(s, f"serving{h}"), getattr(s, f"revision{h}") > s.floor) for h in HOSTS
+        Implies(getattr(s, f"serving{h}"), getattr(s, f"revision{h}") > s.in_force) for h in HOSTS
     ]
-    return Action("in force everywhere", And(reached), {"floor": s.floor + 1})
+    return Action("in force everywhere", And(reached), {"in_force": s.in_force + 1})
 
 
-def lemma(s: State) -> object:
+def inductive_invariant(s: State) -> object:
     serving = Or([getattr(s, f"serving{h}") for h in HOSTS])
-    return And(Not(s.fell), s.published >= 1, serving, in_force_stays(s))
+    return And(Not(s.decreased), s.published >= 1, serving, in_force_stays(s))
 
 
 def in_force_stays(s: State) -> object:
     return And(
-        [Implies(getattr(s, f"serving{h}"), getattr(s, f"revision{h}") >= s.floor) for h in HOSTS]
+        [
+            Implies(getattr(s, f"serving{h}"), getattr(s, f"revision{h}") >= s.in_force)
+            for h in HOSTS
+        ]
     )
 
 
-def never_falls(s: State) -> object:
-    return Not(s.fell)
+def never_decreases(s: State) -> object:
+    return Not(s.decreased)
 
 
 SPECIFICATION = Specification(
@@ -84,20 +92,20 @@
     VARIABLES,
     start,
     actions,
-    lemma,
+    inductive_invariant,
     (
         Property(
-            "no host's revision falls",
+            "no host's revision decreases",
             "An accepted configuration is in force everywhere within seconds and never reverts.",
-            never_falls,
-            ("adopt a lower revision",),
+            never_decreases,
+            ("apply a lower revision",),
         ),
         Property(
-            "what was in force everywhere stays so over restarts",
+            "a revision in force everywhere stays in force over restarts",
             "An accepted configuration is in force everywhere within seconds and never reverts.",
             in_force_stays,
-            ("adopt a lower revision", "serve before a peer was heard"),
+            ("apply a lower revision", "serve before a peer replied"),
         ),
     ),
-    {"a restarted host serves a newer revision": lambda s: And(s.floor == 3, s.serving1)},
+    {"a restarted host serves a newer revision": lambda s: And(s.in_force == 3, s.serving1)},
 )
--- a/tests/model/test_specifications.py
+++ b/tests/model/test_specifications.py
@@ -1,4 +1,4 @@
-"""The specifications hold, and each seeded fault in them is found."""
+"""The properties of the specifications are proved, and every seeded fault is detected."""
 
 import pytest
 from model._spec import Verdict, find_goal, find_violation, prove
@@ -19,11 +19,11 @@
         assert set(prove(specification).values()) == {Verdict.PROVED}
 
     @pytest.mark.parametrize(("specification", "goal"), GOALS)
-    def test_the_protocol_can_still_do_its_work(self, specification, goal):
+    def test_goal_is_reachable(self, specification, goal):
         assert find_goal(specification, goal) is Verdict.REACHED
 
     @pytest.mark.parametrize(("specification", "item", "fault"), FAULTS)
-    def test_a_seeded_fault_breaks_the_property(self, specification, item, fault):
+    def test_seeded_fault_violates_the_property(self, specification, item, fault):
         assert find_violation(specification, item, fault) is Verdict.VIOLATED
 
     @pytest.mark.parametrize("specification", SPECIFICATIONS, ids=lambda s: s.name)
