--- a/tests/gateway/test_fleet.py
+++ b/tests/gateway/test_fleet.py
@@ -285,11 +285,11 @@
                     repeats.append(clock.now())
         for start in range(0, 20_000, 500):
             spent = sum(start <= at <= start + 10_000 for at in repeats)
-            asked = max(
+            max_requests = max(
                 sum(begin <= at <= begin + 10_000 for at in requests)
                 for begin in (start, start - 5_000, start - 10_000)
             )
-            assert spent <= 0.2 * asked + 52.0 / 8
+            assert spent <= 0.2 * max_requests + 52.0 / 8
 
     def test_slack_is_available_again_in_next_window(self):
         clock = ManualClock()
--- a/tests/gateway/test_missing_counts.py
+++ b/tests/gateway/test_missing_counts.py
@@ -18,7 +18,7 @@
 SHARDS = Shards((ServiceId("s1"),), 2, 0.5)
 
 
-def ask(headers: bytes) -> tuple[int, bytes, bytes]:
+def get_reply(headers: bytes) -> tuple[int, bytes, bytes]:
     """Return status, head and body of the reply to a caller for a gatherer's answer."""
     stamps = b"x-gateway-stamps: s, s\r\n"
     peer = StandInSearcher(lambda head: reply_to(head, bytes(16), extra=stamps + headers))
@@ -31,7 +31,7 @@
 
 class TestMissingCount:
     def test_forwards_stated_number(self):
-        status, head, _ = ask(b"x-gateway-missing: 1\r\n")
+        status, head, _ = get_reply(b"x-gateway-missing: 1\r\n")
         assert status == 200
         assert head_value(head, b"x-missing") == b"1"
 
@@ -39,4 +39,4 @@
     # caller received no reply.
     @pytest.mark.parametrize("number", [None, b"", b"few", b"-1", b"9" * 5_000])
     def test_fails_without_valid_number(self, number):
-        assert ask(b"" if number is None else b"x-gateway-missing: %s\r\n" % number)[0] == 502
+        assert get_reply(b"" if number is None else b"x-gateway-missing: %s\r\n" % number)[0] == 502
--- a/tests/gateway/test_relay.py
+++ b/tests/gateway/test_relay.py
@@ -144,7 +144,7 @@
         assert platform.reads == 0
 
     def test_reads_platform_if_relay_refuses(self):
-        source, platform, _ = relayed(lambda head: http(503, b"not heard"))
+        source, platform, _ = relayed(lambda head: http(503, b"the platform is unavailable"))
         assert source.read() == Contents((), Revision(50))
         assert platform.reads == 1
 
