--- a/tests/connection/test_searcher_replies.py
+++ b/tests/connection/test_booking_failures.py
@@ -1,4 +1,4 @@
-"""What a searcher's reply proves of a booking."""
+"""Whether a failed response of a searcher proves that the work did not run."""
 
 from types import SimpleNamespace
 
@@ -8,14 +8,14 @@
 from masticgate.connection._http_connection import HttpFailure, HttpReply
 from masticgate.connection._searcher import _read_failure
 
-SEND = SimpleNamespace(searcher="oa", aborted=False)
+ATTEMPT = SimpleNamespace(searcher="oa", aborted=False)
 
 
 class TestReadFailure:
-    @pytest.mark.parametrize("word", ["draining", "shed", "cold"])
-    def test_trusts_the_searchers_own_word(self, word):
-        body = f'{{"reason": "{word}"}}'.encode()
-        assert isinstance(_read_failure(HttpReply(503, body), SEND), NotRun)
+    @pytest.mark.parametrize("reason", ["draining", "shed", "cold"])
+    def test_returns_not_run_for_reason_that_says_so(self, reason):
+        body = f'{{"reason": "{reason}"}}'.encode()
+        assert isinstance(_read_failure(HttpReply(503, body), ATTEMPT), NotRun)
 
     @pytest.mark.parametrize(
         "reply",
@@ -28,8 +28,8 @@
             HttpFailure(True, "cut"),
         ],
     )
-    def test_takes_any_other_word_as_unknown(self, reply):
-        assert isinstance(_read_failure(reply, SEND), Unknown)
+    def test_returns_unknown_for_any_other_response(self, reply):
+        assert isinstance(_read_failure(reply, ATTEMPT), Unknown)
 
-    def test_knows_that_nothing_ran_where_no_byte_left(self):
-        assert isinstance(_read_failure(HttpFailure(False, "refused"), SEND), NotRun)
+    def test_returns_not_run_if_nothing_was_sent(self):
+        assert isinstance(_read_failure(HttpFailure(False, "refused"), ATTEMPT), NotRun)
--- a/tests/connection/test_caller_server.py
+++ b/tests/connection/test_caller_server.py
@@ -1,4 +1,4 @@
-"""Callers that send bad input, too much, too slowly, or more than one request at once."""
+"""The server for callers, with input that is invalid, too large, too slow or pipelined."""
 
 import json
 import socket
@@ -13,12 +13,16 @@
 from masticgate.connection import CallerApp, CallerServer
 from masticgate.request import Answer, Ran
 
-MAX_BODY = 2000
+MAX_BODY_BYTES = 2000
 SEARCH = {"services": ["desk"], "text": "x", "remaining_ms": 100.0}
 
 
 class Handler:
-    """Answers every request; a search of ``wait`` blocks until the test lets it go."""
+    """Answers every request.
+
+    A search for ``wait`` blocks until ``release`` is set; a search for ``full`` does not run
+    because of overload.
+    """
 
     def __init__(self):
         self.release = Event()
@@ -45,13 +49,13 @@
         return []
 
 
-class Served:
-    """A caller server on a free port."""
+class RunningServer:
+    """A caller server that runs on a free port until the end of the ``with`` block."""
 
     def __init__(self, max_callers=8, timeout=300.0):
         self.handler = Handler()
         self.tasks = ThreadPoolExecutor(max_callers + 2)
-        app = CallerApp(self.handler, MAX_BODY)
+        app = CallerApp(self.handler, MAX_BODY_BYTES)
         self.server = CallerServer("127.0.0.1:0", app, self.tasks, max_callers, Millis(timeout))
         self.address = self.server.listener.getsockname()
         self.tasks.submit(self.server.run)
@@ -62,14 +66,14 @@
     def __exit__(self, *_):
         self.handler.release.set()
         self.server.stop()
-        assert self.server.await_closed(Millis(5000.0)), "a task was left behind"
+        assert self.server.await_closed(Millis(5000.0)), "a connection is still open"
         self.tasks.shutdown()
 
     def open(self):
         return socket.create_connection(self.address, timeout=5)
 
     def exchange(self, data: bytes) -> tuple[int, dict]:
-        """Send ``data``, end the sending side and return the first response."""
+        """Send ``data``, shut down the sending side and return the first response."""
         with self.open() as caller:
             caller.sendall(data)
             caller.shutdown(socket.SHUT_WR)
@@ -98,8 +102,8 @@
 
 
 @pytest.fixture(scope="class")
-def served():
-    with Served() as running:
+def running():
+    with RunningServer() as running:
         yield running
 
 
@@ -122,12 +126,12 @@
             json.dumps(SEARCH).replace("100.0", "NaN").encode(),
         ],
     )
-    def test_a_wrong_body_is_refused_as_not_run(self, served, body):
-        status, answer = served.exchange(post(body))
+    def test_rejects_invalid_body_as_not_run(self, running, body):
+        status, answer = running.exchange(post(body))
         assert (status, answer["outcome"], answer["reason"]) == (400, "not_run", "bad_request")
 
-    def test_a_huge_body_is_refused_before_it_is_read(self, served):
-        status, answer = served.exchange(post(b"x" * 500_000))
+    def test_rejects_body_over_size_limit_before_reading_it(self, running):
+        status, answer = running.exchange(post(b"x" * 500_000))
         assert (status, answer["reason"]) == (413, "too_large")
 
     @pytest.mark.parametrize(
@@ -146,71 +150,71 @@
             (b"BREW / HTTP/1.1\r\n\r\n", 501),
         ],
     )
-    def test_a_bad_request_line_or_header_gets_a_clear_status(self, served, data, expected):
-        status, answer = served.exchange(data)
+    def test_rejects_invalid_request_line_or_header_with_its_status(self, running, data, expected):
+        status, answer = running.exchange(data)
         assert (status, answer["outcome"]) == (expected, "not_run")
 
     @settings(derandomize=True, max_examples=60, deadline=None)
     @given(st.binary(max_size=300))
-    def test_any_body_gets_a_verdict_and_the_next_caller_is_served(self, data):
-        with Served() as served:
-            assert served.exchange(post(data))[0] in (200, 400, 404)
-            assert served.exchange(search())[0] == 200
+    def test_responds_to_any_body_and_serves_next_caller(self, data):
+        with RunningServer() as running:
+            assert running.exchange(post(data))[0] in (200, 400, 404)
+            assert running.exchange(search())[0] == 200
 
 
 class TestConnections:
-    def test_pipelined_requests_are_answered_in_order(self, served):
-        with served.open() as caller:
+    def test_answers_pipelined_requests_in_order(self, running):
+        with running.open() as caller:
             caller.sendall(b"".join(search(text=text) for text in ("a", "b", "c")))
             stream = caller.makefile("rb")
             assert [read_response(stream)[1]["query"] for _ in range(3)] == ["a", "b", "c"]
 
-    def test_a_caller_that_ends_its_sending_side_gets_its_answer(self, served):
-        assert served.exchange(search(text="half"))[1]["query"] == "half"
+    def test_answers_caller_that_shut_down_its_sending_side(self, running):
+        assert running.exchange(search(text="half"))[1]["query"] == "half"
 
-    def test_a_slow_sender_is_dropped_and_harms_no_other(self):
-        with Served(timeout=200.0) as served, served.open() as slow:
+    def test_closes_connection_of_slow_sender_and_serves_others(self):
+        with RunningServer(timeout=200.0) as running, running.open() as slow:
             slow.sendall(search()[:40])
-            assert served.exchange(search())[0] == 200
+            assert running.exchange(search())[0] == 200
             assert slow.recv(100) == b""
-            assert served.handler.searches == 1
+            assert running.handler.searches == 1
 
-    def test_a_truncated_body_does_not_run(self, served):
-        before = served.handler.searches
-        assert served.exchange(search()[:-5]) == (0, {})
-        assert served.handler.searches == before
+    def test_does_not_run_request_with_truncated_body(self, running):
+        before = running.handler.searches
+        assert running.exchange(search()[:-5]) == (0, {})
+        assert running.handler.searches == before
 
-    def test_callers_beyond_the_limit_are_refused_as_not_run(self):
-        with Served(max_callers=1) as served, served.open() as first:
+    def test_refuses_callers_over_limit_as_not_run(self):
+        with RunningServer(max_callers=1) as running, running.open() as first:
             first.sendall(search())
             assert read_response(first.makefile("rb"))[0] == 200
-            with served.open() as second:
+            with running.open() as second:
                 status, answer = read_response(second.makefile("rb"))
             assert (status, answer["outcome"]) == (429, "not_run")
 
-    def test_a_refusal_for_overload_says_when_to_try_again(self, served):
-        with served.open() as caller:
+    def test_sends_retry_after_header_on_overload(self, running):
+        with running.open() as caller:
             caller.sendall(search(text="full"))
             head = caller.recv(4096).decode()
         assert head.startswith("HTTP/1.1 429") and "Retry-After: 1" in head
 
 
 class TestStop:
-    def test_finishes_the_request_in_progress_and_closes_idle_connections(self):
-        with Served() as served, served.open() as busy, served.open() as idle:
+    def test_finishes_request_in_progress_and_closes_idle_connections(self):
+        with RunningServer() as running, running.open() as busy, running.open() as idle:
             idle.sendall(search())
             assert read_response(idle.makefile("rb"))[0] == 200
             busy.sendall(search(text="wait"))
-            while served.handler.searches < 2:
-                served.handler.release.wait(0.01)
-            served.server.stop()
+            while running.handler.searches < 2:
+                running.handler.release.wait(0.01)
+            running.server.stop()
             assert idle.recv(100) == b""
-            served.handler.release.set()
+            running.handler.release.set()
             status, answer = read_response(busy.makefile("rb"))
             assert (status, answer["query"]) == (200, "wait")
 
 
 class TestRanks:
-    def test_every_rank_has_a_name_that_callers_use(self, served):
+    def test_accepts_label_of_every_rank(self, running):
         for rank in Rank:
-            assert served.exchange(search(rank=rank.label))[1]["rank"] == rank.label
+            assert running.exchange(search(rank=rank.label))[1]["rank"] == rank.label
--- /dev/null
+++ b/tests/connection/test_endless_responses.py
@@ -0,0 +1,64 @@
+"""The memory and time that responses without an end cost a connection based on libcurl."""
+
+from time import monotonic
+
+import pytest
+
+from masticgate import Millis
+from masticgate.connection._http_connection import HttpConnection, HttpFailure
+from tests.gateway.pouring import (
+    CHUNKED,
+    ENDLESS_BODIES,
+    ENDLESS_HEADS,
+    OWN,
+    POURED_BYTES,
+    Flow,
+    PouringServer,
+)
+
+LONG_TIMEOUT = Millis(60_000.0)
+SHORT_TIMEOUT = Millis(300.0)
+CLOSE_TIMEOUT_S = 5.0
+NOT_COUNTED_BY_LIBCURL = {"chunk_extension", "chunk_extensions"}
+"""libcurl discards these bytes uncounted, so that only the timeout ends the response.
+
+Nothing of them is kept in memory.
+"""
+
+ENDED_BY_SIZE = {
+    name: flow
+    for name, flow in (ENDLESS_HEADS | ENDLESS_BODIES).items()
+    if name not in NOT_COUNTED_BY_LIBCURL
+}
+SLOW_FLOWS = {
+    "head": Flow(OWN + b"x-fill: ", b"x"),
+    "body": Flow(OWN + b"Content-Length: 1000000\r\n\r\n", b"x"),
+    "interim_answers": Flow(b"", b"HTTP/1.1 100 Continue\r\n\r\n"),
+    "chunk_extension": Flow(CHUNKED + b"1;", b"x"),
+}
+
+
+class TestHttpConnection:
+    def post(self, flow: Flow, timeout: Millis, pause_s: float | None = None) -> PouringServer:
+        """Send a request to a server that responds with ``flow``, and return the server.
+
+        The request fails and its connection is closed.
+        """
+        server = PouringServer(flow, pause_s)
+        connection = HttpConnection(server.address)
+        reply = connection.post("/search", b"{}", timeout)
+        server.stop()
+        assert isinstance(reply, HttpFailure)
+        assert reply.sent
+        assert server.closed.wait(CLOSE_TIMEOUT_S)
+        return server
+
+    @pytest.mark.parametrize("name", ENDED_BY_SIZE)
+    def test_closes_connection_with_endless_response_at_size_limit(self, name):
+        assert self.post(ENDED_BY_SIZE[name], LONG_TIMEOUT).written < POURED_BYTES
+
+    @pytest.mark.parametrize("name", SLOW_FLOWS)
+    def test_ends_slow_endless_response_at_timeout(self, name):
+        started_at = monotonic()
+        self.post(SLOW_FLOWS[name], SHORT_TIMEOUT, pause_s=0.005)
+        assert monotonic() - started_at < 2.0
--- a/tests/connection/test_http_connection.py
+++ b/tests/connection/test_http_connection.py
@@ -1,4 +1,4 @@
-"""One kept-alive connection to a server that counts what it reads and may cut it."""
+"""A kept-alive connection to a server that records the requests it read and may close it."""
 
 import socket
 from concurrent.futures import ThreadPoolExecutor
@@ -12,10 +12,11 @@
 TIMEOUT = Millis(5000.0)
 
 
-class CuttingServer:
-    """Answers each request, but cuts the connection once it has read one for ``/cut``.
+class ClosingServer:
+    """Responds to each request, except to those for two paths.
 
-    A request for ``/hold`` gets no answer.
+    It closes the connection after it read a request for ``/close``, and does not respond to a
+    request for ``/hold``.
     """
 
     def __init__(self):
@@ -26,7 +27,7 @@
         self.connections = 0
         self.open = []
         self.closed = Event()
-        self.held = Event()
+        self.request_held = Event()
         self.tasks = ThreadPoolExecutor(16)
         self.tasks.submit(self.run)
 
@@ -51,10 +52,10 @@
                 reader.read(length)
                 with self.lock:
                     self.paths.append(path)
-                if path == "/cut":
+                if path == "/close":
                     return
                 if path == "/hold":
-                    self.held.set()
+                    self.request_held.set()
                     self.closed.clear()
                     continue
                 connection.sendall(b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok")
@@ -72,63 +73,61 @@
 
 @pytest.fixture
 def server():
-    started = CuttingServer()
+    started = ClosingServer()
     yield started
     started.stop()
 
 
 @pytest.fixture
 def connection(server):
-    started = HttpConnection(server.address)
-    assert isinstance(started.post("/warm", b"{}", TIMEOUT), HttpReply)
-    yield started
-    started.close()
+    opened = HttpConnection(server.address)
+    assert isinstance(opened.post("/warm", b"{}", TIMEOUT), HttpReply)
+    yield opened
+    opened.close()
 
 
-class TestHttpCall:
-    def test_keeps_its_connection_over_requests(self, server, connection):
+class TestHttpConnection:
+    def test_reuses_connection_for_further_requests(self, server, connection):
         assert connection.post("/a", b"{}", TIMEOUT) == HttpReply(200, b"ok")
         assert connection.get("/b", TIMEOUT) == HttpReply(200, b"ok")
         assert connection.post("/c", b"{}", TIMEOUT) == HttpReply(200, b"ok")
         assert server.connections == 1
 
     @pytest.mark.parametrize("method", ["post", "post_once"])
-    def test_never_resends_what_a_server_read_before_it_cut_the_connection(
+    def test_does_not_resend_request_that_server_read_before_closing(
         self, server, connection, method
     ):
-        reply = getattr(connection, method)("/cut", b'{"ticket": "t"}', TIMEOUT)
+        reply = getattr(connection, method)("/close", b'{"ticket": "t"}', TIMEOUT)
         assert isinstance(reply, HttpFailure) and reply.sent
         assert connection.post("/after", b"{}", TIMEOUT) == HttpReply(200, b"ok")
-        assert server.paths == ["/warm", "/cut", "/after"]
+        assert server.paths == ["/warm", "/close", "/after"]
 
-    def test_opens_a_new_connection_where_the_kept_one_was_closed_meanwhile(
-        self, server, connection
-    ):
+    def test_opens_new_connection_if_idle_one_was_closed(self, server, connection):
         server.close_connections()
         assert connection.post("/a", b"{}", TIMEOUT) == HttpReply(200, b"ok")
         assert server.paths == ["/warm", "/a"]
 
-    def test_says_that_nothing_left_where_no_connection_opens(self, server, connection):
+    def test_reports_nothing_sent_if_connecting_fails(self, server, connection):
         with socket.create_server(("127.0.0.1", 0)) as unused:
             address = Address(f"127.0.0.1:{unused.getsockname()[1]}")
         reply = HttpConnection(address).post_once("/book", b"{}", TIMEOUT)
         assert isinstance(reply, HttpFailure) and not reply.sent
 
-    def test_closes_the_connection_of_a_request_that_timed_out(self, server, connection):
+    def test_closes_connection_of_request_that_timed_out(self, server, connection):
         assert isinstance(connection.post("/hold", b"{}", Millis(50.0)), HttpFailure)
         assert server.closed.wait(5.0)
 
 
 class TestAbort:
-    def test_ends_the_request_in_progress_and_does_not_send_it_again(self, server, connection):
+    def test_ends_request_in_progress_and_does_not_resend_it(self, server, connection):
         with ThreadPoolExecutor(1) as tasks:
             running = tasks.submit(connection.post, "/hold", b"{}", TIMEOUT)
-            assert server.held.wait(5.0)
+            assert server.request_held.wait(5.0)
             connection.abort()
             assert isinstance(running.result(5.0), HttpFailure)
         assert server.paths == ["/warm", "/hold"]
 
-    def test_before_the_request_keeps_it_from_leaving(self, server, connection):
+    def test_prevents_requests_until_allowed_again(self, server, connection):
         connection.abort()
         assert isinstance(connection.post("/never", b"{}", TIMEOUT), HttpFailure)
         connection.allow_requests()
