--- a/src/masticgate/request/_booking.py
+++ b/src/masticgate/request/_booking.py
@@ -20,10 +20,10 @@
 from ._runtime import Inbox, Runtime
 
 ANSWER_RESERVE = Millis(5.0)
-"""Time before the deadline that is reserved for returning the outcome to the caller."""
+"""Time in milliseconds before the deadline, reserved for returning the outcome to the caller."""
 
 CANCEL_TIMEOUT = Millis(50.0)
-"""Longest wait for an owner to confirm that a cancelled booking did not run."""
+"""Longest wait in milliseconds for an owner to confirm that a cancelled booking did not run."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -101,6 +101,7 @@
 def _join_attempt(
     booking: Booking, attempt_outcome: "Future[BookingOutcome]", runtime: Runtime
 ) -> BookingOutcome:
+    """Wait for the outcome of an attempt that another request began under the same ticket."""
     try:
         return attempt_outcome.result(timeout=remaining_seconds(booking.deadline, runtime.clock))
     except FutureTimeout:
@@ -132,6 +133,7 @@
 
 
 def _send_once(booking: Booking, attempt: Attempt, runtime: Runtime) -> BookingOutcome:
+    """Send the booking to an owner, unless its service runs no bookings or is leaving."""
     configuration = runtime.configuration()
     service = configuration.services.get(booking.service) if configuration else None
     if configuration is None or service is None or not service.bookings:
@@ -167,6 +169,11 @@
 
 
 def _await_owner(booking: Booking, owner: HostId, inbox: Inbox, runtime: Runtime) -> BookingOutcome:
+    """Wait for the owner's outcome, and cancel the booking if none arrives in time.
+
+    The cancel is sent before the deadline, so that the owner can still confirm that the booking
+    did not run.
+    """
     end = Millis(booking.deadline - ANSWER_RESERVE)
     reserve = min(CANCEL_TIMEOUT, (end - runtime.clock.now()) / 2)
     outcome = _await_reply(inbox, Millis(end - reserve), runtime)
--- a/src/masticgate/request/_merge.py
+++ b/src/masticgate/request/_merge.py
@@ -13,7 +13,10 @@
 
 @dataclass(frozen=True, slots=True)
 class MissingShard:
-    """A shard that an answer does not cover, and the failure that caused it."""
+    """A shard that an answer does not cover, and the failure that caused it.
+
+    ``shard`` is empty if the snapshot has no shards of ``service``.
+    """
 
     service: ServiceId
     shard: ShardId
--- a/src/masticgate/request/_search.py
+++ b/src/masticgate/request/_search.py
@@ -20,13 +20,13 @@
 from ._runtime import Inbox, Runtime
 
 ANSWER_RESERVE = Millis(4.0)
-"""Time before the deadline that is reserved for merging and for returning the answer."""
+"""Time in milliseconds before the deadline, reserved for merging and returning the answer."""
 
 SILENCE_CHECK_INTERVAL = Millis(40.0)
-"""Interval at which a waiting search checks for owners that no longer send anything."""
+"""Interval in milliseconds at which a waiting search checks for owners that send nothing."""
 
 MIN_RESTART_TIME = Millis(25.0)
-"""A search restarts on another snapshot only if at least this long remains to its deadline."""
+"""A search restarts only if at least this many milliseconds remain to its deadline."""
 
 MAX_OWNERS_TRIED = 3
 """Number of owners to which one search sends the part of one service, at most."""
@@ -66,7 +66,7 @@
 
     All hits of the answer come from one snapshot. If searchers no longer hold this snapshot, the
     whole search restarts on another one. If the deadline does not allow that, or no other snapshot
-    is left, the answer has less coverage.
+    is left, the answer is the one with the highest coverage so far.
     """
     configuration = runtime.configuration()
     if configuration is None:
@@ -91,16 +91,16 @@
         if snapshot is None:
             return best or NotRun(Reason.NO_SNAPSHOT, Step.PIN)
         tried |= {snapshot.version}
-        attempt = _Attempt(query, scope, snapshot, tried, runtime)
-        complete = attempt.run()
-        answer = attempt.merge.build_answer(query.id, query.rank, query.limit)
+        snapshot_search = _SnapshotSearch(query, scope, snapshot, tried, runtime)
+        complete = snapshot_search.run()
+        answer = snapshot_search.merge.build_answer(query.id, query.rank, query.limit)
         if best is None or answer.coverage > best.coverage:
             best = answer
         if complete:
             return best
 
 
-class _Attempt:
+class _SnapshotSearch:
     """One run of a query over one snapshot.
 
     ``pinned`` holds every snapshot that was tried for the query, this one included. ``tried``
@@ -151,6 +151,7 @@
         return not self.restart_needed
 
     def _ask_next_owners(self, services: Iterable[ServiceId]) -> None:
+        """Send the part of each service to its next owner that has not been tried yet."""
         by_owner: dict[HostId, list[ServiceId]] = defaultdict(list)
         for service in services:
             owner = self._next_owner(service)
@@ -216,6 +217,7 @@
         return self.runtime.pin_snapshot(needed, self.pinned) is not None
 
     def _handle_failure(self, service: ServiceId, failure: Failure, source: HostId) -> None:
+        """Try another owner after a failure of the owner ``source``, or record the failure."""
         if service not in self.merge.pending or self.tried[service][-1] != source:
             return
         if failure.reason in OWNER_FAILURES and self._next_owner(service) is not None:
@@ -224,6 +226,7 @@
             self.merge.add_failure(service, failure)
 
     def _replace_silent_owners(self, now: Millis) -> None:
+        """Send the parts at silent owners to other owners too, if the budget for repeats allows."""
         self.next_silence_check = Millis(now + SILENCE_CHECK_INTERVAL)
         for owner in {self.tried[service][-1] for service in self.merge.pending}:
             self.runtime.probe(owner)
--- a/src/masticgate/request/gateway/_forward.py
+++ b/src/masticgate/request/gateway/_forward.py
@@ -10,7 +10,7 @@
 from ._reply import Abandoned, Failed, Refused, Relayed, Reply
 
 RETRY_AFTER = Millis(50.0)
-"""Time after which a refused caller should try again.
+"""Time in milliseconds after which a refused caller should try again.
 
 A slot of a full searcher is free again after about half the running time of one request.
 """
--- a/src/masticgate/request/gateway/_gather.py
+++ b/src/masticgate/request/gateway/_gather.py
@@ -17,22 +17,22 @@
 from ._reply import Abandoned, Failed, Merged, Refused, Reply
 
 RECORD_BYTES = 16
-"""Size of one record on the wire; a shorter remainder at the end of a body is ignored."""
+"""Size of one record in a body; a shorter remainder at the end of the body is ignored."""
 
 ANSWER_MARGIN = Millis(5.0)
-"""Part of the route's objective that is reserved for merging and writing the answer.
+"""Milliseconds of the route's objective that are reserved for merging and writing the answer.
 
 The time on the network between caller and gateway is reserved in addition.
 """
 
 MIN_ANSWER_TIME = Millis(5.0)
-"""Shortest time for which answers of shards are awaited, whatever the objective."""
+"""Shortest wait for the answers of shards in milliseconds, whatever the objective."""
 
 MAX_LOGGED_SHARDS = 4
 """Number of missing shards, and of irregular parts, that are described in the log."""
 
 RETRY_AFTER = Millis(30.0)
-"""Time after which a refused caller should try again.
+"""Time in milliseconds after which a refused caller should try again.
 
 By then the next change of the catalogue of searchers may have arrived.
 """
