--- a/src/masticgate/process/_detector.py
+++ b/src/masticgate/process/_detector.py
@@ -57,7 +57,7 @@
         now = self.clock.now()
         gap = Millis(now - self.checked_at)
         if gap > PAUSE_INTERVALS * interval:
-            self.timeline.add(EventKind.PAUSED, self.members.own.host, f"{gap:.0f} ms")
+            self.timeline.add(EventKind.PAUSED, self.members.own_member.host, f"{gap:.0f} ms")
             self.resumed_at = now
         self.checked_at = now
         watched = list(neighbours)
--- a/src/masticgate/process/_distribution.py
+++ b/src/masticgate/process/_distribution.py
@@ -54,7 +54,7 @@
         clock: Clock,
     ) -> None:
         self.settings = settings
-        self.own = HostId(settings.host)
+        self.own_host = HostId(settings.host)
         self.domain = FailureDomainId(settings.failure_domain)
         self.versions = versions
         self.members = members
@@ -102,7 +102,7 @@
         usable = set(self.members.list_usable())
         members = [m.host for m in self.members.list_members() if m.failure_domain == self.domain]
         in_domain = [host for host in members if host in usable]
-        watching = should_watch(self.own, self.domain, in_domain, _ReachableHosts(self.links))
+        watching = should_watch(self.own_host, self.domain, in_domain, _ReachableHosts(self.links))
         if self.role.update(watching) and not watching:
             self._abort_reads()
 
@@ -113,12 +113,12 @@
         if self._should_fetch(peer_versions):
             send_reply(FetchVersions(self.versions.versions()))
 
-    def answer_fetch(self, have: Versions, send_reply: SendReply) -> None:
+    def answer_fetch(self, peer_versions: Versions, send_reply: SendReply) -> None:
         """Send the peer, which has the versions ``have``, what is newer here."""
-        push = self.versions.build_push(have.revision)
+        push = self.versions.build_push(peer_versions.revision)
         if push is not None:
             send_reply(push)
-        if self.versions.catalogue.newest > have.catalogue:
+        if self.versions.catalogue.newest > peer_versions.catalogue:
             send_reply(CataloguePush(self.versions.catalogue_text))
 
     def handle_push(
@@ -175,7 +175,7 @@
         self.startup.record_platform_read(self._read_platform())
         state = self.startup.wait(deadline)
         self.versions.activate()
-        self.timeline.add(EventKind.SERVING, self.own, self.startup.describe(state))
+        self.timeline.add(EventKind.SERVING, self.own_host, self.startup.describe(state))
         self.update_role()
 
     def _read_platform(self) -> bool:
--- a/src/masticgate/process/_heartbeats.py
+++ b/src/masticgate/process/_heartbeats.py
@@ -94,8 +94,8 @@
         usable_hosts = self.members.list_usable()
         if usable_hosts is not self.usable_hosts:
             others = [m for host in usable_hosts if (m := self.members.get(host)) is not None]
-            own = self.members.own
-            chosen = choose_neighbours(own, [m for m in others if m.host != own.host])
+            own_member = self.members.own_member
+            chosen = choose_neighbours(own_member, [m for m in others if m.host != own_member.host])
             self.usable_hosts = usable_hosts
             self.neighbours = [member.host for member in chosen]
         watched = [self.members.get(host) for host in self.neighbours]
--- a/src/masticgate/process/_host_runtime.py
+++ b/src/masticgate/process/_host_runtime.py
@@ -32,7 +32,7 @@
 
     def __init__(
         self,
-        own: HostId,
+        own_host: HostId,
         incarnation: Incarnation,
         policy: Policy,
         clock: Clock,
@@ -43,7 +43,7 @@
         owner: Owner,
         admission: AdmissionControl,
     ) -> None:
-        self.own = own
+        self.own_host = own_host
         self.incarnation = incarnation
         self.policy = policy
         self.clock = clock
@@ -71,7 +71,9 @@
 
     def owned_services(self) -> set[ServiceId]:
         """Return the services whose owner is this host, as far as it knows the other hosts."""
-        return {service for service, hosts in self.owner_table.items() if hosts[:1] == [self.own]}
+        return {
+            service for service, hosts in self.owner_table.items() if hosts[:1] == [self.own_host]
+        }
 
     def configuration(self) -> Configuration | None:
         """Return the configuration in force."""
@@ -92,7 +94,7 @@
     def admit(self, rank: Rank, number: float, scope: Scope) -> NotRun | None:
         """Return a refusal if this host is stopping or the services couldn't finish the query."""
         if self.owner.stopping:
-            return NotRun(Reason.SHUTTING_DOWN, Step.ADMISSION, peer=self.own)
+            return NotRun(Reason.SHUTTING_DOWN, Step.ADMISSION, peer=self.own_host)
         match self.policy.admission:
             case AdmitAll():
                 return None
@@ -103,7 +105,7 @@
         """Return the reachable hosts that may serve ``service``, the owner first."""
         match self.policy.routing:
             case LocalRouting():
-                return [self.own]
+                return [self.own_host]
             case OwnerRouting():
                 return self._reachable_owners(service)
 
@@ -115,13 +117,13 @@
         self, host: HostId, message: Ask | Book | Cancel | Forward, inbox: Inbox | None
     ) -> NotRun | None:
         """Send ``message`` to ``host``, which may be this host; replies go to ``inbox``."""
-        if host == self.own and isinstance(message, Forward):
+        if host == self.own_host and isinstance(message, Forward):
             return NotRun(Reason.MINTER_LOST, Step.FORWARD, peer=host)
         if isinstance(message, Ask):
             self.repeat_budget.earn(len(message.parts))
         if inbox is not None and not isinstance(message, Cancel):
             self.reply_router.register(host, message, inbox)
-        if host == self.own:
+        if host == self.own_host:
             self._send_to_self(message)
             return None
         refusal = self.links.send(host, message)
@@ -135,7 +137,7 @@
 
     def is_silent(self, host: HostId) -> bool:
         """Return whether ``host`` has sent nothing for longer than a live host would."""
-        return host != self.own and self.links.is_silent(host)
+        return host != self.own_host and self.links.is_silent(host)
 
     def allow_repeats(self, parts: int) -> bool:
         """Spend ``parts`` of the budget for repeats, and return whether it covers them.
@@ -147,14 +149,16 @@
 
     def probe(self, host: HostId) -> None:
         """Ask ``host`` for a reply, which tells a slow host from one that is lost."""
-        if host != self.own:
+        if host != self.own_host:
             self.links.probe(host)
 
     def is_own_ticket(self, ticket: TicketId) -> bool:
         """Return whether this incarnation (run of the process) of this host minted ``ticket``."""
         parts = parse_ticket(ticket)
         return (
-            parts is not None and parts.host == self.own and parts.incarnation == self.incarnation
+            parts is not None
+            and parts.host == self.own_host
+            and parts.incarnation == self.incarnation
         )
 
     def _send_to_self(self, message: Ask | Book | Cancel | Forward) -> None:
@@ -169,7 +173,7 @@
                 return
 
     def _deliver_own(self, reply: Reply | BookReply) -> None:
-        self.reply_router.deliver(self.own, reply)
+        self.reply_router.deliver(self.own_host, reply)
 
     def _reachable_owners(self, service: ServiceId) -> list[HostId]:
         """Return the ranked hosts with an open link, silent ones last, else any reachable host."""
@@ -181,15 +185,15 @@
     def _open_links(self, hosts: Sequence[HostId]) -> None:
         for host in hosts:
             member = self.members.get(host)
-            if member is not None and host != self.own and not self.links.is_open(host):
+            if member is not None and host != self.own_host and not self.links.is_open(host):
                 self.links.ensure(host, member.address)
 
     def _is_reachable(self, host: HostId) -> bool:
-        return host == self.own or self.links.is_open(host)
+        return host == self.own_host or self.links.is_open(host)
 
     def _any_reachable(self, service: ServiceId) -> list[HostId]:
         hosts = [host for host in self.members.list_usable() if self._is_reachable(host)]
         ranked = rank_hosts(f"service:{service}", hosts)
         if ranked or self.owner.stopping:
             return ranked
-        return [self.own]
+        return [self.own_host]
--- a/src/masticgate/process/_members.py
+++ b/src/masticgate/process/_members.py
@@ -49,23 +49,23 @@
 
     def __init__(
         self,
-        own: Member,
+        own_member: Member,
         clock: Clock,
         timeline: TimeLine,
         on_change: Callable[[Sequence[Member]], None],
     ) -> None:
-        self.own = own
+        self.own_member = own_member
         self.clock = clock
         self.timeline = timeline
         self.on_change = on_change
         self.lock = Lock()
-        self.members: dict[HostId, Member] = {own.host: own}
+        self.members: dict[HostId, Member] = {own_member.host: own_member}
         self.tombstones: OrderedDict[HostId, Member] = OrderedDict()
-        self.changed_at: dict[HostId, Millis] = {own.host: clock.now()}
+        self.changed_at: dict[HostId, Millis] = {own_member.host: clock.now()}
         self.remaining_sends: dict[HostId, int] = {}
-        self.usable_hosts = SortedSet([own.host])
+        self.usable_hosts = SortedSet([own_member.host])
         self.usable_cache: list[HostId] | None = None
-        self.digest = list(digest_of([own]))
+        self.digest = list(digest_of([own_member]))
 
     def merge(self, members: Iterable[Member]) -> tuple[Member, ...]:
         """Merge the newer ones of ``members``; return corrections for their sender.
@@ -88,7 +88,7 @@
 
     def leave(self) -> None:
         """Mark this host as leaving, which lasts for the rest of its incarnation."""
-        self.declare(self.own, MemberState.LEAVING)
+        self.declare(self.own_member, MemberState.LEAVING)
 
     def get(self, host: HostId) -> Member | None:
         """Return the entry of ``host``, or ``None`` if the host is not known."""
@@ -138,7 +138,11 @@
         limit = self.clock.now() - DEPARTED_MEMBER_TTL
         with self.lock:
             for host, member in list(self.members.items()):
-                if is_usable(member) or host == self.own.host or self.changed_at[host] > limit:
+                if (
+                    is_usable(member)
+                    or host == self.own_member.host
+                    or self.changed_at[host] > limit
+                ):
                     continue
                 self.tombstones[host] = self.members.pop(host)
                 del self.changed_at[host]
@@ -147,7 +151,7 @@
                 self.tombstones.popitem(last=False)
 
     def _merge_one(self, member: Member, changed: list[Member], corrections: list[Member]) -> None:
-        if member.host == self.own.host:
+        if member.host == self.own_member.host:
             self._merge_own(member, changed, corrections)
             return
         known = self.members.get(member.host) or self.tombstones.get(member.host)
@@ -162,8 +166,8 @@
         if refutation is not None:
             self._store(refutation)
             changed.append(refutation)
-        if refutation is not None or needs_correction(member, self.own):
-            corrections.append(self.own)
+        if refutation is not None or needs_correction(member, self.own_member):
+            corrections.append(self.own_member)
 
     def _refutation(self, member: Member) -> Member | None:
         """Return the new entry of this host in reply to ``member``, ``None`` if it stays as it is.
@@ -171,18 +175,18 @@
         A report that this host is suspect or dead is refuted by a higher counter; a report that it
         is leaving is accepted.
         """
-        own = self.own
-        if member.incarnation != own.incarnation or not supersedes(member, own):
+        own_member = self.own_member
+        if member.incarnation != own_member.incarnation or not supersedes(member, own_member):
             return None
         match member.state:
             case MemberState.LEAVING:
-                return replace(own, state=MemberState.LEAVING)
+                return replace(own_member, state=MemberState.LEAVING)
             case _:
-                return replace(own, counter=member.counter + 1)
+                return replace(own_member, counter=member.counter + 1)
 
     def _store(self, member: Member) -> None:
-        if member.host == self.own.host:
-            self.own = member
+        if member.host == self.own_member.host:
+            self.own_member = member
         self.tombstones.pop(member.host, None)
         known = self.members.get(member.host)
         if known is not None and is_usable(known):
--- a/src/masticgate/process/_peer_service.py
+++ b/src/masticgate/process/_peer_service.py
@@ -37,13 +37,13 @@
 
     def __init__(
         self,
-        own: Hello,
+        own_hello: Hello,
         members: Members,
         versions: VersionStore,
         timeline: TimeLine,
         reply_router: ReplyRouter,
     ) -> None:
-        self.own = own
+        self.own_hello = own_hello
         self.members = members
         self.versions = versions
         self.timeline = timeline
@@ -56,7 +56,7 @@
 
     def hello(self) -> Hello:
         """Return this host's own hello."""
-        return self.own
+        return self.own_hello
 
     def probe_heartbeat(self) -> Heartbeat:
         """Return a heartbeat without updates, sent only to get a reply."""
@@ -74,7 +74,7 @@
         heartbeat = Heartbeat(
             self.timeline.sequence,
             self.versions.versions(),
-            (self.members.own, *corrections),
+            (self.members.own_member, *corrections),
             digest,
         )
         self.links.send(peer.host, heartbeat)
--- a/src/masticgate/process/_server.py
+++ b/src/masticgate/process/_server.py
@@ -70,12 +70,12 @@
         self.tickets = TicketTable(self.id, self.incarnation, self.clock)
         self.reply_router = ReplyRouter(self.tickets.record_late_outcome)
         self.versions = VersionStore(self.timeline, self._handle_configuration, starting=True)
-        own = self._build_hello()
+        own_hello = self._build_hello()
         self.members = Members(
-            member_from_hello(own), self.clock, self.timeline, self._handle_member_changes
+            member_from_hello(own_hello), self.clock, self.timeline, self._handle_member_changes
         )
         self.peer_service = PeerService(
-            own, self.members, self.versions, self.timeline, self.reply_router
+            own_hello, self.members, self.versions, self.timeline, self.reply_router
         )
         self.links = Links(self.peer_service, self.clock, self.start_task)
         self.distribution = Distribution(
--- a/src/masticgate/process/_startup.py
+++ b/src/masticgate/process/_startup.py
@@ -52,13 +52,13 @@
         self.clock = clock
         self.condition = Condition()
         self.peer_versions: dict[HostId, tuple[FailureDomainId, Versions]] = {}
-        self.platform_tried = False
+        self.platform_read_done = False
         self.platform_answered = False
 
     def record_platform_read(self, answered: bool) -> None:
         """Record that the read of the platform has ended, and whether the platform answered."""
         with self.condition:
-            self.platform_tried = True
+            self.platform_read_done = True
             self.platform_answered = answered
             self.condition.notify_all()
 
@@ -96,7 +96,7 @@
         domains = {domain for domain, _ in self.peer_versions.values()}
         enough_peers = len(self.peer_versions) >= min(MIN_STARTUP_PEERS, len(self.seeds))
         enough_domains = len(domains) >= min(MIN_STARTUP_DOMAINS, len(set(self.seeds.values())))
-        return self.platform_tried and enough_peers and enough_domains and self._has_highest()
+        return self.platform_read_done and enough_peers and enough_domains and self._has_highest()
 
     def _has_highest(self) -> bool:
         revision = max((v.revision for _, v in self.peer_versions.values()), default=0)
--- a/src/masticgate/process/_status.py
+++ b/src/masticgate/process/_status.py
@@ -14,7 +14,7 @@
     """Return the status that ``masticgate status`` shows, as JSON values."""
     configuration = runtime.versions.configuration
     return {
-        "host": runtime.own,
+        "host": runtime.own_host,
         "incarnation": runtime.incarnation,
         "revision": configuration.revision if configuration else 0,
         "refused_revision": runtime.versions.highest_refused,
@@ -36,7 +36,7 @@
         "failure_domain": member.failure_domain,
         "incarnation": member.incarnation,
         "state": member.state.name.lower(),
-        "reachable": member.host == runtime.own or runtime.links.is_open(member.host),
+        "reachable": member.host == runtime.own_host or runtime.links.is_open(member.host),
     }
 
 
--- a/src/masticgate/process/_versions.py
+++ b/src/masticgate/process/_versions.py
@@ -114,18 +114,18 @@
             self._notify_configuration()
         return offered
 
-    def build_push(self, have: Revision) -> SectionsPush | TextPush | None:
+    def build_push(self, peer_revision: Revision) -> SectionsPush | TextPush | None:
         """Return the push that brings a peer at revision ``have`` to the one of this host.
 
         Return ``None`` if the peer's revision is not older.
         """
         with self.lock:
             revision = self.versions().revision
-            if revision <= have:
+            if revision <= peer_revision:
                 return None
-            known = self.digests_by_revision.get(have)
+            known = self.digests_by_revision.get(peer_revision)
             if known is not None:
-                return self.sections.changes_since(have, known, revision)
+                return self.sections.changes_since(peer_revision, known, revision)
             return TextPush(revision, self.sections.to_text() or "")
 
     def offer_catalogue(self, text: str) -> bool:
--- a/src/masticgate/process/_watch_role.py
+++ b/src/masticgate/process/_watch_role.py
@@ -27,8 +27,8 @@
                 return False
             self.watching = watching
             self.condition.notify_all()
-        what = "watches the platform" if watching else "gets versions from peers"
-        self.timeline.add(EventKind.WATCH_CHANGED, self.timeline.host, what)
+        detail = "watches the platform" if watching else "gets versions from peers"
+        self.timeline.add(EventKind.WATCH_CHANGED, self.timeline.host, detail)
         return True
 
     def wait_until_watching(self, allow: Callable[[], None]) -> bool:
--- a/tests/process/test_members.py
+++ b/tests/process/test_members.py
@@ -25,8 +25,8 @@
 def members_of(name, clock=None, count=0):
     """Return the membership table of the host ``name``, which knows ``count`` other hosts."""
     clock = clock or ManualClock()
-    own = member(name)
-    view = Members(own, clock, TimeLine(own.host, clock), lambda changed: None)
+    own_member = member(name)
+    view = Members(own_member, clock, TimeLine(own_member.host, clock), lambda changed: None)
     view.merge([member(f"h{n}") for n in range(count)])
     return view
 
@@ -89,7 +89,7 @@
         view = members_of("a")
         view.merge([member("a", MemberState.LEAVING)])
         view.merge([member("a", MemberState.DEAD, counter=4)])
-        assert view.own.state is MemberState.LEAVING
+        assert view.own_member.state is MemberState.LEAVING
         assert view.list_usable() == []
 
 
@@ -116,10 +116,10 @@
     def test_each_host_has_a_bounded_number_of_neighbours_if_many(self):
         hosts = [member(f"h{n}", domain=f"d{n % 17}") for n in range(400)]
         watchers = {host.host: 0 for host in hosts}
-        for own in hosts:
-            chosen = choose_neighbours(own, [h for h in hosts if h is not own])
+        for own_member in hosts:
+            chosen = choose_neighbours(own_member, [h for h in hosts if h is not own_member])
             assert len(chosen) <= 8
-            assert any(h.failure_domain != own.failure_domain for h in chosen)
+            assert any(h.failure_domain != own_member.failure_domain for h in chosen)
             for host in chosen:
                 watchers[host.host] += 1
         assert min(watchers.values()) >= 6
@@ -227,7 +227,7 @@
     @rule(host=st.integers(0, 2))
     def leave(self, host):
         self.hosts[host].leave()
-        self.hosts_that_left.add(self.hosts[host].own.host)
+        self.hosts_that_left.add(self.hosts[host].own_member.host)
 
     @rule()
     def compare_digests(self):
@@ -237,10 +237,10 @@
                     self.exchange(one, other)
         views = {tuple(host.list_usable()) for host in self.hosts}
         assert len(views) == 1
-        assert {h.own.host for h in self.hosts} - self.hosts_that_left <= set(views.pop())
+        assert {h.own_member.host for h in self.hosts} - self.hosts_that_left <= set(views.pop())
 
     def exchange(self, one, other):
-        other.merge([one.own])
+        other.merge([one.own_member])
         missing, _ = other.compare_digest(tuple(one.digest))
         other.merge(one.merge(missing))
         missing, _ = one.compare_digest(tuple(other.digest))
@@ -249,11 +249,11 @@
     @invariant()
     def own_state_is_alive_or_leaving(self):
         for host in self.hosts:
-            assert host.own.state in (MemberState.ALIVE, MemberState.LEAVING)
-            assert (host.own.host in self.hosts_that_left) <= (
-                host.own.state is MemberState.LEAVING
+            assert host.own_member.state in (MemberState.ALIVE, MemberState.LEAVING)
+            assert (host.own_member.host in self.hosts_that_left) <= (
+                host.own_member.state is MemberState.LEAVING
             )
-            assert host.get(host.own.host) == host.own
+            assert host.get(host.own_member.host) == host.own_member
 
 
 TestMembership = MembershipMachine.TestCase
