--- a/src/masticgate/process/_detector.py
+++ b/src/masticgate/process/_detector.py
@@ -21,8 +21,8 @@
 """The most times that the timeout for a host is lengthened.
 
 Each time this host suspects another, it doubles the timeout for it, so that a slow host that
-refutes the suspicion is not suspected again and again. A host that sends within an interval gets
-the normal timeout back.
+refutes the suspicion is not suspected again and again. The timeout is normal again once the host
+has sent something within an interval.
 """
 
 
--- a/src/masticgate/process/_distribution.py
+++ b/src/masticgate/process/_distribution.py
@@ -107,14 +107,17 @@
             self._abort_reads()
 
     def compare_versions(self, peer: Hello, peer_versions: Versions, send_reply: SendReply) -> None:
-        """Ask ``peer`` for what it has newer, unless another peer was just asked for as much."""
+        """Fetch what ``peer`` has newer, unless the same versions are already being fetched.
+
+        While this host starts, the versions of ``peer`` are recorded too.
+        """
         if self.versions.starting:
             self.startup.record_peer(peer.host, peer.failure_domain, peer_versions)
         if self._should_fetch(peer_versions):
             send_reply(FetchVersions(self.versions.versions()))
 
     def answer_fetch(self, peer_versions: Versions, send_reply: SendReply) -> None:
-        """Send the peer, which has the versions ``have``, what is newer here."""
+        """Send a peer that has ``peer_versions`` the text and the catalogue that are newer here."""
         push = self.versions.build_push(peer_versions.revision)
         if push is not None:
             send_reply(push)
--- a/src/masticgate/process/_heartbeats.py
+++ b/src/masticgate/process/_heartbeats.py
@@ -22,13 +22,19 @@
 """With at most this many usable hosts, heartbeats are sent at the short interval."""
 
 HEARTBEATS_PER_KEEPALIVE = 2
-"""A host that is no neighbour gets one in this many heartbeats, which keeps its link open."""
+"""The number of rounds from one heartbeat to the next for a linked host that is no neighbour.
+
+The heartbeats keep the link to it open.
+"""
 
 HEARTBEATS_PER_DIGEST = 4
-"""One in this many heartbeats carries a digest of the usable hosts, to one neighbour in turn."""
+"""The number of rounds from one digest of the usable hosts to the next.
+
+Each digest is sent to one neighbour, in turn.
+"""
 
 HEARTBEATS_PER_PROBE = 4
-"""Once in this many heartbeats, one dead host in turn is probed."""
+"""The number of rounds from one probe of a dead host to the next; dead hosts take turns."""
 
 
 class Heartbeats:
@@ -102,7 +108,7 @@
         return [member for member in watched if member is not None and is_usable(member)]
 
     def _digest_peer(self) -> HostId | None:
-        """Return the neighbour that gets a digest in this interval, ``None`` if none is due."""
+        """Return the neighbour that is sent a digest in this round, ``None`` if none is due."""
         turn, rest = divmod(self.sequence, HEARTBEATS_PER_DIGEST)
         if rest or not self.neighbours:
             return None
--- a/src/masticgate/process/_host_list.py
+++ b/src/masticgate/process/_host_list.py
@@ -17,7 +17,7 @@
 class HostList:
     """Converts each read of the host list; called only by the task that reads the list.
 
-    A host that the list marks as leaving is taken to leave only if its incarnation has been known
+    A host that the list marks as leaving becomes leaving only if its incarnation has been known
     for ``MAX_HOST_LIST_LAG``. For a younger one the mark may be late and mean the incarnation
     before it. ``known_since`` holds when the current incarnation of each listed host was first
     seen.
--- a/src/masticgate/process/_links.py
+++ b/src/masticgate/process/_links.py
@@ -13,7 +13,7 @@
 """A host that has left a heartbeat unanswered for longer than this counts as silent."""
 
 PROBE_DELAY = Millis(20.0)
-"""A host that has sent nothing for longer than this gets a heartbeat along with the next request.
+"""A host that has sent nothing for longer than this is sent a heartbeat before the next request.
 
 The reply to the heartbeat tells a slow host from one that is lost.
 """
@@ -65,7 +65,7 @@
             link.stop()
 
     def close_idle(self, neighbours: Collection[HostId]) -> None:
-        """Close the links to hosts other than ``neighbours`` that got no request for long."""
+        """Close the links, except to ``neighbours``, without a request for the idle timeout."""
         limit = self.clock.now() - LINK_IDLE_TIMEOUT
         for link in self.list_links():
             if link.host not in neighbours and link.last_used < limit:
--- a/src/masticgate/process/_member_rules.py
+++ b/src/masticgate/process/_member_rules.py
@@ -1,4 +1,8 @@
-"""Rules of the membership protocol: precedence of updates, digests, and who watches whom."""
+"""Rules of the membership protocol: precedence of entries, digests, and who watches whom.
+
+A host watches some of the other hosts, its neighbours: it declares them suspect, then dead, when
+they stay silent.
+"""
 
 from collections.abc import Iterable, Sequence
 
@@ -20,7 +24,10 @@
 """The length of a digest of the usable hosts, one number for each bucket of hashed ids."""
 
 RING_SIZE = 2**64
+"""The number of values of a hashed host id."""
+
 USABLE_STATES = (MemberState.ALIVE, MemberState.SUSPECT)
+"""The states in which a host may own services; a suspect host may yet refute."""
 
 
 def is_usable(member: Member) -> bool:
--- a/src/masticgate/process/_members.py
+++ b/src/masticgate/process/_members.py
@@ -23,7 +23,7 @@
 from ._timeline import EventKind, TimeLine
 
 RETRANSMIT_FACTOR = 3
-"""An update is sent this many times the binary logarithm of the number of hosts, rounded up."""
+"""An update is sent this many times ceil(log2(n + 1)) for ``n`` known hosts, then no more."""
 
 MAX_UPDATES_PER_MESSAGE = 20
 """The most membership updates that one message carries."""
@@ -41,10 +41,10 @@
 class Members:
     """The state of each host as known to this host, merged by :func:`supersedes`.
 
-    A host's incarnation tells one run of its process from the next. ``own`` is this host's own
-    entry, ``tombstones`` holds the last state of removed hosts, and ``remaining_sends`` says how
-    often the update about a host is still to be sent. ``on_change`` is called with the entries
-    that changed, without the lock.
+    A host's incarnation identifies one run of its process. ``own_member`` is the entry of this
+    host itself, ``tombstones`` holds the last entries of removed hosts, and ``remaining_sends``
+    says how many times the entry of a host is still to be sent as an update. ``on_change`` is
+    called with the entries that changed, outside the lock.
     """
 
     def __init__(
@@ -70,8 +70,8 @@
     def merge(self, members: Iterable[Member]) -> tuple[Member, ...]:
         """Merge the newer ones of ``members``; return corrections for their sender.
 
-        A correction is the entry known here to a host about which the sender's entry is outdated
-        in its incarnation, or in whether the host is usable.
+        A correction is this host's entry of a host, returned if the received entry is older and
+        differs in the incarnation, or in whether the host is usable.
         """
         changed: list[Member] = []
         corrections: list[Member] = []
@@ -110,7 +110,7 @@
             return self.usable_cache
 
     def next_updates(self) -> tuple[Member, ...]:
-        """Return the updates for one message, and count each as sent once more."""
+        """Return the updates for one message, the least sent first, and count each as sent."""
         with self.lock:
             hosts = sorted(self.remaining_sends, key=lambda host: -self.remaining_sends[host])[
                 :MAX_UPDATES_PER_MESSAGE
@@ -170,7 +170,7 @@
             corrections.append(self.own_member)
 
     def _refutation(self, member: Member) -> Member | None:
-        """Return the new entry of this host in reply to ``member``, ``None`` if it stays as it is.
+        """Return this host's own entry as changed by ``member``, ``None`` if it stays as it is.
 
         A report that this host is suspect or dead is refuted by a higher counter; a report that it
         is leaving is accepted.
--- a/src/masticgate/process/_peer_service.py
+++ b/src/masticgate/process/_peer_service.py
@@ -31,8 +31,8 @@
 class PeerService:
     """Passes each message from a peer to the part of the process that handles it.
 
-    ``own`` is this host's own hello. The parts that need the links, or that are built after this
-    one, are set before the first message arrives.
+    ``own_hello`` is the hello of this host. The parts declared without a value are built after
+    this one, and set before the first message arrives.
     """
 
     def __init__(
--- a/src/masticgate/process/_server.py
+++ b/src/masticgate/process/_server.py
@@ -47,7 +47,7 @@
 SHUTDOWN_REFUSAL_TIME = Millis(1000.0)
 """How long a stopping host still accepts callers, and answers "not run", before it stops listening.
 
-A shorter shutdown time in the settings shortens it to a quarter of that.
+At most a quarter of the shutdown time in the settings is spent on it.
 """
 
 
--- a/src/masticgate/process/_versions.py
+++ b/src/masticgate/process/_versions.py
@@ -27,8 +27,8 @@
 MAX_DIGEST_REVISIONS = 64
 """The number of revisions whose digests are kept.
 
-A peer at one of these revisions gets only the sections that changed since; others get the whole
-text.
+A peer at one of these revisions is sent only the sections that changed since; others are sent the
+whole text.
 """
 
 MAX_REFUSED_REVISIONS = 64
@@ -115,7 +115,7 @@
         return offered
 
     def build_push(self, peer_revision: Revision) -> SectionsPush | TextPush | None:
-        """Return the push that brings a peer at revision ``have`` to the one of this host.
+        """Return the push that brings a peer at ``peer_revision`` to the revision of this host.
 
         Return ``None`` if the peer's revision is not older.
         """
