--- a/model/process/handover.py
+++ b/model/process/handover.py
@@ -1,6 +1,6 @@
 """Specification of the connections to one searcher while the owner of its service changes.
 
-Hosts may disagree on the owner of the service: each may take itself for the owner at any time, but
+Hosts may disagree on the owner of the service: each may consider itself the owner at any time, but
 at most ``CANDIDATES`` of them do at once. When a host crashes, its kernel closes its connections.
 """
 
--- a/src/masticgate/version/_jsonc.py
+++ b/src/masticgate/version/_jsonc.py
@@ -24,7 +24,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SyntaxProblem:
-    """The reason for which a text is not valid JSON with comments, and where."""
+    """Why a text is not valid JSON with comments, and at which position."""
 
     position: Position
     message: str
--- a/src/masticgate/version/_placement.py
+++ b/src/masticgate/version/_placement.py
@@ -44,7 +44,7 @@
     """Return the number of connections that one owner may open to ``searcher``.
 
     One connection more than the searcher has slots hides the round trip. The sum over all candidate
-    owners stays within the searcher's limit, since several of them may take themselves for the
+    owners stays within the searcher's limit, since several of them may consider themselves the
     owner at the same time. ``listed_hosts`` is the number of hosts in the host list.
     """
     candidates = max(1, min(listed_hosts, MAX_OWNER_CANDIDATES))
--- a/src/masticgate/version/_snapshot.py
+++ b/src/masticgate/version/_snapshot.py
@@ -85,10 +85,10 @@
     if isinstance(document, SyntaxProblem):
         return None
     try:
-        checked = _CatalogueText.model_validate(document.value)
+        validated = _CatalogueText.model_validate(document.value)
     except ValidationError:
         return None
-    if len({item.version for item in checked.versions}) < len(checked.versions):
+    if len({item.version for item in validated.versions}) < len(validated.versions):
         return None
     snapshots = [
         Snapshot(
@@ -98,6 +98,6 @@
                 for service, shards in item.shards.items()
             },
         )
-        for item in checked.versions
+        for item in validated.versions
     ]
     return SnapshotCatalogue(tuple(sorted(snapshots, key=lambda s: s.version, reverse=True)))
--- a/src/masticgate/version/_text.py
+++ b/src/masticgate/version/_text.py
@@ -1,6 +1,7 @@
 """Validates the operators' text and builds the configuration from it.
 
-The result depends on the text alone, so that every host accepts or refuses the same texts.
+The text is JSON with comments and lists departments, services, searchers and floors. The result
+depends on the text alone, so that every host accepts or refuses the same texts.
 """
 
 from collections.abc import Iterator
@@ -18,11 +19,12 @@
 MAX_TEXT_BYTES = 1_000_000
 
 Path = tuple[str | int, ...]
+"""The keys and indices that lead to a value of the text."""
 
 
 @dataclass(frozen=True, slots=True)
 class Problem:
-    """A reason for which a text is refused, and its position in the text."""
+    """One reason to refuse a text, with its position in the text."""
 
     position: Position
     path: str
@@ -42,7 +44,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Refused:
-    """The result for an invalid text: its problems; the configuration in force stays."""
+    """The result for an invalid text, which does not change the configuration in force."""
 
     problems: tuple[Problem, ...]
 
@@ -55,13 +57,13 @@
     if isinstance(document, SyntaxProblem):
         return Refused((Problem(document.position, "", document.message),))
     try:
-        checked = ConfigurationText.model_validate(document.value)
+        validated = ConfigurationText.model_validate(document.value)
     except ValidationError as error:
         return Refused(tuple(_schema_problems(document, error)))
-    problems = tuple(_problem(document, path, text) for path, text in _find_conflicts(checked))
+    problems = tuple(_problem(document, path, text) for path, text in _find_conflicts(validated))
     if problems:
         return Refused(problems)
-    return Accepted(_build(checked, revision))
+    return Accepted(_build(validated, revision))
 
 
 def _schema_problems(document: Document, error: ValidationError) -> Iterator[Problem]:
@@ -74,18 +76,18 @@
     return Problem(document.locate(path), " > ".join(map(str, path)), message)
 
 
-def _find_conflicts(checked: ConfigurationText) -> Iterator[tuple[Path, str]]:
-    if checked.format != SUPPORTED_FORMAT:
+def _find_conflicts(validated: ConfigurationText) -> Iterator[tuple[Path, str]]:
+    if validated.format != SUPPORTED_FORMAT:
         yield ("format",), f"this release reads format {SUPPORTED_FORMAT}"
-    floor_sum = checked.floors.standard + checked.floors.bulk
+    floor_sum = validated.floors.standard + validated.floors.bulk
     if floor_sum > MAX_FLOOR_SUM:
         yield ("floors",), f"the floors sum to {floor_sum:g}, more than {MAX_FLOOR_SUM:g}"
-    for name, service in checked.services.items():
-        yield from _find_service_conflicts(checked, name, service)
-    yield from _find_duplicate_searchers(checked)
+    for name, service in validated.services.items():
+        yield from _find_service_conflicts(validated, name, service)
+    yield from _find_duplicate_searchers(validated)
     dependencies = {
         ServiceId(name): tuple(map(ServiceId, service.depends_on))
-        for name, service in checked.services.items()
+        for name, service in validated.services.items()
     }
     cycle = find_cycle(dependencies)
     if cycle:
@@ -94,21 +96,21 @@
 
 
 def _find_service_conflicts(
-    checked: ConfigurationText, name: str, service: ServiceText
+    validated: ConfigurationText, name: str, service: ServiceText
 ) -> Iterator[tuple[Path, str]]:
-    if service.department not in checked.departments:
+    if service.department not in validated.departments:
         yield ("services", name, "department"), f"no department {service.department!r}"
     for index, needed in enumerate(service.depends_on):
-        if needed not in checked.services:
+        if needed not in validated.services:
             place: Path = ("services", name, "depends_on", index)
             yield place, f"service {name!r} depends on {needed!r}, which is not in the text"
     if not service.searchers and not service.depends_on:
         yield ("services", name), "has neither searchers nor dependencies"
 
 
-def _find_duplicate_searchers(checked: ConfigurationText) -> Iterator[tuple[Path, str]]:
+def _find_duplicate_searchers(validated: ConfigurationText) -> Iterator[tuple[Path, str]]:
     owners: dict[str, str] = {}
-    for name, service in checked.services.items():
+    for name, service in validated.services.items():
         for index, searcher in enumerate(service.searchers):
             for key, value in (("id", searcher.id), ("address", searcher.address)):
                 other = owners.setdefault(f"{key} {value}", name)
@@ -121,23 +123,23 @@
     return any(getattr(searcher, key) == value for searcher in service.searchers[:index])
 
 
-def _build(checked: ConfigurationText, revision: Revision) -> Configuration:
+def _build(validated: ConfigurationText, revision: Revision) -> Configuration:
     departments = {
         DepartmentId(name): Department(
             DepartmentId(name), department.leaving, department.leaves_on or ""
         )
-        for name, department in checked.departments.items()
+        for name, department in validated.departments.items()
     }
     services = {
         ServiceId(name): _build_service(ServiceId(name), service)
-        for name, service in checked.services.items()
+        for name, service in validated.services.items()
     }
     floors = {
         Rank.URGENT: 0.0,
-        Rank.STANDARD: checked.floors.standard,
-        Rank.BULK: checked.floors.bulk,
+        Rank.STANDARD: validated.floors.standard,
+        Rank.BULK: validated.floors.bulk,
     }
-    return Configuration(revision, checked.deployment, floors, departments, services)
+    return Configuration(revision, validated.deployment, floors, departments, services)
 
 
 def _build_service(name: ServiceId, service: ServiceText) -> Service:
--- a/tests/version/test_text.py
+++ b/tests/version/test_text.py
@@ -44,9 +44,9 @@
     return SMALL.replace(old, new, 1)
 
 
-def mutate(text: str, place: float, cut: int, junk: str) -> str:
-    start = int(place * len(text))
-    return text[:start] + junk + text[start + cut :]
+def mutate(text: str, position: float, removed: int, junk: str) -> str:
+    start = int(position * len(text))
+    return text[:start] + junk + text[start + removed :]
 
 
 class TestAcceptedText:
@@ -114,8 +114,8 @@
 
     @FUZZ_SETTINGS
     @given(st.floats(0, 0.999), st.integers(0, 30), JUNK)
-    def test_damaged_text_has_the_same_result_twice(self, place, cut, junk):
-        text = mutate(SMALL, place, cut, junk)
+    def test_damaged_text_has_the_same_result_twice(self, position, removed, junk):
+        text = mutate(SMALL, position, removed, junk)
         outcome = accept_text(text, Revision(1))
         assert isinstance(outcome, Accepted | Refused)
         assert outcome == accept_text(text, Revision(1))
