--- a/src/masticgate/process/_versions.py
+++ b/src/masticgate/process/_versions.py
@@ -101,18 +101,18 @@
     def offer_text(self, text: str, revision: Revision) -> bool:
         """Accept ``text`` if it is newer and valid; return whether it was accepted."""
         with self.lock:
-            offered = self._apply_text(text, revision)
-        if offered is OfferResult.IN_FORCE:
+            result = self._apply_text(text, revision)
+        if result is OfferResult.IN_FORCE:
             self._notify_configuration()
-        return offered is OfferResult.IN_FORCE
+        return result is OfferResult.IN_FORCE
 
     def offer_sections(self, push: SectionsPush) -> OfferResult:
         """Apply the changes in ``push`` to this host's text; accept the result if it is valid."""
         with self.lock:
-            offered = self._apply_sections(push)
-        if offered is OfferResult.IN_FORCE:
+            result = self._apply_sections(push)
+        if result is OfferResult.IN_FORCE:
             self._notify_configuration()
-        return offered
+        return result
 
     def build_push(self, peer_revision: Revision) -> SectionsPush | TextPush | None:
         """Return the push that brings a peer at ``peer_revision`` to the revision of this host.
@@ -123,9 +123,9 @@
             revision = self.versions().revision
             if revision <= peer_revision:
                 return None
-            known = self.digests_by_revision.get(peer_revision)
-            if known is not None:
-                return self.sections.changes_since(peer_revision, known, revision)
+            peer_digests = self.digests_by_revision.get(peer_revision)
+            if peer_digests is not None:
+                return self.sections.changes_since(peer_revision, peer_digests, revision)
             return TextPush(revision, self.sections.to_text() or "")
 
     def offer_catalogue(self, text: str) -> bool:
--- a/tests/process/test_fetches.py
+++ b/tests/process/test_fetches.py
@@ -55,8 +55,8 @@
         self.hello = Hello(
             HostId(name), Address(NOWHERE), FailureDomainId("north"), Incarnation(1), 1, 1
         )
-        own = member_from_hello(self.hello)
-        members = Members(own, self.clock, timeline, lambda changed: None)
+        own_member = member_from_hello(self.hello)
+        members = Members(own_member, self.clock, timeline, lambda changed: None)
         self.distribution = Distribution(
             settings, self.versions, members, self.links, timeline, self.clock
         )
@@ -71,10 +71,10 @@
         self.distribution.compare_versions(other.hello, versions, self.send_reply)
         return list(self.replies)
 
-    def answer_fetch(self, have: int) -> list[object]:
-        """Return what this host sends to a peer that fetches and is at revision ``have``."""
+    def answer_fetch(self, peer_revision: int) -> list[object]:
+        """Return what this host sends to a peer that fetches at ``peer_revision``."""
         self.replies.clear()
-        versions = Versions(Revision(have), SnapshotVersion(0))
+        versions = Versions(Revision(peer_revision), SnapshotVersion(0))
         self.distribution.answer_fetch(versions, self.send_reply)
         return list(self.replies)
 
@@ -92,12 +92,12 @@
 class TestFetch:
     def test_fetches_one_revision_from_one_peer_at_a_time(self):
         host, first, second = DistributionHost("h1"), DistributionHost("h2"), DistributionHost("h3")
-        asked = [FetchVersions(Versions(Revision(0), SnapshotVersion(0)))]
-        assert host.compare_versions(first, 5) == asked
+        fetch = [FetchVersions(Versions(Revision(0), SnapshotVersion(0)))]
+        assert host.compare_versions(first, 5) == fetch
         assert host.compare_versions(second, 5) == []
-        assert host.compare_versions(second, 6) == asked
+        assert host.compare_versions(second, 6) == fetch
         host.clock.advance(Millis(FETCH_TIMEOUT + 1))
-        assert host.compare_versions(first, 6) == asked
+        assert host.compare_versions(first, 6) == fetch
 
     def test_does_not_fetch_what_it_has_or_refused(self):
         host, peer = DistributionHost("h1"), DistributionHost("h2")
@@ -135,14 +135,10 @@
         for revision in (1, 2, 3):
             host.versions.offer_text(edit(revision), Revision(revision))
         peer.versions.offer_text(edit(9), Revision(1))
-        assert [fetch.current.revision for fetch in peer.handle_push(host.answer_fetch(2)[0])] == [
-            1
-        ]
+        assert [f.current.revision for f in peer.handle_push(host.answer_fetch(2)[0])] == [1]
         other = edit(9).replace('"orders": {}', '"orders": {"leaving": true}')
         peer.versions.offer_text(other, Revision(2))
-        assert [fetch.current.revision for fetch in peer.handle_push(host.answer_fetch(2)[0])] == [
-            0
-        ]
+        assert [f.current.revision for f in peer.handle_push(host.answer_fetch(2)[0])] == [0]
         (whole,) = host.answer_fetch(0)
         assert isinstance(whole, TextPush) and peer.handle_push(whole) == []
         assert peer.versions.configuration == host.versions.configuration
--- a/tests/process/test_soak.py
+++ b/tests/process/test_soak.py
@@ -84,8 +84,8 @@
     assert {hit["document"]["snapshot"] for hit in answer["hits"]} <= {version}
     assert {(answer["query"], version, shard) for shard in hits} <= records.searched
     assert {missing["shard"] for missing in answer["missing"]} == set(weights) - set(hits)
-    true = sum(weights[shard] for shard in hits) / sum(weights.values())
-    assert math.isclose(answer["coverage"], true, abs_tol=2e-6)
+    expected = sum(weights[shard] for shard in hits) / sum(weights.values())
+    assert math.isclose(answer["coverage"], expected, abs_tol=2e-6)
 
 
 def check_bookings(fleet, records):
--- a/tests/process/test_versions.py
+++ b/tests/process/test_versions.py
@@ -35,13 +35,13 @@
 from tests.texts import SMALL
 
 REVISIONS = st.integers(1, 12)
-BAD_REVISIONS = {4, 9}
+INVALID_REVISIONS = {4, 9}
 
 
 def text_at(revision: int) -> str:
     """Return the one text that the platform published as ``revision``."""
     text = SMALL.replace('"slots": 2', f'"slots": {revision}', 1)
-    return text.replace('"desk/1": {', '"desk/1": }') if revision in BAD_REVISIONS else text
+    return text.replace('"desk/1": {', '"desk/1": }') if revision in INVALID_REVISIONS else text
 
 
 def catalogue_at(version: int) -> str:
@@ -78,11 +78,13 @@
     def offer_catalogue(self, index, version):
         self.stores[index].offer_catalogue(catalogue_at(version))
 
-    @rule(index=st.integers(0, 1), have=st.integers(0, 12))
-    def offer_push(self, index, have):
+    @rule(index=st.integers(0, 1), drawn_revision=st.integers(0, 12))
+    def offer_push(self, index, drawn_revision):
         store, peer = self.stores[index], self.stores[1 - index]
-        asked = store.versions().revision if have > 6 else Revision(have)
-        match peer.build_push(asked):
+        base_revision = (
+            store.versions().revision if drawn_revision > 6 else Revision(drawn_revision)
+        )
+        match peer.build_push(base_revision):
             case SectionsPush(base=base) as push:
                 fits = base == store.versions().revision
                 offered = store.offer_sections(push)
@@ -105,9 +107,9 @@
         assert self.notified == sorted(set(self.notified))
 
     @invariant()
-    def holds_the_highest_acceptable_text(self):
+    def holds_the_highest_valid_text(self):
         for store, offered in zip(self.stores, self.offered, strict=True):
-            assert store.versions().revision == max(offered - BAD_REVISIONS, default=0)
+            assert store.versions().revision == max(offered - INVALID_REVISIONS, default=0)
             if store.configuration is not None:
                 slots = store.configuration.services["desk/1"].searchers[0].slots
                 assert slots == store.configuration.revision
