--- a/src/masticgate/process/_detector.py
+++ b/src/masticgate/process/_detector.py
@@ -18,7 +18,7 @@
 """A longer gap than this many intervals between two checks means that this process was paused."""
 
 MAX_TIMEOUT_FACTOR = 16
-"""The most times that the timeout for a host is lengthened.
+"""The largest factor by which the timeout for a host is lengthened.
 
 Each time this host suspects another, it doubles the timeout for it, so that a slow host that
 refutes the suspicion is not suspected again and again. The timeout is normal again once the host
@@ -29,7 +29,10 @@
 class FailureDetector:
     """Declares silent neighbours suspect or dead; called only by the heartbeat task.
 
-    ``last_received`` returns when a host last sent something, ``None`` without a link to it.
+    The neighbours of a host are the other hosts that it watches. ``last_received`` returns when a
+    host last sent something, or ``None`` if there is no link to it. Silence is counted from then,
+    from ``watched_since`` or from ``resumed_at``, whichever is latest. A suspect host that is alive
+    refutes by a membership update.
     """
 
     def __init__(
--- a/src/masticgate/process/_startup.py
+++ b/src/masticgate/process/_startup.py
@@ -30,7 +30,7 @@
     """Enough peers answered, and this host has the highest versions that they named."""
 
     PARTIAL = "partial"
-    """Some answered; a higher version than this host's may exist."""
+    """The platform or some peers answered; a higher version than this host's may exist."""
 
     ALONE = "alone"
     """Neither the platform nor any peer answered."""
@@ -40,8 +40,9 @@
     """Collects the versions that peers have until enough peers have answered.
 
     Enough are :data:`MIN_STARTUP_PEERS` peers in :data:`MIN_STARTUP_DOMAINS` failure domains, or
-    as many as the ``seeds``, which the settings name, allow. Besides, the read of the platform has
-    to have ended, with or without an answer.
+    as many as there are among the ``seeds``, the other hosts that the settings name. Besides, the
+    read of the platform must have ended, with or without an answer, and this host must have the
+    highest versions that the peers named.
     """
 
     def __init__(
--- a/src/masticgate/process/_versions.py
+++ b/src/masticgate/process/_versions.py
@@ -39,8 +39,14 @@
     """What the store did with a configuration text that was offered to it."""
 
     IN_FORCE = "in_force"
+    """The text was accepted."""
+
     NOT_NEWER = "not_newer"
+    """The text is no newer than the accepted one, or was refused before."""
+
     REFUSED = "refused"
+    """The text is invalid."""
+
     OTHER_BASE = "other_base"
     """The changes are relative to a revision that this host doesn't have."""
 
@@ -52,7 +58,8 @@
     """Holds the configuration and the snapshot catalogue in force.
 
     The configuration is parsed from a text that operators publish under a rising revision. With
-    ``starting`` set, a text may be accepted, but is not in force until :meth:`activate`.
+    ``starting`` set, a text may be accepted, but is not in force until :meth:`activate`. The text
+    is split into sections, so that peers are sent only those that changed.
     ``on_configuration`` is called with each configuration that comes into force. ``unavailable``
     holds, for each service, the published snapshots that its searchers lack.
     """
@@ -84,7 +91,7 @@
         return None if self.starting else self.accepted
 
     def versions(self) -> Versions:
-        """Return the versions that this host has accepted; while it starts, not yet in force."""
+        """Return the accepted versions, which are not in force yet while this host starts."""
         accepted = self.accepted
         revision = accepted.revision if accepted else Revision(0)
         return Versions(revision, self.catalogue.newest)
--- a/src/masticgate/process/_watch.py
+++ b/src/masticgate/process/_watch.py
@@ -17,7 +17,7 @@
 from ._watch_role import WatchRole
 
 WATCH_TIMEOUT = Millis(20_000.0)
-"""How long the platform may hold a watch of a key open before it answers without a new value."""
+"""How long the platform may hold a read of a watched key before it answers without a new value."""
 
 HOST_LIST_INTERVAL = Millis(2000.0)
 """The time between two reads of the host list."""
@@ -26,10 +26,10 @@
 """The delay after each new value, so that a flood of edits is read at a bounded rate."""
 
 WATCHED_KEYS = 2
-"""The keys of the configuration text and of the snapshot catalogue."""
+"""The number of watched keys: those of the configuration text and of the snapshot catalogue."""
 
 READS_PER_START = WATCHED_KEYS + 1
-"""A starting host reads each key and the host list once."""
+"""The number of reads by a starting host, which reads each key and the host list once."""
 
 
 def most_reads(domains: int, duration: Millis, changes: int, starts: int) -> int:
--- a/tests/process/test_members.py
+++ b/tests/process/test_members.py
@@ -203,9 +203,9 @@
 
 
 class MembershipMachine(RuleBasedStateMachine):
-    """Three hosts send each other updates, of which some are lost.
+    """Three hosts declare states of hosts, and send each other updates, of which some are lost.
 
-    Comparing digests then has to bring their tables into agreement.
+    Comparing digests must then bring their tables into agreement on the usable hosts.
     """
 
     def __init__(self):
@@ -240,6 +240,7 @@
         assert {h.own_member.host for h in self.hosts} - self.hosts_that_left <= set(views.pop())
 
     def exchange(self, one, other):
+        """Compare the digests of two hosts in both directions, as a heartbeat and its reply do."""
         other.merge([one.own_member])
         missing, _ = other.compare_digest(tuple(one.digest))
         other.merge(one.merge(missing))
--- a/tests/process/test_soak.py
+++ b/tests/process/test_soak.py
@@ -55,6 +55,7 @@
 
 
 def search(fleet, records, source):
+    """Search through a random host, and record the answer or the refusal."""
     reply = fleet.search(source.randrange(HOSTS), ["desk/1"], remaining_ms=400.0)
     if reply.body["outcome"] == "ran":
         records.answers.append(reply.body)
@@ -63,7 +64,10 @@
 
 
 def book(fleet, records, source):
-    """Send one to three booking requests with the same ticket, through random hosts."""
+    """Send one to three booking requests with the same ticket, through random hosts.
+
+    The ticket identifies the booking, which must run at most once whichever host gets the request.
+    """
     ticket = fleet.mint(source.randrange(HOSTS))
     outcomes = records.outcomes[ticket]
     for _ in range(source.randint(1, 3)):
--- a/tests/process/test_versions.py
+++ b/tests/process/test_versions.py
@@ -80,6 +80,7 @@
 
     @rule(index=st.integers(0, 1), drawn_revision=st.integers(0, 12))
     def offer_push(self, index, drawn_revision):
+        """Offer one store what the other has newer than its revision, or than the one drawn."""
         store, peer = self.stores[index], self.stores[1 - index]
         base_revision = (
             store.versions().revision if drawn_revision > 6 else Revision(drawn_revision)
@@ -167,6 +168,7 @@
         return Startup(self.seeds, new_store(starting=True), SystemClock())
 
     def record_peers(self, startup: Startup, *names: str, revision: int = 0) -> None:
+        """Record that the peers ``names`` answered and have ``revision``."""
         for name in names:
             startup.record_peer(HostId(name), self.seeds[HostId(name)], Versions(revision, 0))
 
@@ -241,6 +243,7 @@
 
 class TestKeyWatch:
     def watch(self, *results) -> tuple[KeyWatch, list[int]]:
+        """Return a watch that reads ``results`` in turn, and the revisions that it passes on."""
         received: list[int] = []
         timeline = TimeLine(HostId("h1"), ManualClock())
         role = WatchRole(timeline)
