--- a/tests/gateway/test_answers.py
+++ b/tests/gateway/test_answers.py
@@ -51,7 +51,7 @@
     head_value,
     running_gateway,
 )
-from .test_buffers import Mailbox, connect_pair
+from .test_buffers import UnreadInbox, connect_pair
 
 EXAMPLES = 400
 STATUS_LINE_START = 9
@@ -256,7 +256,7 @@
 
 def make_call(identity: str) -> Call:
     request = replace(make_request(identity), headers=((b"x-id", identity.encode()),))
-    return Call(request, make_route(), ServiceId("orders"), Millis(400.0), Mailbox())
+    return Call(request, make_route(), ServiceId("orders"), Millis(400.0), UnreadInbox())
 
 
 def field_values(answer: Answered, name: bytes) -> list[bytes]:
--- a/tests/gateway/test_answers_without_end.py
+++ b/tests/gateway/test_answers_without_end.py
@@ -140,7 +140,7 @@
         pass
 
 
-class Mailbox:
+class UnreadInbox:
     """An inbox that nobody reads."""
 
     def put(self, call):
@@ -152,7 +152,7 @@
     clock, owner = SystemClock(), Owner()
     request = replace(make_request(), headers=((b"x-id", b"q1"),))
     deadline = Millis(clock.now() + LONG)
-    call = Call(request, make_route(), ServiceId("orders"), deadline, Mailbox())
+    call = Call(request, make_route(), ServiceId("orders"), deadline, UnreadInbox())
     task = SearcherTask(SearcherId("s1"), address, owner, header_names, clock, call)
     threading.Thread(target=task.run, daemon=True).start()
     assert owner.finished.wait(2 * SOON_S)
--- a/tests/gateway/test_buffers.py
+++ b/tests/gateway/test_buffers.py
@@ -1,4 +1,7 @@
-"""Connections keep one receive buffer: shrunk ones would fragment the heap with each answer."""
+"""Each connection keeps one receive buffer.
+
+A new buffer for each receive, shrunk to the received bytes, would fragment the heap.
+"""
 
 import socket
 import threading
@@ -13,7 +16,7 @@
 from .fakes import HEADER_NAMES, make_request, make_route
 from .loopback import reply_to
 
-ANSWERS = 12
+MESSAGE_COUNT = 12
 
 
 def connect_pair() -> tuple[socket.socket, socket.socket]:
@@ -25,26 +28,26 @@
 
 
 class RecordingSocket(socket.socket):
-    """Notes the buffer of each receive, and allows none that makes a new one."""
+    """Records the buffer of each receive, and fails a receive that creates a new one."""
 
-    def __init__(self, plain: socket.socket) -> None:
-        super().__init__(fileno=plain.detach())
+    def __init__(self, connection: socket.socket) -> None:
+        super().__init__(fileno=connection.detach())
         self.buffers: list[memoryview] = []
 
     def recv(self, size, flags=0):
-        raise AssertionError("a receive that makes a new buffer")
+        raise AssertionError("the receive creates a new buffer")
 
     def recv_into(self, buffer, size=0, flags=0):
         self.buffers.append(buffer)
         return super().recv_into(buffer, size, flags)
 
     @property
-    def owners(self) -> set[int]:
+    def buffer_objects(self) -> set[int]:
         return {id(buffer.obj) for buffer in self.buffers}
 
 
-class Owner:
-    """Notes the outcomes of one task's calls."""
+class TaskHandler:
+    """Counts the finished calls of one task, and ignores its other events."""
 
     def __init__(self) -> None:
         self.finished = threading.Semaphore(0)
@@ -62,8 +65,8 @@
         pass
 
 
-class Mailbox:
-    """An inbox that nobody reads."""
+class UnreadInbox:
+    """An inbox that ignores finished calls and returns none."""
 
     def put(self, call):
         pass
@@ -76,28 +79,36 @@
 
 
 class TestSearcherConnection:
-    def test_keeps_one_buffer_for_answers_of_all_sizes(self):
+    def test_keeps_one_buffer_for_responses_of_all_sizes(self):
         near, far = connect_pair()
         recorded = RecordingSocket(near)
         task = SearcherTask(
-            SearcherId("s1"), Address("127.0.0.1:9"), owner := Owner(), HEADER_NAMES, ManualClock()
+            SearcherId("s1"),
+            Address("127.0.0.1:9"),
+            handler := TaskHandler(),
+            HEADER_NAMES,
+            ManualClock(),
         )
         task.client.socket = recorded
         threading.Thread(target=task._receive_responses, daemon=True).start()
-        for number in range(ANSWERS):
+        for number in range(MESSAGE_COUNT):
             call = self.make_call(f"q{number}")
             assert task.dispatch(call)
             far.sendall(reply_to(far.recv(65_536), bytes(37 * number)))
-            assert owner.finished.acquire(timeout=5)
+            assert handler.finished.acquire(timeout=5)
             assert isinstance(call.outcome, Answered)
             assert len(call.outcome.body) == 37 * number
-        assert len(recorded.owners) == 1
+        assert len(recorded.buffer_objects) == 1
         far.close()
 
-    def test_puts_an_answer_together_that_is_larger_than_the_buffer(self):
+    def test_receives_response_larger_than_buffer(self):
         near, far = connect_pair()
         task = SearcherTask(
-            SearcherId("s1"), Address("127.0.0.1:9"), owner := Owner(), HEADER_NAMES, ManualClock()
+            SearcherId("s1"),
+            Address("127.0.0.1:9"),
+            handler := TaskHandler(),
+            HEADER_NAMES,
+            ManualClock(),
         )
         task.client.socket = near
         threading.Thread(target=task._receive_responses, daemon=True).start()
@@ -105,18 +116,18 @@
         assert task.dispatch(call)
         body = bytes(range(256)) * 100
         far.sendall(reply_to(far.recv(65_536), body))
-        assert owner.finished.acquire(timeout=5)
+        assert handler.finished.acquire(timeout=5)
         assert isinstance(call.outcome, Answered)
         assert call.outcome.body == body
         far.close()
 
-    def make_call(self, identity: str) -> Call:
-        request = replace(make_request(identity), headers=((b"x-id", identity.encode()),))
-        return Call(request, make_route(), ServiceId("orders"), Millis(400.0), Mailbox())
+    def make_call(self, request_id: str) -> Call:
+        request = replace(make_request(request_id), headers=((b"x-id", request_id.encode()),))
+        return Call(request, make_route(), ServiceId("orders"), Millis(400.0), UnreadInbox())
 
 
 class TestCallerConnection:
-    def test_keeps_one_buffer_for_all_requests(self):
+    def test_keeps_one_buffer_for_requests_of_all_sizes(self):
         near, far = connect_pair()
         recorded = RecordingSocket(near)
         settings = CallerSettings(
@@ -127,12 +138,12 @@
             lambda: False,
         )
         threading.Thread(target=CallerConnection(recorded, settings).run, daemon=True).start()
-        for number in range(ANSWERS):
+        for number in range(MESSAGE_COUNT):
             body = b"x" * (1 + 700 * number)
             head = b"POST / HTTP/1.1\r\nHost: h\r\nx-id: q\r\nContent-Length: %d\r\n\r\n"
             far.sendall(head % len(body) + body)
             received = b""
             while not received.endswith(body):
                 received += far.recv(65_536)
-        assert len(recorded.owners) == 1
+        assert len(recorded.buffer_objects) == 1
         far.close()
--- a/tests/gateway/test_descriptors.py
+++ b/tests/gateway/test_connection_races.py
@@ -1,4 +1,7 @@
-"""Tasks that end beside others: no byte and no request may go astray."""
+"""Races between tasks that use one connection, of which one closes, cancels or sends.
+
+No byte may be sent to another connection, and no request may be lost.
+"""
 
 import os
 import socket
@@ -14,45 +17,48 @@
 from masticgate.version.gateway import Limits
 
 from .fakes import HEADER_NAMES, make_request, make_route
-from .test_buffers import Mailbox, Owner, connect_pair
+from .test_buffers import TaskHandler, UnreadInbox, connect_pair
 
 ORDERS = ServiceId("orders")
 CLOCK = ManualClock()
 
 
 def make_call(request=None) -> Call:
-    return Call(request or make_request(), make_route(), ORDERS, Millis(400.0), Mailbox())
+    return Call(request or make_request(), make_route(), ORDERS, Millis(400.0), UnreadInbox())
 
 
 @pytest.fixture
-def reused():
-    """Return a way to take all free descriptor numbers up to one; they are pipes."""
+def reuse_descriptors():
+    """Return a function that opens pipes until all descriptors up to a number are in use.
+
+    It returns the reading ends of the pipes.
+    """
     opened: list[int] = []
 
-    def take(number: int) -> list[int]:
+    def open_pipes(number: int) -> list[int]:
         while not opened or max(opened) < number:
             opened.extend(os.pipe())
         return opened[::2]
 
-    yield take
+    yield open_pipes
     for descriptor in opened:
         os.close(descriptor)
 
 
-def readable(descriptors: list[int]) -> list[int]:
+def find_readable(descriptors: list[int]) -> list[int]:
     for descriptor in descriptors:
         os.set_blocking(descriptor, False)
-    found = []
+    readable = []
     for descriptor in descriptors:
         try:
-            found += [descriptor] if os.read(descriptor, 1) else []
+            readable += [descriptor] if os.read(descriptor, 1) else []
         except BlockingIOError:
             continue
-    return found
+    return readable
 
 
 class TestLateWake:
-    def test_a_call_that_ends_after_its_caller_writes_to_no_other_descriptor(self, reused):
+    def test_does_not_write_to_reused_descriptor(self, reuse_descriptors):
         near, far = connect_pair()
         wakeable_socket = WakeableSocket(near, CLOCK)
         inbox = RequestInbox(wakeable_socket)
@@ -60,13 +66,13 @@
         assert inbox.wait(Millis(CLOCK.now() + 1_000.0)) == CallerDisconnected()
         number = wakeable_socket.wake_writer
         wakeable_socket.close()
-        descriptors = reused(number)
+        descriptors = reuse_descriptors(number)
         inbox.put(make_call())
-        assert readable(descriptors) == []
+        assert find_readable(descriptors) == []
 
 
 class TestStopReading:
-    def test_a_request_that_was_read_just_before_is_still_answered(self):
+    def test_serves_request_that_was_read_just_before(self):
         near, far = connect_pair()
         outcomes = []
 
@@ -88,8 +94,8 @@
         assert received.endswith(b"served")
 
 
-class TestLateSend:
-    def test_nothing_is_sent_once_the_connection_is_closed(self):
+class TestSend:
+    def test_sends_nothing_on_closed_connection(self):
         near, far = connect_pair()
         client = HttpClient(Address("127.0.0.1:9"), CLOCK)
         client.socket = near
@@ -98,18 +104,22 @@
             client.send_nowait(memoryview(b"GET"))
         assert far.recv(1) == b""
 
-    def test_a_connection_that_closed_meanwhile_is_not_waited_for(self):
+    def test_does_not_wait_for_closed_connection(self):
         near, far = connect_pair()
-        task = SearcherTask(SearcherId("s1"), Address("127.0.0.1:9"), Owner(), HEADER_NAMES, CLOCK)
+        task = SearcherTask(
+            SearcherId("s1"), Address("127.0.0.1:9"), TaskHandler(), HEADER_NAMES, CLOCK
+        )
         task.client.socket = near
         near.close()
         assert not task._wait_writable(Millis(CLOCK.now() + 1_000.0))
         far.close()
 
-    def test_a_request_waits_for_the_rest_of_the_one_before(self):
+    def test_sends_next_request_after_rest_of_previous_one(self):
         near, far = connect_pair()
         near.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4_096)
-        task = SearcherTask(SearcherId("s1"), Address("127.0.0.1:9"), Owner(), HEADER_NAMES, CLOCK)
+        task = SearcherTask(
+            SearcherId("s1"), Address("127.0.0.1:9"), TaskHandler(), HEADER_NAMES, CLOCK
+        )
         task.client.socket = near
         large = make_request()
         large = type(large)(
@@ -128,17 +138,17 @@
         assert rest[len(large.body) :].startswith(b"GET")
 
 
-class CancelledAsItStarts(Call):
-    """A call that another task cancels right after it was found not to be cancelled."""
+class CallCancelledAtStart(Call):
+    """A call that another task cancels right after ``cancelled`` was read as ``False``."""
 
     @property
     def cancelled(self) -> bool:
-        found = self.is_cancelled
-        if self.other is not None:
-            other, self.other = self.other, None
-            other.start()
-            other.join(0.3)
-        return found
+        was_cancelled = self.is_cancelled
+        if self.canceller is not None:
+            canceller, self.canceller = self.canceller, None
+            canceller.start()
+            canceller.join(0.3)
+        return was_cancelled
 
     @cancelled.setter
     def cancelled(self, value: bool) -> None:
@@ -146,24 +156,24 @@
 
 
 class TestCancel:
-    def test_a_call_that_is_cancelled_as_it_starts_is_unsent_or_known_as_started(self):
+    def test_call_cancelled_at_start_is_unsent_or_marked_as_started(self):
         near, far = connect_pair()
-        CancelledAsItStarts.other = None
-        call = CancelledAsItStarts(
-            make_request(), make_route(), ORDERS, Millis(400.0), Mailbox(), None
+        CallCancelledAtStart.canceller = None
+        call = CallCancelledAtStart(
+            make_request(), make_route(), ORDERS, Millis(400.0), UnreadInbox(), None
         )
         task = SearcherTask(
-            SearcherId("s1"), Address("127.0.0.1:9"), Owner(), HEADER_NAMES, CLOCK, call
+            SearcherId("s1"), Address("127.0.0.1:9"), TaskHandler(), HEADER_NAMES, CLOCK, call
         )
         task.client.socket = near
-        seen = []
+        started_flags = []
 
         def cancel():
             task.cancel(call)
-            seen.append(call.started)
+            started_flags.append(call.started)
 
-        call.other = other = threading.Thread(target=cancel)
+        call.canceller = canceller = threading.Thread(target=cancel)
         task._send_initial_call()
-        other.join(5)
+        canceller.join(5)
         near.close()
-        assert seen == [True] or far.recv(65_536) == b""
+        assert started_flags == [True] or far.recv(65_536) == b""
--- a/tests/gateway/test_scarce_descriptors.py
+++ b/tests/gateway/test_descriptor_exhaustion.py
@@ -1,4 +1,4 @@
-"""A process that has no descriptor left: its tasks and counts stay right."""
+"""A process without free file descriptors, whose tasks continue and whose counts stay correct."""
 
 import errno
 import os
@@ -25,22 +25,22 @@
 
 from .fakes import HEADER_NAMES, make_entry, make_pool, make_request, make_route, make_settings
 from .loopback import StandInSearcher, reply_to
-from .test_buffers import Mailbox
+from .test_buffers import UnreadInbox
 
 
-def fail_with_no_descriptor(*arguments, **named):
+def fail_with_no_descriptor(*arguments, **named_arguments):
     raise OSError(errno.EMFILE, os.strerror(errno.EMFILE))
 
 
-class NotedMailbox(Mailbox):
+class RecordingInbox(UnreadInbox):
     def __init__(self) -> None:
-        self.filled = threading.Event()
+        self.call_finished = threading.Event()
 
     def put(self, call):
-        self.filled.set()
+        self.call_finished.set()
 
 
-def ask(listener: Listener) -> bytes:
+def get_page(listener: Listener) -> bytes:
     with socket.create_connection(listener.socket.getsockname(), timeout=3) as caller:
         caller.sendall(b"GET / HTTP/1.1\r\nHost: h\r\nx-id: q\r\n\r\n")
         try:
@@ -66,29 +66,30 @@
 
 
 class TestSend:
-    # Guards against a call without outcome, and a searcher whose connections count as busy forever.
-    def test_a_connection_that_gets_no_descriptor_is_counted_out(self, monkeypatch):
+    # Guards against a call without an outcome, and a connection that counts as open and busy for
+    # ever, when the socket of a connection cannot be created.
+    def test_does_not_count_connection_without_descriptor(self, monkeypatch):
         clock = SystemClock()
         tasks = make_pool(8)
         log = EventLog(HostId("g1"), clock)
         fleet = Fleet(make_settings(), HEADER_NAMES, clock, tasks, log, Metrics())
         searcher = StandInSearcher(reply_to)
         fleet.apply_listing(replace(make_entry("s1"), address=searcher.address))
-        inbox = NotedMailbox()
+        inbox = RecordingInbox()
         deadline = Millis(clock.now() + 2_000.0)
         call = Call(make_request(), make_route(), ServiceId("orders"), deadline, inbox)
         monkeypatch.setattr(socket, "socket", fail_with_no_descriptor)
         fleet.send(call, set())
-        answered = inbox.filled.wait(1)
+        finished = inbox.call_finished.wait(1)
         monkeypatch.undo()
         searcher.listener.close()
         (replica,) = fleet.replicas.values()
-        assert (answered, replica.connection_count, replica.in_flight) == (True, 0, 0)
+        assert (finished, replica.connection_count, replica.in_flight) == (True, 0, 0)
 
 
 class TestClient:
-    # Guards against a task of the platform or of a peer that ends where no descriptor is left.
-    def test_reports_that_no_reply_came(self, monkeypatch):
+    # Guards against an error that ends the task that reads from the platform or from a peer.
+    def test_returns_no_response_without_descriptor(self, monkeypatch):
         client = HttpClient(Address("127.0.0.1:9"), SystemClock())
         monkeypatch.setattr(socket, "socket", fail_with_no_descriptor)
         timeouts = GetTimeouts(Millis(100.0), Millis(100.0))
@@ -96,35 +97,34 @@
 
 
 class TestListener:
-    # Guards against a listener that ends where a connection's pipe finds no descriptor.
-    def test_accepts_again_after_a_connection_found_no_descriptor_for_its_pipe(
-        self, listener, monkeypatch
-    ):
-        accepting = threading.Thread(target=listener.run, daemon=True)
-        accepting.start()
+    # Guards against a listener that ends when the pipe of a connection cannot be opened.
+    def test_accepts_again_after_pipe_could_not_be_opened(self, listener, monkeypatch):
+        accepting_task = threading.Thread(target=listener.run, daemon=True)
+        accepting_task.start()
         monkeypatch.setattr(os, "pipe", fail_with_no_descriptor)
-        ask(listener)
+        get_page(listener)
         monkeypatch.undo()
-        assert accepting.is_alive()
-        assert ask(listener).endswith(b"served")
+        assert accepting_task.is_alive()
+        assert get_page(listener).endswith(b"served")
 
-    # Guards against a listener that spins while no descriptor is free for a connection.
-    def test_waits_where_no_connection_can_be_accepted(self, listener):
-        listening = listener.socket
+    # Guards against a listener that retries without pause while accepting fails for lack of a
+    # descriptor.
+    def test_pauses_after_each_failed_accept(self, listener):
+        original_socket = listener.socket
 
-        class Exhausted:
+        class ExhaustedListener:
             calls = 0
 
             def accept(self):
                 self.calls += 1
                 return fail_with_no_descriptor()
 
-        exhausted = Exhausted()
-        listener.socket = exhausted
-        accepting = threading.Thread(target=listener.run, daemon=True)
-        accepting.start()
+        exhausted_listener = ExhaustedListener()
+        listener.socket = exhausted_listener
+        accepting_task = threading.Thread(target=listener.run, daemon=True)
+        accepting_task.start()
         time.sleep(0.3)
         listener.stopped = True
-        accepting.join(2)
-        listener.socket = listening
-        assert exhausted.calls < 100
+        accepting_task.join(2)
+        listener.socket = original_socket
+        assert exhausted_listener.calls < 100
--- a/tests/gateway/test_filled_answers.py
+++ b/tests/gateway/test_filled_answers.py
@@ -11,7 +11,7 @@
 
 from .fakes import HEADER_NAMES, ORDERS, make_request, make_route
 from .loopback import RawCaller, StandInSearcher, reply_to, running_gateway
-from .test_buffers import Mailbox, connect_pair
+from .test_buffers import UnreadInbox, connect_pair
 from .test_irregular_answers import NotingOwner
 
 RECORDS = bytes(range(64))
@@ -26,7 +26,7 @@
         SearcherId("s1"), Address("127.0.0.1:9"), owner, HEADER_NAMES, ManualClock()
     )
     task.client.socket = near
-    call = Call(make_request("q1"), make_route(), ServiceId("orders"), Millis(400.0), Mailbox())
+    call = Call(make_request("q1"), make_route(), ServiceId("orders"), Millis(400.0), UnreadInbox())
     assert task.dispatch(call)
     assert far.recv(65_536).endswith(b"\r\n\r\n")
     far.sendall(data)
--- a/tests/gateway/test_header_numbers.py
+++ b/tests/gateway/test_header_numbers.py
@@ -1,34 +1,36 @@
-"""Numbers that a searcher states are read up to a length; a longer one counts as not stated."""
+"""Numbers in headers that have too many digits, which count as not stated."""
 
 import pytest
 
 from .fakes import make_route
 from .loopback import RawCaller, StandInSearcher, reply_to, running_gateway
 
-LENGTHS = [400, 5_000]
-"""Digits of a number too large for a float, and of one that Python refuses to read."""
+NUMBER_LENGTHS = [400, 5_000]
+"""The digits of a number that is too large for a float, and of one that Python refuses to parse."""
 
 
-def serve_twice(extra: bytes) -> list[int]:
-    """Return the statuses of two requests to a searcher that adds ``extra`` to its answers."""
+def get_two_statuses(extra: bytes) -> list[int]:
+    """Return the statuses of two requests to a searcher that sends ``extra`` with its answers."""
     searcher = StandInSearcher(lambda head: reply_to(head, extra=extra))
     with running_gateway([make_route(attempts=1)], {"orders": [searcher]}) as gateway:
         return [RawCaller(gateway).get(identity=identity).read()[0] for identity in ("q1", "q2")]
 
 
 class TestLongNumbers:
-    # The task of the connection ended without its call: the caller waited until the deadline.
-    @pytest.mark.parametrize("length", LENGTHS)
-    def test_a_long_idle_time_ends_no_call(self, length):
-        assert serve_twice(b"Keep-Alive: timeout=%s\r\n" % (b"9" * length)) == [200, 200]
-
-    # The choice among searchers failed for every caller while the load counted.
-    @pytest.mark.parametrize("length", LENGTHS)
-    def test_a_long_load_ends_no_call(self, length):
-        assert serve_twice(b"x-load: 1,%s,8\r\n" % (b"9" * length)) == [200, 200]
-
-    # A caller lost its connection without an answer.
-    def test_a_long_version_of_the_configuration_ends_no_request(self):
+    # Guards against an error in the task of the connection, which left the call without an outcome,
+    # so that the caller waited until the deadline.
+    @pytest.mark.parametrize("length", NUMBER_LENGTHS)
+    def test_ignores_too_long_idle_timeout(self, length):
+        assert get_two_statuses(b"Keep-Alive: timeout=%s\r\n" % (b"9" * length)) == [200, 200]
+
+    # Guards against an error in the choice of a searcher, for every caller, as long as the load is
+    # taken into account.
+    @pytest.mark.parametrize("length", NUMBER_LENGTHS)
+    def test_ignores_too_long_load(self, length):
+        assert get_two_statuses(b"x-load: 1,%s,8\r\n" % (b"9" * length)) == [200, 200]
+
+    # Guards against a connection that is closed without a response to the caller.
+    def test_ignores_too_long_configuration_version(self):
         searcher = StandInSearcher(reply_to)
         with running_gateway([make_route()], {"orders": [searcher]}) as gateway:
             extra = b"X-Gateway-Version: %s\r\n" % (b"9" * 5_000)
--- a/tests/gateway/test_irregular_answers.py
+++ b/tests/gateway/test_irregular_answers.py
@@ -17,13 +17,13 @@
 from masticgate.request.gateway import Answered, BodyFraming, Call, Lost, Merged, ReceiveInfo
 
 from .fakes import HEADER_NAMES, make_entry, make_fleet, make_request, make_route
-from .test_buffers import Mailbox, Owner, connect_pair
+from .test_buffers import TaskHandler, UnreadInbox, connect_pair
 
 ANSWER = b"HTTP/1.1 200 OK\r\nx-id: %s\r\nx-stamp: s\r\nContent-Length: 2\r\n\r\nok"
 UNFRAMED = b"HTTP/1.1 200 OK\r\nx-id: %s\r\nx-stamp: s\r\n\r\nok"
 
 
-class NotingOwner(Owner):
+class NotingOwner(TaskHandler):
     """Keeps what a task notes, and the outcomes of its calls."""
 
     def __init__(self) -> None:
@@ -66,7 +66,7 @@
             make_route(),
             ServiceId("orders"),
             Millis(400.0),
-            Mailbox(),
+            UnreadInbox(),
         )
         assert self.task.dispatch(call)
         assert self.far.recv(65_536).endswith(b"\r\n\r\n")
@@ -146,7 +146,9 @@
     def test_an_error_ends_its_call_and_its_connection(self):
         near, far = connect_pair()
         owner = NotingOwner()
-        call = Call(make_request("q"), make_route(), ServiceId("orders"), Millis(400.0), Mailbox())
+        call = Call(
+            make_request("q"), make_route(), ServiceId("orders"), Millis(400.0), UnreadInbox()
+        )
         task = SearcherTask(
             SearcherId("s1"), Address("127.0.0.1:9"), owner, HEADER_NAMES, ManualClock(), call
         )
--- a/tests/gateway/test_pipelined_refusals.py
+++ b/tests/gateway/test_pipelined_refusals.py
@@ -1,4 +1,4 @@
-"""A whole request with bytes behind it that are refused."""
+"""Requests that are refused, alone or after a complete request on the same connection."""
 
 import threading
 
@@ -19,9 +19,10 @@
 
 
 class TestRequestBeforeRefusedBytes:
-    # Guards against the refusal of later bytes as the answer to the whole request before them.
-    @pytest.mark.parametrize("behind", [MALFORMED, TOO_LARGE])
-    def test_gets_its_own_answer(self, behind):
+    # Guards against a refusal of the later bytes that is sent as the response to the complete
+    # request before them.
+    @pytest.mark.parametrize("refused_bytes", [MALFORMED, TOO_LARGE])
+    def test_is_served_before_the_refusal(self, refused_bytes):
         near, far = connect_pair()
         settings = CallerSettings(
             lambda request, inbox: LocalPage(200, b"served"),
@@ -31,17 +32,17 @@
             lambda: False,
         )
         far.settimeout(5)
-        far.sendall(REQUEST + behind)
-        serving = threading.Thread(target=CallerConnection(near, settings).run, daemon=True)
-        serving.start()
-        first = far.recv(65_536)
+        far.sendall(REQUEST + refused_bytes)
+        serving_task = threading.Thread(target=CallerConnection(near, settings).run, daemon=True)
+        serving_task.start()
+        first_response = far.recv(65_536)
         far.close()
-        serving.join(5)
-        assert first.startswith(b"HTTP/1.1 200 ")
+        serving_task.join(5)
+        assert first_response.startswith(b"HTTP/1.1 200 ")
 
 
 class TestRefusedRequest:
-    # Guards against a request that is served though it is refused, since it came whole.
+    # Guards against a refused request that is served because it was received completely.
     @pytest.mark.parametrize(
         ("request_bytes", "status"),
         [
@@ -67,10 +68,10 @@
         )
         far.settimeout(5)
         far.sendall(request_bytes)
-        serving = threading.Thread(target=CallerConnection(near, settings).run, daemon=True)
-        serving.start()
-        first = far.recv(65_536)
+        serving_task = threading.Thread(target=CallerConnection(near, settings).run, daemon=True)
+        serving_task.start()
+        first_response = far.recv(65_536)
         far.close()
-        serving.join(5)
-        assert first.startswith(b"HTTP/1.1 %d " % status)
+        serving_task.join(5)
+        assert first_response.startswith(b"HTTP/1.1 %d " % status)
         assert served == []
--- a/tests/gateway/test_refused_tasks.py
+++ b/tests/gateway/test_refused_tasks.py
@@ -1,4 +1,4 @@
-"""A connection whose task could not be started: it is refused once and for all."""
+"""Tasks that cannot be started, which are refused and never run later."""
 
 import json
 import os
@@ -18,11 +18,11 @@
 
 from .fakes import HEADER_NAMES, make_entry, make_pool, make_request, make_route, make_settings
 from .loopback import StandInSearcher, reply_to
-from .test_buffers import Mailbox, connect_pair
+from .test_buffers import UnreadInbox, connect_pair
 
 
-class OneTask:
-    """A pool with one busy task, whose process has no room for another thread meanwhile."""
+class SaturatedPool:
+    """A task pool with one busy task, in a process that can be kept from starting threads."""
 
     def __init__(self, monkeypatch: pytest.MonkeyPatch) -> None:
         self.tasks = make_pool(8)
@@ -41,17 +41,17 @@
         self.monkeypatch.setattr(Thread, "start", start)
 
     def end_task(self) -> None:
-        """Let threads start again, and give the busy task's thread time to take what is queued."""
+        """Allow threads again, end the busy task and give its thread time to run queued tasks."""
         self.monkeypatch.undo()
         self.release.set()
-        ending = Thread(target=self.executor.shutdown, daemon=True)
-        ending.start()
-        ending.join(2)
+        shutdown_task = Thread(target=self.executor.shutdown, daemon=True)
+        shutdown_task.start()
+        shutdown_task.join(2)
 
 
 @pytest.fixture
 def pool(monkeypatch):
-    return OneTask(monkeypatch)
+    return SaturatedPool(monkeypatch)
 
 
 def serve_page(request, inbox):
@@ -59,40 +59,41 @@
 
 
 class TestRefusedCaller:
-    # Guards against a caller's connection whose descriptors are closed twice, by number.
-    def test_its_descriptors_are_not_closed_again_when_others_have_their_numbers(self, pool):
+    # Guards against descriptors of a refused connection that are closed a second time, when their
+    # numbers belong to other files.
+    def test_does_not_close_reused_descriptors(self, pool):
         clock = SystemClock()
         settings = CallerSettings(serve_page, HEADER_NAMES, clock, Limits, lambda: False)
         listener = Listener(Address("127.0.0.1:0"), settings, pool.tasks, 4)
         near, far = connect_pair()
-        highest = near.fileno() + 16
+        highest_descriptor = near.fileno() + 16
         pool.refuse_threads()
         listener._add_connection(near)
         far.settimeout(5)
         assert far.recv(1) == b""
         opened: list[int] = []
-        while not opened or max(opened) < highest:
+        while not opened or max(opened) < highest_descriptor:
             opened.extend(os.pipe())
         pool.end_task()
-        closed = [number for number in opened if not is_open(number)]
-        for number in opened:
-            if number not in closed:
-                os.close(number)
+        closed = [descriptor for descriptor in opened if not is_open(descriptor)]
+        for descriptor in opened:
+            if descriptor not in closed:
+                os.close(descriptor)
         listener.stop()
         assert closed == []
 
 
-def is_open(number: int) -> bool:
+def is_open(descriptor: int) -> bool:
     try:
-        os.fstat(number)
+        os.fstat(descriptor)
     except OSError:
         return False
     return True
 
 
-class TestRefusedSend:
-    # Guards against a request that was refused as not run and is sent later all the same.
-    def test_a_request_that_was_refused_is_never_sent(self, pool):
+class TestRefusedCall:
+    # Guards against a request that is sent after it was refused as not run.
+    def test_never_sends_refused_request(self, pool):
         searcher = StandInSearcher(reply_to)
         searcher.closes_after_answer = True
         clock = SystemClock()
@@ -100,7 +101,7 @@
         fleet = Fleet(make_settings(), HEADER_NAMES, clock, pool.tasks, log, Metrics())
         fleet.apply_listing(replace(make_entry("s1"), address=searcher.address))
         deadline = Millis(clock.now() + 5_000.0)
-        call = Call(make_request(), make_route(), ServiceId("orders"), deadline, Mailbox())
+        call = Call(make_request(), make_route(), ServiceId("orders"), deadline, UnreadInbox())
         pool.refuse_threads()
         assert isinstance(fleet.send(call, set()), NotRun)
         pool.end_task()
@@ -109,8 +110,8 @@
 
 
 class TestLaterTasks:
-    # Guards against a connection that is accepted and never read, after others were refused.
-    def test_each_starts_at_once_though_others_wait_and_were_refused(self, pool):
+    # Guards against a connection that is accepted but never read, after others were refused.
+    def test_start_at_once_after_earlier_ones_were_refused(self, pool):
         clock = SystemClock()
         settings = CallerSettings(serve_page, HEADER_NAMES, clock, Limits, lambda: False)
         listener = Listener(Address("127.0.0.1:0"), settings, pool.tasks, 16)
@@ -120,36 +121,36 @@
             listener._add_connection(near)
         pool.monkeypatch.undo()
         pool.release.set()
-        kept = []
+        callers = []
         for _ in range(4):
             near, far = connect_pair()
             listener._add_connection(near)
             far.settimeout(2)
             far.sendall(b"GET / HTTP/1.1\r\nHost: h\r\nx-id: q\r\n\r\n")
-            kept.append(far)
+            callers.append(far)
             assert far.recv(65_536).endswith(b"served")
-        for far in kept:
+        for far in callers:
             far.close()
         listener.stop()
 
 
 class TestTaskPool:
-    # Guards against a task that is reported as refused though a free thread took it meanwhile.
-    def test_a_task_that_has_begun_cannot_be_refused(self):
+    # Guards against a task that is reported as refused although a free thread already runs it.
+    def test_cannot_refuse_task_that_has_begun(self):
         ran = []
         task = Task(lambda: ran.append(1))
         task.run()
         assert not task.refuse()
         assert ran == [1]
 
-    def test_a_refused_task_does_not_run(self):
+    def test_does_not_run_refused_task(self):
         ran = []
         task = Task(lambda: ran.append(1))
         assert task.refuse()
         task.run()
         assert ran == []
 
-    def test_refuses_more_tasks_than_it_may_run(self):
+    def test_refuses_tasks_over_limit(self):
         tasks = make_pool(1)
         release = Event()
         assert tasks.start(release.wait) is None
@@ -157,8 +158,8 @@
         release.set()
         tasks.close()
 
-    # Guards against a task that ends by an error which nobody is told of.
-    def test_logs_and_counts_a_task_that_fails(self):
+    # Guards against a task that ends with an error that is not reported.
+    def test_logs_and_counts_failed_task(self):
         tasks = make_pool(1)
         tasks.start(int, "no number")
         tasks.executor.shutdown()
--- a/tests/gateway/test_trailers.py
+++ b/tests/gateway/test_trailers.py
@@ -1,4 +1,4 @@
-"""Trailers, the headers behind a body in chunks, say nothing of whose answer it is."""
+"""Trailers, which are headers after a chunked body, do not count as headers of a response."""
 
 import pytest
 
@@ -11,22 +11,24 @@
 
 
 class TestTrailers:
-    # A trailer replaced the header of its name: an answer to another request became this one's.
-    def test_a_trailer_that_names_the_request_makes_no_answer_its_own(self):
-        def answer(head):
-            identity = head_value(head, b"x-id")
+    # Guards against a trailer that replaces the header of the same name: the response to another
+    # request was then taken for the response to this one.
+    def test_ignores_request_id_in_trailer(self):
+        def respond(head):
+            request_id = head_value(head, b"x-id")
             return b"HTTP/1.1 200 OK\r\nx-id: q0\r\nx-stamp: s\r\n%sx-id: %s\r\n\r\n" % (
                 CHUNKS,
-                identity,
+                request_id,
             )
 
-        searchers = {"orders": [StandInSearcher(answer)]}
+        searchers = {"orders": [StandInSearcher(respond)]}
         with running_gateway([make_route(attempts=1)], searchers) as gateway:
             assert RawCaller(gateway).get().read()[0] == 504
 
-    # A trailer with a stamp made a failure look authentic, and was passed on as a header.
+    # Guards against a trailer with a stamp that makes a failure look authentic and is forwarded as
+    # a header.
     @pytest.mark.parametrize("trailers", [b"x-stamp: t\r\n", b"x-stamp: t\r\nx-other: 1\r\n"])
-    def test_trailers_are_no_headers(self, trailers):
+    def test_does_not_add_trailers_to_headers(self, trailers):
         parser = ResponseParser()
         assert parser.feed(b"HTTP/1.1 200 OK\r\nx-id: q1\r\n" + CHUNKS + trailers + b"\r\n") is None
         assert [name for name, _ in parser.ready[0].headers] == [b"x-id", b"Transfer-Encoding"]
