--- a/src/masticgate/connection/_caller_app.py
+++ b/src/masticgate/connection/_caller_app.py
@@ -1,7 +1,10 @@
 """The HTTP interface for callers and operators, as one werkzeug application.
 
-It checks the input, passes it to the process and encodes the outcome as JSON. The connections are
-served elsewhere.
+It checks the input, passes it to the process and encodes the outcome as JSON.
+
+A caller may run a search in several services. The answer states its coverage, which is the share of
+the searched data that it includes. A caller may also submit a booking, which runs at most once for
+its ticket. The rank of a request, urgent, standard or bulk, decides which requests run first.
 """
 
 import json
--- a/src/masticgate/connection/_peer.py
+++ b/src/masticgate/connection/_peer.py
@@ -1,7 +1,8 @@
 """The links between hosts: those that a host opens and those that it accepts.
 
-A link is a TCP connection to another host, the peer. Each link has a task of its own, which reads
-the messages that arrive.
+A link is a TCP connection to another host of the deployment, the peer. Each link has a task of its
+own, which reads the messages that arrive. Each host opens links of its own for its requests, and
+sends heartbeats over them to detect that a peer is unresponsive.
 """
 
 import socket
@@ -76,6 +77,7 @@
 class PeerLink:
     """The link that this host opens to one peer, to send requests and receive their replies.
 
+    ``incarnation`` identifies the run of the peer's process that accepted the link.
     ``unanswered_since`` is when the first heartbeat was sent after the last message arrived.
     """
 
--- a/src/masticgate/connection/_platform.py
+++ b/src/masticgate/connection/_platform.py
@@ -1,4 +1,9 @@
-"""A client for the platform's HTTP interfaces: the configuration service and the host list."""
+"""A client for the platform's HTTP interfaces: the configuration service and the host list.
+
+The configuration service holds a text for each key, with a revision that grows with each change.
+The host list names the hosts of the deployment. A host's failure domain is a group of hosts that
+may fail together.
+"""
 
 from dataclasses import dataclass
 from urllib.parse import quote
--- a/src/masticgate/connection/_process_structs.py
+++ b/src/masticgate/connection/_process_structs.py
@@ -1,6 +1,7 @@
 """Functions that convert messages about hosts and their load to and from Cap'n Proto structs.
 
-Each ``target`` and ``source`` is a struct of ``peer.capnp``.
+Each ``target`` and ``source`` is a struct of ``peer.capnp``. In these messages, a member is a host
+of the deployment, and an incarnation identifies one run of a host's process.
 """
 
 from typing import Any
--- a/src/masticgate/connection/_request_structs.py
+++ b/src/masticgate/connection/_request_structs.py
@@ -1,6 +1,8 @@
 """Functions that convert the messages of a request to and from Cap'n Proto structs.
 
-Each ``target`` and ``source`` is a struct of ``peer.capnp``.
+Each ``target`` and ``source`` is a struct of ``peer.capnp``. The entry host, which received the
+request, sends the parts of a search and the attempts of a booking to the owners of the services.
+An owner is the host that sends requests to the searchers of a service.
 """
 
 from typing import Any
@@ -33,7 +35,7 @@
 
 
 def write_ask(target: Any, ask: Ask) -> None:
-    """Write an ask, by which an entry host sends parts of a search to another host."""
+    """Write an ask, by which an entry host has an owner run parts of a search."""
     target.query = ask.query
     target.rank = ask.rank.value
     target.remaining = ask.remaining
--- a/src/masticgate/connection/_searcher.py
+++ b/src/masticgate/connection/_searcher.py
@@ -1,7 +1,8 @@
 """The connections to searchers, each with a task of its own.
 
-The task waits for work from the pool of the searcher's service, sends it to the searcher and
-reports the result to the pool.
+A searcher is a server that runs the searches and bookings of one service. The pool of the service
+queues this work and chooses the searchers. The task waits for work from the pool, sends it to the
+searcher and reports the result to the pool.
 """
 
 from typing import Annotated, Any
--- a/src/masticgate/connection/gateway/_caller.py
+++ b/src/masticgate/connection/gateway/_caller.py
@@ -28,7 +28,7 @@
 )
 
 RECEIVE_BUFFER_BYTES = 4_096
-"""The size of the receive buffer of one connection; most requests fit in it whole."""
+"""The size of the receive buffer of one connection; most requests fit into it."""
 
 WRITE_TIMEOUT = Millis(5_000.0)
 """A connection is closed if the caller does not accept the whole reply within this time."""
@@ -43,7 +43,8 @@
 class CallerSettings:
     """The settings that all connections of one listener share.
 
-    If ``is_closing`` returns ``True``, each reply announces the end of its connection.
+    ``limits`` returns the limits in force for the size and the duration of a request. If
+    ``is_closing`` returns ``True``, each reply announces the end of its connection.
     ``callers_are_gateways`` is set if the callers are other gateways; a request from one counts as
     arrived ``transit_time`` before it was received.
     """
@@ -60,7 +61,8 @@
 class CallerState(Enum):
     """The activity of a caller's connection.
 
-    The connection waits for a request, has received a part of one, or waits for its reply.
+    An idle connection waits for a request, one that is reading has received a part of a request,
+    and one that is serving waits for the reply.
     """
 
     IDLE = "idle"
--- a/src/masticgate/connection/gateway/_catalogue_codec.py
+++ b/src/masticgate/connection/gateway/_catalogue_codec.py
@@ -1,7 +1,7 @@
 """The JSON form of the catalogue in which one gateway relays it to others.
 
-The catalogue is what the platform publishes: the configuration with its routes, and the listing of
-each searcher.
+The platform publishes the catalogue: the configuration with its routes, and a listing for each
+searcher, which is a server that runs requests of one service.
 """
 
 import json
--- a/src/masticgate/connection/gateway/_encoding.py
+++ b/src/masticgate/connection/gateway/_encoding.py
@@ -1,4 +1,7 @@
-"""The encoding of HTTP messages: a gateway's replies, and its requests to searchers."""
+"""The encoding of HTTP messages: a gateway's replies, and its requests to searchers.
+
+A searcher is a server that runs requests of one service.
+"""
 
 from http import HTTPStatus
 
@@ -78,8 +81,9 @@
 def parse_missing_shards(answer: Answered) -> int | None:
     """Return how many shards are missing from the answer of a gatherer.
 
-    A gatherer is another gateway that merges the answers of the shards for this one. The result
-    is ``None`` if the answer does not state a number.
+    A gatherer is another gateway that sends a query to all shards, which each hold a part of the
+    data, and merges their answers for this gateway. The result is ``None`` if the answer does not
+    state a number.
     """
     return parse_number(find_header(answer.headers, MISSING_SHARDS_HEADER) or b"")
 
@@ -89,7 +93,7 @@
 ) -> bytes:
     """Return the bytes of ``request`` for one searcher.
 
-    ``remaining`` is how long the searcher's answer is waited for, which a header tells it.
+    ``remaining`` is how long the gateway waits for the answer; a header states it.
     """
     replaced = (header_names.caller_timeout, header_names.expected_searcher)
     lines = [b"%s %s HTTP/1.1\r\n" % (request.method, request.target)]
--- a/src/masticgate/connection/gateway/_header_names.py
+++ b/src/masticgate/connection/gateway/_header_names.py
@@ -1,6 +1,7 @@
 """The names of the HTTP headers that a gateway exchanges with callers and searchers.
 
-A deployment sets most of them; those that only gateways use among each other are fixed.
+A searcher is a server that runs requests of one service. A deployment sets most of the names; those
+that only gateways use among each other are fixed.
 """
 
 from dataclasses import dataclass, replace
--- a/src/masticgate/connection/gateway/_searcher_task.py
+++ b/src/masticgate/connection/gateway/_searcher_task.py
@@ -1,8 +1,11 @@
 """The connections to searchers, each with a task of its own.
 
+A searcher is a server that runs requests of one service. A call is one attempt to have a request
+run by one searcher.
+
 The task opens the connection and then reads responses from it. The task of the caller's connection
-sends the request, so that a call takes one hand-over between threads instead of two. Since the
-task of the connection always reads, it detects at once that the searcher closed an idle connection.
+sends the request, so that a call takes only one hand-over between threads. Since the task of the
+connection always reads, it detects at once that the searcher closed an idle connection.
 """
 
 import select
@@ -27,7 +30,7 @@
 """
 
 RECEIVE_BUFFER_BYTES = 4_096
-"""The size of the receive buffer of one connection; most responses of shards fit in it whole."""
+"""The size of the receive buffer of one connection; most responses of shards fit into it."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -96,9 +99,9 @@
 class SearcherTask:
     """One connection to one searcher, which carries one call at a time.
 
-    A call is one attempt of a request. ``initial_call`` is the call that the connection is opened
-    for, if any. ``number`` identifies the connection in log lines. ``idle_since`` and
-    ``keep_alive_timeout`` are guarded by the lock of the handler.
+    ``initial_call`` is the call that the connection is opened for, if any. ``number`` identifies
+    the connection in log lines. ``idle_since`` and ``keep_alive_timeout`` are guarded by the lock
+    of the handler.
     """
 
     def __init__(
--- a/tests/connection/test_booking_failures.py
+++ b/tests/connection/test_booking_failures.py
@@ -25,7 +25,7 @@
             HttpReply(429, b"<html>"),
             HttpReply(500, b'{"reason": "shed"}'),
             HttpReply(404, b""),
-            HttpFailure(True, "cut"),
+            HttpFailure(True, "closed"),
         ],
     )
     def test_returns_unknown_for_any_other_response(self, reply):
