--- a/src/masticgate/connection/_caller_client.py
+++ b/src/masticgate/connection/_caller_client.py
@@ -38,31 +38,33 @@
     def search(self, body: dict[str, Any]) -> CallerReply | HttpFailure:
         """Run a search, which may be repeated since it changes nothing."""
         timeout = Millis(float(body["remaining_ms"]) + RESPONSE_MARGIN)
-        return _read(self.connection.post("/v1/search", json.dumps(body).encode(), timeout))
+        return _decode_reply(self.connection.post("/v1/search", json.dumps(body).encode(), timeout))
 
     def mint_ticket(self) -> CallerReply | HttpFailure:
         """Return a response with a ticket, which allows one booking."""
-        return _read(self.connection.post("/v1/tickets", b"", DEFAULT_TIMEOUT))
+        return _decode_reply(self.connection.post("/v1/tickets", b"", DEFAULT_TIMEOUT))
 
     def book(self, body: dict[str, Any]) -> CallerReply | HttpFailure:
         """Submit a booking; with the same ticket it may be submitted again through any host."""
         timeout = Millis(float(body["remaining_ms"]) + RESPONSE_MARGIN)
-        return _read(self.connection.post("/v1/bookings", json.dumps(body).encode(), timeout))
+        return _decode_reply(
+            self.connection.post("/v1/bookings", json.dumps(body).encode(), timeout)
+        )
 
     def status(self) -> CallerReply | HttpFailure:
         """Return a response with the status of the host."""
-        return _read(self.connection.get("/v1/status", DEFAULT_TIMEOUT))
+        return _decode_reply(self.connection.get("/v1/status", DEFAULT_TIMEOUT))
 
     def events(self) -> CallerReply | HttpFailure:
         """Return a response with the events of the host's timeline."""
-        return _read(self.connection.get("/v1/events", DEFAULT_TIMEOUT))
+        return _decode_reply(self.connection.get("/v1/events", DEFAULT_TIMEOUT))
 
     def close(self) -> None:
         """Close the connection."""
         self.connection.close()
 
 
-def _read(reply: HttpReply | HttpFailure) -> CallerReply | HttpFailure:
+def _decode_reply(reply: HttpReply | HttpFailure) -> CallerReply | HttpFailure:
     if isinstance(reply, HttpFailure):
         return reply
     try:
--- a/src/masticgate/connection/_caller_server.py
+++ b/src/masticgate/connection/_caller_server.py
@@ -161,6 +161,8 @@
 
 
 class _BusyConnection:
+    """Marks a connection as busy within a ``with`` block; after it, a stopped server closes it."""
+
     def __init__(self, server: "CallerServer", connection: socket.socket) -> None:
         self.server = server
         self.connection = connection
--- a/src/masticgate/connection/gateway/__init__.py
+++ b/src/masticgate/connection/gateway/__init__.py
@@ -1,4 +1,4 @@
-"""The sockets and the HTTP codec of a gateway, which lives as long as one connection."""
+"""The sockets and the HTTP codec of a gateway, which live as long as one connection."""
 
 from ._caller import CallerSettings as CallerSettings
 from ._caller import Handler as Handler
