--- a/src/masticgate/process/_host_list.py
+++ b/src/masticgate/process/_host_list.py
@@ -30,9 +30,11 @@
     def to_members(self, hosts: Iterable[ListedHost], now: Millis) -> list[Member]:
         """Return the membership entries that follow from ``hosts``, as read at ``now``."""
         members = [self._to_member(host, now) for host in hosts]
-        named = {member.host for member in members}
+        listed_hosts = {member.host for member in members}
         self.known_since = {
-            host: known_since for host, known_since in self.known_since.items() if host in named
+            host: known_since
+            for host, known_since in self.known_since.items()
+            if host in listed_hosts
         }
         return members
 
--- a/src/masticgate/process/_metrics.py
+++ b/src/masticgate/process/_metrics.py
@@ -38,15 +38,15 @@
         self.gauges: dict[str, float] = {}
         self.client: StatsClient | None = None
         if settings.statsd is not None:
-            number, port = split_address(Address(settings.statsd.address))
+            ip, port = split_address(Address(settings.statsd.address))
             prefix = f"{settings.statsd.prefix}.{settings.host}"
-            self.client = StatsClient(number, port, prefix, MAX_PACKET_BYTES)
+            self.client = StatsClient(ip, port, prefix, MAX_PACKET_BYTES)
 
-    def count(self, name: str, number: int = 1) -> None:
-        """Add ``number`` to the counter ``name``."""
+    def count(self, name: str, amount: int = 1) -> None:
+        """Add ``amount`` to the counter ``name``."""
         with self.lock:
-            self.totals[name] += number
-            self.unsent[name] += number
+            self.totals[name] += amount
+            self.unsent[name] += amount
 
     def time(self, name: str, duration: Millis) -> None:
         """Record ``duration`` under the timer ``name``."""
@@ -76,8 +76,8 @@
         if self.client is None:
             return
         with self.client.pipeline() as pipe:
-            for name, number in unsent.items():
-                pipe.incr(name, number)
+            for name, amount in unsent.items():
+                pipe.incr(name, amount)
             for name, durations in timings.items():
                 rate = len(durations) / timing_counts[name]
                 for duration in durations:
--- a/src/masticgate/process/_server.py
+++ b/src/masticgate/process/_server.py
@@ -113,7 +113,7 @@
 
         Work that is still queued once the callers' requests have ended is answered as not run.
         """
-        end = Millis(self.clock.now() + self.settings.shutdown_ms)
+        deadline = Millis(self.clock.now() + self.settings.shutdown_ms)
         self.timeline.add(EventKind.STOPPING, self.id)
         self.members.leave()
         self.heartbeats.announce()
@@ -123,9 +123,9 @@
             min(SHUTDOWN_REFUSAL_TIME, self.settings.shutdown_ms / 4) / MILLIS_PER_SECOND
         )
         self.caller_server.stop()
-        self.caller_server.await_closed(Millis(max(0.0, end - self.clock.now())))
+        self.caller_server.await_closed(Millis(max(0.0, deadline - self.clock.now())))
         self.pools.stop()
-        wait(list(self.connections), remaining_seconds(end, self.clock))
+        wait(list(self.connections), remaining_seconds(deadline, self.clock))
         self.stopping.set()
         self.distribution.stop()
         self.links.stop()
--- a/src/masticgate/process/_timeline_merge.py
+++ b/src/masticgate/process/_timeline_merge.py
@@ -13,28 +13,28 @@
     An event follows all events that its host knew of from messages when the event happened. Among
     the events that may come next, the one with the earliest wall clock comes first.
     """
-    lines: dict[HostId, list[Event]] = {}
+    unmerged: dict[HostId, list[Event]] = {}
     for event in sorted(events, key=lambda e: e.sequence, reverse=True):
-        lines.setdefault(event.host, []).append(event)
+        unmerged.setdefault(event.host, []).append(event)
     merged: list[Event] = []
-    while lines:
-        heads = [line[-1] for line in lines.values()]
-        free = [event for event in heads if not _has_pending_cause(event, lines)]
-        event = min(free or heads, key=lambda e: (e.wall, e.host))
+    while unmerged:
+        next_events = [events[-1] for events in unmerged.values()]
+        ready = [event for event in next_events if not _has_pending_cause(event, unmerged)]
+        event = min(ready or next_events, key=lambda e: (e.wall, e.host))
         merged.append(event)
-        lines[event.host].pop()
-        if not lines[event.host]:
-            del lines[event.host]
+        unmerged[event.host].pop()
+        if not unmerged[event.host]:
+            del unmerged[event.host]
     return merged
 
 
-def _has_pending_cause(event: Event, lines: dict[HostId, list[Event]]) -> bool:
+def _has_pending_cause(event: Event, unmerged: dict[HostId, list[Event]]) -> bool:
     """Return whether an event that precedes ``event`` by causality isn't merged yet.
 
-    ``lines`` holds the events of each host that are not merged yet, the next one last.
+    ``unmerged`` holds the events of each host that are not merged yet, the next one last.
     """
     return any(
-        host != event.host and host in lines and lines[host][-1].sequence <= sequence
+        host != event.host and host in unmerged and unmerged[host][-1].sequence <= sequence
         for host, sequence in event.seen.items()
     )
 
--- a/src/masticgate/process/_watch.py
+++ b/src/masticgate/process/_watch.py
@@ -46,9 +46,9 @@
     3,300 hosts.
     """
     watchers = domains * WATCHERS_PER_DOMAIN
-    listings = ceil(duration / HOST_LIST_INTERVAL) + 1
-    polls = WATCHED_KEYS * (ceil(duration / WATCH_TIMEOUT) + 1)
-    return watchers * (listings + polls + changes) + starts * READS_PER_START
+    list_reads = ceil(duration / HOST_LIST_INTERVAL) + 1
+    key_reads = WATCHED_KEYS * (ceil(duration / WATCH_TIMEOUT) + 1)
+    return watchers * (list_reads + key_reads + changes) + starts * READS_PER_START
 
 
 def most_outage_reads_per_second(watchers: int) -> float:
