--- a/tests/connection/test_endless_responses.py
+++ b/tests/connection/test_endless_responses.py
@@ -6,14 +6,14 @@
 
 from masticgate import Millis
 from masticgate.connection._http_connection import HttpConnection, HttpFailure
-from tests.gateway.pouring import (
-    CHUNKED,
+from tests.gateway.endless_responses import (
+    CHUNKED_HEAD,
     ENDLESS_BODIES,
     ENDLESS_HEADS,
-    OWN,
-    POURED_BYTES,
-    Flow,
-    PouringServer,
+    MAX_SENT_BYTES,
+    RESPONSE_START,
+    EndlessResponse,
+    EndlessServer,
 )
 
 LONG_TIMEOUT = Millis(60_000.0)
@@ -26,25 +26,27 @@
 """
 
 ENDED_BY_SIZE = {
-    name: flow
-    for name, flow in (ENDLESS_HEADS | ENDLESS_BODIES).items()
+    name: response
+    for name, response in (ENDLESS_HEADS | ENDLESS_BODIES).items()
     if name not in NOT_COUNTED_BY_LIBCURL
 }
-SLOW_FLOWS = {
-    "head": Flow(OWN + b"x-fill: ", b"x"),
-    "body": Flow(OWN + b"Content-Length: 1000000\r\n\r\n", b"x"),
-    "interim_answers": Flow(b"", b"HTTP/1.1 100 Continue\r\n\r\n"),
-    "chunk_extension": Flow(CHUNKED + b"1;", b"x"),
+SLOW_RESPONSES = {
+    "head": EndlessResponse(RESPONSE_START + b"x-fill: ", b"x"),
+    "body": EndlessResponse(RESPONSE_START + b"Content-Length: 1000000\r\n\r\n", b"x"),
+    "interim_responses": EndlessResponse(b"", b"HTTP/1.1 100 Continue\r\n\r\n"),
+    "chunk_extension": EndlessResponse(CHUNKED_HEAD + b"1;", b"x"),
 }
 
 
 class TestHttpConnection:
-    def post(self, flow: Flow, timeout: Millis, pause_s: float | None = None) -> PouringServer:
-        """Send a request to a server that responds with ``flow``, and return the server.
+    def post(
+        self, response: EndlessResponse, timeout: Millis, pause_s: float | None = None
+    ) -> EndlessServer:
+        """Send a request to a server that responds with ``response``, and return the server.
 
         The request fails and its connection is closed.
         """
-        server = PouringServer(flow, pause_s)
+        server = EndlessServer(response, pause_s)
         connection = HttpConnection(server.address)
         reply = connection.post("/search", b"{}", timeout)
         server.stop()
@@ -55,10 +57,10 @@
 
     @pytest.mark.parametrize("name", ENDED_BY_SIZE)
     def test_closes_connection_with_endless_response_at_size_limit(self, name):
-        assert self.post(ENDED_BY_SIZE[name], LONG_TIMEOUT).written < POURED_BYTES
+        assert self.post(ENDED_BY_SIZE[name], LONG_TIMEOUT).sent_bytes < MAX_SENT_BYTES
 
-    @pytest.mark.parametrize("name", SLOW_FLOWS)
+    @pytest.mark.parametrize("name", SLOW_RESPONSES)
     def test_ends_slow_endless_response_at_timeout(self, name):
         started_at = monotonic()
-        self.post(SLOW_FLOWS[name], SHORT_TIMEOUT, pause_s=0.005)
+        self.post(SLOW_RESPONSES[name], SHORT_TIMEOUT, pause_s=0.005)
         assert monotonic() - started_at < 2.0
--- a/tests/gateway/fakes.py
+++ b/tests/gateway/fakes.py
@@ -33,7 +33,7 @@
 
 HEADER_NAMES = HeaderNames(
     request_id=b"x-id",
-    caller_timeout=b"x-patience",
+    caller_timeout=b"x-caller-timeout",
     stamp=b"x-stamp",
     expected_searcher=b"x-expected",
     load=b"x-load",
--- a/tests/gateway/loopback.py
+++ b/tests/gateway/loopback.py
@@ -240,7 +240,7 @@
     def get(self, path: str = "/a/x", identity: str = "q1", extra: bytes = b"") -> "RawCaller":
         """Send a GET request with a caller timeout of 400 ms; ``extra`` is further header lines."""
         self.send(
-            b"GET %s HTTP/1.1\r\nHost: host.example\r\nX-Id: %s\r\nX-Patience: 400\r\n%s\r\n"
+            b"GET %s HTTP/1.1\r\nHost: host.example\r\nX-Id: %s\r\nX-Caller-Timeout: 400\r\n%s\r\n"
             % (path.encode(), identity.encode(), extra)
         )
         return self
--- a/tests/gateway/soak.py
+++ b/tests/gateway/soak.py
@@ -32,16 +32,16 @@
 SETTLE_S = 4.0
 """What a gateway needs after its last disturbance before time bounds hold for it again."""
 
-ATTEMPTS = 2
+MAX_ATTEMPTS = 2
 """The searchers that one request may be sent to, for each shard."""
 
-LOST_ALWAYS = 0.02
+BASE_LOSS_RATE = 0.02
 """The share of answers that are lost after their run, also without a fault."""
 
-SECOND_ALWAYS = 0.05
+BASE_FAULT_RATE = 0.05
 """The share of answers that come twice, or without a length, also without a fault."""
 
-IDLE_S = 0.01
+IDLE_WAIT_S = 0.01
 """After an answer its connection is idle at the gateway by then."""
 
 RECORD_BYTES = 16
@@ -50,7 +50,7 @@
 SOURCE = Path(__file__).resolve().parents[2] / "src"
 
 
-class Mode(Enum):
+class ProxyMode(Enum):
     """What a proxy does to its connections."""
 
     PASS = "pass"
@@ -64,158 +64,162 @@
     """A loopback proxy before one server."""
 
     def __init__(self, target: str) -> None:
-        number, _, port = target.rpartition(":")
-        self.target = (number, int(port))
-        self.mode = Mode.PASS
+        host, _, port = target.rpartition(":")
+        self.target = (host, int(port))
+        self.mode = ProxyMode.PASS
         self.listener = socket.create_server(("127.0.0.1", 0), backlog=128)
         self.address = f"127.0.0.1:{self.listener.getsockname()[1]}"
-        self.open: set[socket.socket] = set()
-        self.broken: set[socket.socket] = set()
+        self.open_sockets: set[socket.socket] = set()
+        self.reset_sockets: set[socket.socket] = set()
         threading.Thread(target=self._accept, daemon=True).start()
 
-    def turn(self, mode: Mode) -> None:
+    def set_mode(self, mode: ProxyMode) -> None:
         self.mode = mode
-        if mode is Mode.RESET:
-            self._break(*self.open)
+        if mode is ProxyMode.RESET:
+            self._reset(*self.open_sockets)
 
     def _accept(self) -> None:
         with suppress(OSError):
             while True:
-                near, _ = self.listener.accept()
-                threading.Thread(target=self._serve, args=(near,), daemon=True).start()
-
-    def _serve(self, near: socket.socket) -> None:
-        with suppress(OSError), near, socket.create_connection(self.target) as far:
-            self.open |= {near, far}
-            back = threading.Thread(target=self._pump, args=(far, near, True), daemon=True)
-            back.start()
-            self._pump(near, far, False)
-            back.join()
-            self.open -= {near, far}
-        self.broken -= {near, far}
-
-    def _break(self, *ends: socket.socket) -> None:
+                client, _ = self.listener.accept()
+                threading.Thread(target=self._serve, args=(client,), daemon=True).start()
+
+    def _serve(self, client: socket.socket) -> None:
+        with suppress(OSError), client, socket.create_connection(self.target) as server:
+            self.open_sockets |= {client, server}
+            reverse = threading.Thread(target=self._copy, args=(server, client, True), daemon=True)
+            reverse.start()
+            self._copy(client, server, False)
+            reverse.join()
+            self.open_sockets -= {client, server}
+        self.reset_sockets -= {client, server}
+
+    def _reset(self, *ends: socket.socket) -> None:
         """Wake the tasks that read from both ends, which then close by a reset."""
-        self.broken |= {*ends}
+        self.reset_sockets |= {*ends}
         for end in ends:
             with suppress(OSError):
                 end.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET_AT_CLOSE)
                 end.shutdown(socket.SHUT_RD)
 
-    def _pump(self, source: socket.socket, sink: socket.socket, answers: bool) -> None:
+    def _copy(self, source: socket.socket, sink: socket.socket, from_server: bool) -> None:
         try:
             while data := source.recv(65_536):
-                if self.mode is Mode.DELAY:
+                if self.mode is ProxyMode.DELAY:
                     time.sleep(0.05)
-                while self.mode is Mode.SILENT or (self.mode is Mode.ONE_WAY and answers):
+                while self.mode is ProxyMode.SILENT or (
+                    self.mode is ProxyMode.ONE_WAY and from_server
+                ):
                     time.sleep(0.02)
                 sink.sendall(data)
         except OSError:
-            self._break(source, sink)
+            self._reset(source, sink)
         for end in (source, sink):
             with suppress(OSError):
-                end.shutdown(socket.SHUT_RD if end in self.broken else socket.SHUT_RDWR)
+                end.shutdown(socket.SHUT_RD if end in self.reset_sockets else socket.SHUT_RDWR)
 
 
-class Second(Enum):
+class ResponseFault(Enum):
     """How a searcher answers other than once and with a length."""
 
-    AT_ONCE = "at once"
-    WHILE_IDLE = "while idle"
-    BEFORE_THE_NEXT = "before the next"
-    UNFRAMED_BEFORE_THE_NEXT = "unframed before the next"
-    UNFRAMED = "unframed"
-    UNFRAMED_RESET = "unframed reset"
+    REPEATED_AT_ONCE = "repeated at once"
+    REPEATED_WHILE_IDLE = "repeated while idle"
+    REPEATED_BEFORE_NEXT = "repeated before the next"
+    REPEATED_BEFORE_NEXT_WITHOUT_LENGTH = "repeated without length before the next"
+    WITHOUT_LENGTH = "without length"
+    TRUNCATED_WITHOUT_LENGTH = "truncated without length"
 
 
 @dataclass(frozen=True)
-class Sent:
+class PlannedResponse:
     """What a searcher sends for one request; ``late`` follows right before the next answer."""
 
     data: bytes
-    idle: bytes = b""
-    late: bytes = b""
+    idle_bytes: bytes = b""
+    late_bytes: bytes = b""
     end: ConnectionEnd = ConnectionEnd.OPEN
 
 
 class Searcher(StandInSearcher):
     """Logs each run, and misbehaves as told."""
 
-    def __init__(self, identity: str, service: str, source: random.Random) -> None:
+    def __init__(self, identity: str, service: str, rng: random.Random) -> None:
         self.identity = identity
         self.service = service
-        self.source = source
-        self.trouble = 0.0
-        self.slow = 0.0
+        self.rng = rng
+        self.fault_rate = 0.0
+        self.extra_delay_s = 0.0
         self.runs: list[tuple[str, float]] = []
-        self.lost: list[str] = []
+        self.lost_requests: list[str] = []
         self.drained_at: float | None = None
         super().__init__(lambda head: None)
         self.proxy = Proxy(self.address)
 
     def _serve(self, connection: socket.socket) -> None:
-        late = b""
+        late_bytes = b""
         with connection, suppress(OSError):
             while head := self._read(connection):
-                sent = self.serve(head)
-                connection.sendall(late + sent.data)
-                if late and not is_framed(late):
-                    self.note_lost(request_of(head))
+                planned = self.handle_request(head)
+                connection.sendall(late_bytes + planned.data)
+                if late_bytes and not has_length(late_bytes):
+                    self.record_lost(request_id(head))
                     return
-                if sent.idle:
-                    time.sleep(IDLE_S)
-                    connection.sendall(sent.idle)
-                if sent.end is ConnectionEnd.RESET:
+                if planned.idle_bytes:
+                    time.sleep(IDLE_WAIT_S)
+                    connection.sendall(planned.idle_bytes)
+                if planned.end is ConnectionEnd.RESET:
                     connection.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET_AT_CLOSE)
-                if sent.end is not ConnectionEnd.OPEN:
+                if planned.end is not ConnectionEnd.OPEN:
                     return
-                late = sent.late
+                late_bytes = planned.late_bytes
 
-    def note_lost(self, request: str) -> None:
-        if request not in self.lost:
-            self.lost.append(request)
+    def record_lost(self, request: str) -> None:
+        if request not in self.lost_requests:
+            self.lost_requests.append(request)
 
-    def serve(self, head: bytes) -> Sent:
-        request = request_of(head)
+    def handle_request(self, head: bytes) -> PlannedResponse:
+        request = request_id(head)
         if head_value(head, b"x-masticgate-expected-instance").decode() != self.identity:
-            return self.repeat(self.reply(request, 421, b"", b""))
-        if self.source.random() < self.trouble / 2:
-            refusal = self.reply(request, 503, b"x-masticgate-not-executed: 1\r\n", b"")
-            return self.repeat(refusal)
+            return self.plan_response(self.make_response(request, 421, b"", b""))
+        if self.rng.random() < self.fault_rate / 2:
+            refusal = self.make_response(request, 503, b"x-masticgate-not-executed: 1\r\n", b"")
+            return self.plan_response(refusal)
         self.runs.append((request, time.monotonic()))
-        time.sleep(0.002 + self.slow)
+        time.sleep(0.002 + self.extra_delay_s)
         stamp = f"{request}.{self.identity}.{self.service}"
-        body = b"".join(sorted(records_of(request, self.service)))
-        answer = self.reply(
+        body = b"".join(sorted(make_records(request, self.service)))
+        response = self.make_response(
             request, 200, b"x-masticgate-server-stamp: %s\r\n" % stamp.encode(), body
         )
-        if self.source.random() < LOST_ALWAYS + self.trouble / 4:
-            self.note_lost(request)
-            return Sent(b"", end=ConnectionEnd.ORDERLY)
-        return self.repeat(answer, request)
+        if self.rng.random() < BASE_LOSS_RATE + self.fault_rate / 4:
+            self.record_lost(request)
+            return PlannedResponse(b"", end=ConnectionEnd.ORDERLY)
+        return self.plan_response(response, request)
 
-    def repeat(self, answer: bytes, request: str = "") -> Sent:
+    def plan_response(self, response: bytes, request: str = "") -> PlannedResponse:
         """Answer once, or at times in another way; that of a ``request`` may be lost."""
-        if self.source.random() > SECOND_ALWAYS + self.trouble / 2:
-            return Sent(answer)
-        match self.source.choice(list(Second)):
-            case Second.AT_ONCE:
-                return Sent(answer + answer)
-            case Second.WHILE_IDLE if self.trouble:
-                return Sent(answer, idle=answer)
-            case Second.BEFORE_THE_NEXT:
-                return Sent(answer, late=answer)
-            case Second.UNFRAMED_BEFORE_THE_NEXT:
-                return Sent(answer, late=unframed(answer))
-            case Second.UNFRAMED:
-                return Sent(unframed(answer), end=ConnectionEnd.ORDERLY)
-            case Second.UNFRAMED_RESET if request:
-                self.note_lost(request)
-                return Sent(unframed(answer)[:-RECORD_BYTES], end=ConnectionEnd.RESET)
+        if self.rng.random() > BASE_FAULT_RATE + self.fault_rate / 2:
+            return PlannedResponse(response)
+        match self.rng.choice(list(ResponseFault)):
+            case ResponseFault.REPEATED_AT_ONCE:
+                return PlannedResponse(response + response)
+            case ResponseFault.REPEATED_WHILE_IDLE if self.fault_rate:
+                return PlannedResponse(response, idle_bytes=response)
+            case ResponseFault.REPEATED_BEFORE_NEXT:
+                return PlannedResponse(response, late_bytes=response)
+            case ResponseFault.REPEATED_BEFORE_NEXT_WITHOUT_LENGTH:
+                return PlannedResponse(response, late_bytes=without_length(response))
+            case ResponseFault.WITHOUT_LENGTH:
+                return PlannedResponse(without_length(response), end=ConnectionEnd.ORDERLY)
+            case ResponseFault.TRUNCATED_WITHOUT_LENGTH if request:
+                self.record_lost(request)
+                return PlannedResponse(
+                    without_length(response)[:-RECORD_BYTES], end=ConnectionEnd.RESET
+                )
             case _:
-                return Sent(answer)
+                return PlannedResponse(response)
 
-    def reply(self, request: str, status: int, extra: bytes, body: bytes) -> bytes:
+    def make_response(self, request: str, status: int, extra: bytes, body: bytes) -> bytes:
         return b"HTTP/1.1 %d X\r\nx-masticgate-request-id: %s\r\n%sContent-Length: %d\r\n\r\n%s" % (
             status,
             request.encode(),
@@ -225,25 +229,25 @@
         )
 
 
-def request_of(head: bytes) -> str:
+def request_id(head: bytes) -> str:
     return head_value(head, b"x-masticgate-request-id").decode()
 
 
-def is_framed(answer: bytes) -> bool:
-    return b"Content-Length" in answer
+def has_length(response: bytes) -> bool:
+    return b"Content-Length" in response
 
 
-def unframed(answer: bytes) -> bytes:
+def without_length(response: bytes) -> bytes:
     """Return an answer without its length."""
-    head, _, body = answer.partition(b"\r\n\r\n")
+    head, _, body = response.partition(b"\r\n\r\n")
     lines = [line for line in head.split(b"\r\n") if not line.startswith(b"Content-Length")]
     return b"\r\n".join((*lines, b"", body))
 
 
-def records_of(request: str, service: str) -> list[bytes]:
+def make_records(request: str, service: str) -> list[bytes]:
     """Return the records that a service holds for a request."""
-    source = random.Random(f"{request} {service}")
-    return [source.randbytes(16) for _ in range(3)]
+    rng = random.Random(f"{request} {service}")
+    return [rng.randbytes(16) for _ in range(3)]
 
 
 class Store:
@@ -255,22 +259,22 @@
         self.history: list[dict] = []
         self.revision = 1
         self.oldest = 1
-        self.server = StandInSearcher(self.answer)
+        self.server = StandInSearcher(self.respond)
         self.proxy = Proxy(self.server.address)
 
     def put(self, key: str, value: object) -> None:
         text = base64.b64encode(json.dumps(value).encode()).decode()
-        self._note(key, {"key": key, "value": text})
+        self._record_change(key, {"key": key, "value": text})
 
     def remove(self, key: str) -> None:
-        self._note(key, {"key": key, "removed": True})
+        self._record_change(key, {"key": key, "removed": True})
 
-    def forget(self) -> None:
+    def drop_history(self) -> None:
         with self.changed:
             self.history.clear()
             self.oldest = self.revision
 
-    def _note(self, key: str, item: dict) -> None:
+    def _record_change(self, key: str, item: dict) -> None:
         with self.changed:
             self.revision += 1
             item["revision"] = self.revision
@@ -280,31 +284,31 @@
                 self.items[key] = item
             self.changed.notify_all()
 
-    def answer(self, head: bytes) -> bytes:
+    def respond(self, head: bytes) -> bytes:
         url = urlsplit(head.split(b" ")[1].decode())
         query = {name: values[0] for name, values in parse_qs(url.query).items()}
         with self.changed:
             if url.path.endswith("kv-key"):
                 item = self.items.get(query["key"])
                 found = None if item is None else item | {"currentRev": self.revision}
-                return self._reply(200 if found else 404, found or {})
+                return self._make_response(200 if found else 404, found or {})
             if url.path.endswith("kv-range"):
                 items = [self.items[key] for key in sorted(self.items)]
-                return self._reply(200, {"items": items, "currentRev": self.revision})
+                return self._make_response(200, {"items": items, "currentRev": self.revision})
             after = int(query["after"])
             if after < self.oldest:
-                return self._reply(410, {})
+                return self._make_response(410, {})
             self.changed.wait_for(lambda: self.revision > after, int(query["waitMs"]) / 1000)
             events = [item for item in self.history if item["revision"] > after]
-            return self._reply(200, {"events": events, "currentRev": self.revision})
+            return self._make_response(200, {"events": events, "currentRev": self.revision})
 
-    def _reply(self, status: int, body: dict) -> bytes:
+    def _make_response(self, status: int, body: dict) -> bytes:
         data = json.dumps(body).encode()
         return b"HTTP/1.1 %d X\r\nContent-Length: %d\r\n\r\n%s" % (status, len(data), data)
 
 
 @dataclass
-class Told:
+class CallerReply:
     """One answer that a caller got."""
 
     request: str
@@ -328,7 +332,7 @@
         self.number = number
         self.path = folder / f"g{number}.toml"
         self.log = folder / f"g{number}.log"
-        self.store = Proxy(store.proxy.address)
+        self.store_proxy = Proxy(store.proxy.address)
         self.path.write_text(self.settings())
         self.disturbed_at = 0.0
         self.lock = threading.Lock()
@@ -342,7 +346,7 @@
             f'nodeName = "g{self.number}"\nip = "{self.ip}"\nzone = "z{self.number}"\n'
             f"seedNodes = [{seeds}]\n[bindAddresses]\n{listen}\n[bounds]\ngraceS = {GRACE_S}\n"
             f"drainMs = {DRAIN_S * 1000}\nretryBudgetRatio = 0.2\nbudgetWindowS = 10\n"
-            f'budgetSlack = 50\n[platform]\naddress = "{self.store.address}"\n'
+            f'budgetSlack = 50\n[platform]\naddress = "{self.store_proxy.address}"\n'
         )
 
     def start(self) -> None:
@@ -384,12 +388,12 @@
 
     seed: int
     folder: Path
-    told: list[Told] = field(default_factory=list)
+    replies: list[CallerReply] = field(default_factory=list)
     problems: list[str] = field(default_factory=list)
 
     def run(self, seconds: float) -> None:
-        self.source = random.Random(self.seed)
-        self.ending = threading.Event()
+        self.rng = random.Random(self.seed)
+        self.stopping = threading.Event()
         self.store = Store()
         self.searchers: list[Searcher] = []
         self.version = 1
@@ -407,22 +411,23 @@
         try:
             self.wait_ready()
             callers = [
-                threading.Thread(target=self.call, args=(number,)) for number in range(CALLERS)
+                threading.Thread(target=self.run_caller, args=(number,))
+                for number in range(CALLERS)
             ]
             for caller in callers:
                 caller.start()
-            self.disturb(seconds)
+            self.inject_faults(seconds)
             self.check_recovery()
-            self.ending.set()
+            self.stopping.set()
             for caller in callers:
                 caller.join(10)
         finally:
-            self.ending.set()
+            self.stopping.set()
             for gateway in self.gateways:
                 if gateway.process is not None:
                     gateway.process.kill()
                     gateway.process.wait()
-        self.audit()
+        self.check_replies()
 
     def add_searcher(self, service: str, identity: str) -> None:
         searcher = Searcher(identity, service, random.Random(f"{self.seed} {identity}"))
@@ -446,7 +451,7 @@
     def publish(self) -> None:
         common = {
             "hostname": HOST,
-            "maxAttempts": ATTEMPTS,
+            "maxAttempts": MAX_ATTEMPTS,
             "timeoutMs": 1000,
             "targetLatencyMs": 150,
         }
@@ -482,16 +487,16 @@
         finally:
             connection.close()
 
-    def call(self, number: int) -> None:
+    def run_caller(self, number: int) -> None:
         """Keep one connection open and use it until the gateway closes it."""
-        source = random.Random(f"{self.seed} caller {number}")
+        rng = random.Random(f"{self.seed} caller {number}")
         gateway = self.gateways[number % GATEWAYS]
         connection = http.client.HTTPConnection(gateway.ip, 8104, timeout=3)
         sequence = 0
-        while not self.ending.wait(source.uniform(0.0, 0.03)):
+        while not self.stopping.wait(rng.uniform(0.0, 0.03)):
             sequence += 1
             request = f"{self.seed}-{number}-{sequence}"
-            path = source.choice(["/all/x", "/all/x", "/one/x", "/book/x"])
+            path = rng.choice(["/all/x", "/all/x", "/one/x", "/book/x"])
             method = "POST" if path == "/book/x" else "GET"
             headers = {
                 "Host": HOST,
@@ -502,20 +507,22 @@
                 connection.request(method, path, b"order" if method == "POST" else None, headers)
                 response = connection.getresponse()
                 fields = {name.lower(): value for name, value in response.getheaders()}
-                self.told.append(Told(request, path, response.status, fields, response.read()))
+                self.replies.append(
+                    CallerReply(request, path, response.status, fields, response.read())
+                )
             except (OSError, http.client.HTTPException):
                 connection.close()
                 time.sleep(0.05)
 
-    def disturb(self, seconds: float) -> None:
+    def inject_faults(self, seconds: float) -> None:
         """Plan faults in series that overlap, and end all of them."""
-        until = time.monotonic() + seconds
+        deadline = time.monotonic() + seconds
         faults = []
-        while time.monotonic() < until:
-            fault = threading.Thread(target=self.source.choice(FAULTS), args=(self,))
+        while time.monotonic() < deadline:
+            fault = threading.Thread(target=self.rng.choice(FAULTS), args=(self,))
             fault.start()
             faults.append(fault)
-            time.sleep(self.source.uniform(0.2, 1.2))
+            time.sleep(self.rng.uniform(0.2, 1.2))
         for fault in faults:
             fault.join()
 
@@ -527,132 +534,145 @@
         """
         self.wait_ready()
         time.sleep(SETTLE_S)
-        start = len(self.told)
+        start = len(self.replies)
         time.sleep(2.0)
-        told = self.told[start:]
-        failed = [t for t in told if t.status != 200 and not self.is_lost_everywhere(t)]
-        if failed or len(told) < 20:
-            names = [(t.request, t.path, t.status, self.losses(t.request)) for t in failed]
-            self.problems.append(f"not recovered: {names} of {len(told)}")
+        recent = self.replies[start:]
+        failed = [
+            reply
+            for reply in recent
+            if reply.status != 200 and not self.has_lost_every_response(reply)
+        ]
+        if failed or len(recent) < 20:
+            names = [
+                (reply.request, reply.path, reply.status, self.lost_count(reply.request))
+                for reply in failed
+            ]
+            self.problems.append(f"not recovered: {names} of {len(recent)}")
 
-    def is_lost_everywhere(self, told: Told) -> bool:
+    def has_lost_every_response(self, reply: CallerReply) -> bool:
         """Tell whether every answer that the gateway was allowed to ask for was lost."""
-        allowed = {"/book/x": 1, "/one/x": ATTEMPTS}.get(told.path)
-        return told.status == 502 and self.losses(told.request) == allowed
+        max_losses = {"/book/x": 1, "/one/x": MAX_ATTEMPTS}.get(reply.path)
+        return reply.status == 502 and self.lost_count(reply.request) == max_losses
 
-    def losses(self, request: str) -> int:
+    def lost_count(self, request: str) -> int:
         """Return how many searchers ran a request and lost its answer."""
-        return sum(searcher.lost.count(request) for searcher in self.searchers)
+        return sum(searcher.lost_requests.count(request) for searcher in self.searchers)
 
-    def audit(self) -> None:
+    def check_replies(self) -> None:
         """Compare what callers were told with what the searchers ran."""
         runs: dict[str, list[str]] = defaultdict(list)
         for searcher in self.searchers:
             for request, at in searcher.runs:
                 runs[request].append(searcher.identity)
-                drained = searcher.drained_at
-                if drained is not None and at > drained + DRAIN_S and not self.disturbed(at):
+                drain_started_at = searcher.drained_at
+                if (
+                    drain_started_at is not None
+                    and at > drain_started_at + DRAIN_S
+                    and not self.was_disturbed(at)
+                ):
                     self.problems.append(f"{searcher.identity} ran {request} after its drain")
-        for told in self.told:
-            self.audit_answer(told, runs[told.request])
-        booked = {told.request for told in self.told if told.path == "/book/x"}
+        for reply in self.replies:
+            self.check_reply(reply, runs[reply.request])
+        booked = {reply.request for reply in self.replies if reply.path == "/book/x"}
         for request in booked:
             if len(runs[request]) > 1:
                 self.problems.append(f"{request} ran at {runs[request]}")
 
-    def audit_answer(self, told: Told, runs: list[str]) -> None:
-        if told.status in (408, 421, 429, 503) and told.path == "/book/x" and runs:
-            self.problems.append(f"{told.request} was refused and ran at {runs}")
-        if told.status in (400, 404):
-            self.problems.append(f"{told.request} was denied with {told.status}")
-        if told.status != 200:
+    def check_reply(self, reply: CallerReply, runs: list[str]) -> None:
+        if reply.status in (408, 421, 429, 503) and reply.path == "/book/x" and runs:
+            self.problems.append(f"{reply.request} was refused and ran at {runs}")
+        if reply.status in (400, 404):
+            self.problems.append(f"{reply.request} was denied with {reply.status}")
+        if reply.status != 200:
             return
-        if told.path == "/all/x":
-            self.audit_merged(told)
+        if reply.path == "/all/x":
+            self.check_merged(reply)
             return
-        stamp = told.headers.get("x-masticgate-server-stamp", "")
-        if not stamp.startswith(f"{told.request}."):
-            self.problems.append(f"{told.request} got the stamp {stamp}")
-        if told.body != b"".join(sorted(records_of(told.request, "orders"))):
-            self.problems.append(f"{told.request} got another body")
-
-    def audit_merged(self, told: Told) -> None:
-        stamps = [part.split(".") for part in told.headers["x-masticgate-part-stamps"].split(", ")]
+        stamp = reply.headers.get("x-masticgate-server-stamp", "")
+        if not stamp.startswith(f"{reply.request}."):
+            self.problems.append(f"{reply.request} got the stamp {stamp}")
+        if reply.body != b"".join(sorted(make_records(reply.request, "orders"))):
+            self.problems.append(f"{reply.request} got another body")
+
+    def check_merged(self, reply: CallerReply) -> None:
+        stamps = [part.split(".") for part in reply.headers["x-masticgate-part-stamps"].split(", ")]
         services = [part[2] for part in stamps]
-        missing = int(told.headers["x-masticgate-missing-parts"])
-        right = all(part[0] == told.request for part in stamps)
-        whole = len(set(services)) == len(services) and len(services) + missing == SHARDS
-        if not right or not whole or len(services) * 2 < SHARDS:
-            self.problems.append(f"{told.request} names {stamps} and {missing} missing")
-        records = [record for name in services for record in records_of(told.request, name)]
-        if told.body != b"".join(sorted(records, reverse=True)[:5]):
-            self.problems.append(f"{told.request} is no merge of its parts")
-
-    def disturbed(self, at: float) -> bool:
+        missing = int(reply.headers["x-masticgate-missing-parts"])
+        has_own_stamps = all(part[0] == reply.request for part in stamps)
+        is_complete = len(set(services)) == len(services) and len(services) + missing == SHARDS
+        if not has_own_stamps or not is_complete or len(services) * 2 < SHARDS:
+            self.problems.append(f"{reply.request} names {stamps} and {missing} missing")
+        records = [record for name in services for record in make_records(reply.request, name)]
+        if reply.body != b"".join(sorted(records, reverse=True)[:5]):
+            self.problems.append(f"{reply.request} is no merge of its parts")
+
+    def was_disturbed(self, at: float) -> bool:
         """Tell whether a gateway was disturbed shortly before; it may not know of a drain then."""
         return any(at - gateway.disturbed_at < SETTLE_S + GRACE_S for gateway in self.gateways)
 
 
-LONGEST_FAULT_S = 4.0
+MAX_FAULT_S = 4.0
 
 
-def pause(soak: Soak) -> None:
-    gateway = soak.source.choice(soak.gateways)
+def pause_gateway(soak: Soak) -> None:
+    gateway = soak.rng.choice(soak.gateways)
     gateway.signal(signal.SIGSTOP)
-    time.sleep(soak.source.uniform(0.5, 3.0))
+    time.sleep(soak.rng.uniform(0.5, 3.0))
     gateway.signal(signal.SIGCONT)
 
 
-def kill(soak: Soak) -> None:
-    soak.source.choice(soak.gateways).restart(signal.SIGKILL)
+def kill_gateway(soak: Soak) -> None:
+    soak.rng.choice(soak.gateways).restart(signal.SIGKILL)
 
 
-def stop(soak: Soak) -> None:
-    gateway = soak.source.choice(soak.gateways)
+def stop_gateway(soak: Soak) -> None:
+    gateway = soak.rng.choice(soak.gateways)
     gateway.signal(signal.SIGHUP)
     gateway.restart(signal.SIGTERM)
 
 
-def cut_store(soak: Soak) -> None:
-    proxy = soak.source.choice([soak.store.proxy, *(g.store for g in soak.gateways)])
+def break_store_link(soak: Soak) -> None:
+    proxy = soak.rng.choice([soak.store.proxy, *(g.store_proxy for g in soak.gateways)])
     for gateway in soak.gateways:
         gateway.disturbed_at = time.monotonic()
-    hold(proxy, soak)
+    apply_proxy_fault(proxy, soak)
     for gateway in soak.gateways:
         gateway.disturbed_at = time.monotonic()
 
 
-def forget_history(soak: Soak) -> None:
-    soak.store.forget()
+def drop_store_history(soak: Soak) -> None:
+    soak.store.drop_history()
 
 
-def harm_link(soak: Soak) -> None:
-    hold(choose_searcher(soak).proxy, soak)
+def break_searcher_link(soak: Soak) -> None:
+    apply_proxy_fault(choose_searcher(soak).proxy, soak)
 
 
 def choose_searcher(soak: Soak) -> Searcher:
     """Return a searcher in use; bookings have few, so those are chosen more often."""
     used = [searcher for searcher in soak.searchers if searcher.drained_at is None]
     orders = [searcher for searcher in used if searcher.service == "orders"]
-    return soak.source.choice(orders if soak.source.random() < 0.4 else used)
+    return soak.rng.choice(orders if soak.rng.random() < 0.4 else used)
 
 
-def hold(proxy: Proxy, soak: Soak) -> None:
-    proxy.turn(soak.source.choice([Mode.DELAY, Mode.RESET, Mode.ONE_WAY, Mode.SILENT]))
-    time.sleep(soak.source.uniform(0.3, LONGEST_FAULT_S))
-    proxy.turn(Mode.PASS)
+def apply_proxy_fault(proxy: Proxy, soak: Soak) -> None:
+    proxy.set_mode(
+        soak.rng.choice([ProxyMode.DELAY, ProxyMode.RESET, ProxyMode.ONE_WAY, ProxyMode.SILENT])
+    )
+    time.sleep(soak.rng.uniform(0.3, MAX_FAULT_S))
+    proxy.set_mode(ProxyMode.PASS)
 
 
-def spoil_searcher(soak: Soak) -> None:
+def degrade_searcher(soak: Soak) -> None:
     searcher = choose_searcher(soak)
-    searcher.trouble, searcher.slow = 0.8, soak.source.choice([0.0, 0.1])
-    time.sleep(soak.source.uniform(0.5, LONGEST_FAULT_S))
-    searcher.trouble, searcher.slow = 0.0, 0.0
+    searcher.fault_rate, searcher.extra_delay_s = 0.8, soak.rng.choice([0.0, 0.1])
+    time.sleep(soak.rng.uniform(0.5, MAX_FAULT_S))
+    searcher.fault_rate, searcher.extra_delay_s = 0.0, 0.0
 
 
 def replace_searcher(soak: Soak) -> None:
     """Drain one searcher and list another in its place."""
-    old = soak.source.choice([s for s in soak.searchers if s.drained_at is None])
+    old = soak.rng.choice([s for s in soak.searchers if s.drained_at is None])
     soak.add_searcher(old.service, f"{old.service}-{len(soak.searchers)}")
     soak.list_searcher(old, "draining")
     old.drained_at = time.monotonic()
@@ -665,15 +685,15 @@
 
 
 FAULTS = [
-    pause,
-    kill,
-    stop,
-    cut_store,
-    forget_history,
-    harm_link,
-    harm_link,
-    spoil_searcher,
-    spoil_searcher,
+    pause_gateway,
+    kill_gateway,
+    stop_gateway,
+    break_store_link,
+    drop_store_history,
+    break_searcher_link,
+    break_searcher_link,
+    degrade_searcher,
+    degrade_searcher,
     replace_searcher,
     change_configuration,
 ]
--- a/tests/gateway/test_irregular_answers.py
+++ b/tests/gateway/test_irregular_responses.py
@@ -19,16 +19,16 @@
 from .fakes import HEADER_NAMES, make_entry, make_fleet, make_request, make_route
 from .test_buffers import TaskHandler, UnreadInbox, connect_pair
 
-ANSWER = b"HTTP/1.1 200 OK\r\nx-id: %s\r\nx-stamp: s\r\nContent-Length: 2\r\n\r\nok"
-UNFRAMED = b"HTTP/1.1 200 OK\r\nx-id: %s\r\nx-stamp: s\r\n\r\nok"
+RESPONSE = b"HTTP/1.1 200 OK\r\nx-id: %s\r\nx-stamp: s\r\nContent-Length: 2\r\n\r\nok"
+RESPONSE_WITHOUT_LENGTH = b"HTTP/1.1 200 OK\r\nx-id: %s\r\nx-stamp: s\r\n\r\nok"
 
 
-class NotingOwner(TaskHandler):
+class RecordingHandler(TaskHandler):
     """Keeps what a task notes, and the outcomes of its calls."""
 
     def __init__(self) -> None:
         super().__init__()
-        self.noted = []
+        self.violations = []
         self.outcomes = []
 
     def handle_outcome(self, task, call, load, *, reusable):
@@ -36,19 +36,19 @@
         super().handle_outcome(task, call, load, reusable=reusable)
 
     def record_violation(self, task, violation):
-        self.noted.append(violation)
+        self.violations.append(violation)
 
 
-class Connection:
+class RunningTask:
     """A task that reads one connection, and the searcher's end of it."""
 
     def __init__(self) -> None:
         near, self.far = connect_pair()
-        self.owner = NotingOwner()
+        self.handler = RecordingHandler()
         self.task = SearcherTask(
             SearcherId("s1"),
             Address("127.0.0.1:9"),
-            self.owner,
+            self.handler,
             HEADER_NAMES,
             ManualClock(),
             number=ConnectionNumber(7),
@@ -60,7 +60,7 @@
     def _read(self) -> None:
         self.task._finish(self.task._receive_responses(), connected=True)
 
-    def ask(self, identity: str, answer: bytes) -> None:
+    def run_call(self, identity: str, response: bytes) -> None:
         call = Call(
             make_request(identity),
             make_route(),
@@ -70,7 +70,7 @@
         )
         assert self.task.dispatch(call)
         assert self.far.recv(65_536).endswith(b"\r\n\r\n")
-        self.far.sendall(answer)
+        self.far.sendall(response)
 
     def close(self) -> None:
         self.far.close()
@@ -78,40 +78,40 @@
         assert not self.reader.is_alive()
 
 
-class TestNotes:
+class TestViolations:
     def test_an_answer_to_another_request_is_noted_and_skipped(self):
-        connection = Connection()
-        connection.ask("q2", ANSWER % b"q1" + ANSWER % b"q2")
-        assert connection.owner.finished.acquire(timeout=5)
-        connection.ask("q3", ANSWER % b"q3")
-        assert connection.owner.finished.acquire(timeout=5)
-        connection.close()
-        assert connection.owner.outcomes[1].receive_info.is_regular
-        assert connection.owner.noted == [SkippedResponse("q1", "q2")]
-        receive_info = connection.owner.outcomes[0].receive_info
+        running_task = RunningTask()
+        running_task.run_call("q2", RESPONSE % b"q1" + RESPONSE % b"q2")
+        assert running_task.handler.finished.acquire(timeout=5)
+        running_task.run_call("q3", RESPONSE % b"q3")
+        assert running_task.handler.finished.acquire(timeout=5)
+        running_task.close()
+        assert running_task.handler.outcomes[1].receive_info.is_regular
+        assert running_task.handler.violations == [SkippedResponse("q1", "q2")]
+        receive_info = running_task.handler.outcomes[0].receive_info
         assert receive_info == ReceiveInfo(ConnectionNumber(7), BodyFraming.LENGTH, 1)
         assert not receive_info.is_regular
 
     def test_bytes_behind_an_answer_are_noted(self):
-        connection = Connection()
-        connection.ask("q1", ANSWER % b"q1" + b"more")
-        connection.close()
-        assert connection.owner.noted == [TrailingBytes("q1")]
+        running_task = RunningTask()
+        running_task.run_call("q1", RESPONSE % b"q1" + b"more")
+        running_task.close()
+        assert running_task.handler.violations == [TrailingBytes("q1")]
 
     def test_bytes_on_an_idle_connection_are_noted(self):
-        connection = Connection()
-        connection.far.sendall(b"nobody asked")
-        connection.close()
-        assert connection.owner.noted == [UnrequestedBytes(len(b"nobody asked"))]
+        running_task = RunningTask()
+        running_task.far.sendall(b"nobody asked")
+        running_task.close()
+        assert running_task.handler.violations == [UnrequestedBytes(len(b"nobody asked"))]
 
     def test_an_answer_tells_that_the_close_ended_it(self):
-        connection = Connection()
-        connection.ask("q1", UNFRAMED % b"q1")
-        connection.close()
-        assert connection.owner.outcomes[0].receive_info.framing is BodyFraming.CLOSE
+        running_task = RunningTask()
+        running_task.run_call("q1", RESPONSE_WITHOUT_LENGTH % b"q1")
+        running_task.close()
+        assert running_task.handler.outcomes[0].receive_info.framing is BodyFraming.CLOSE
 
 
-class TestFleetNotes:
+class TestFleetViolations:
     def test_each_is_logged_with_its_connection_and_counted(self):
         fleet = make_fleet()
         fleet.apply_listing(make_entry("s1"))
@@ -145,18 +145,18 @@
     # Guards against a call without an outcome, and a connection that counts as busy for ever.
     def test_an_error_ends_its_call_and_its_connection(self):
         near, far = connect_pair()
-        owner = NotingOwner()
+        handler = RecordingHandler()
         call = Call(
             make_request("q"), make_route(), ServiceId("orders"), Millis(400.0), UnreadInbox()
         )
         task = SearcherTask(
-            SearcherId("s1"), Address("127.0.0.1:9"), owner, HEADER_NAMES, ManualClock(), call
+            SearcherId("s1"), Address("127.0.0.1:9"), handler, HEADER_NAMES, ManualClock(), call
         )
         task.client.socket = near
         task.parser = None
-        far.sendall(ANSWER % b"q")
+        far.sendall(RESPONSE % b"q")
         with pytest.raises(AttributeError):
             task.run()
-        assert isinstance(owner.outcomes[0], Lost)
+        assert isinstance(handler.outcomes[0], Lost)
         assert task.client.socket is None
         far.close()
--- a/tests/gateway/test_answers.py
+++ b/tests/gateway/test_response_matching.py
@@ -66,7 +66,7 @@
     CLOSE = "close"
 
 
-class Moment(Enum):
+class DispatchTime(Enum):
     """When the next call is given to a connection that has become idle."""
 
     AT_FINISH = "at finish"
@@ -75,7 +75,7 @@
 
 
 @dataclass(frozen=True)
-class Message:
+class PlannedResponse:
     """One answer as its searcher meant it."""
 
     identity: str | None
@@ -83,28 +83,28 @@
     body: bytes
     framing: Framing = Framing.LENGTH
     not_run: bool = False
-    order: tuple[int, ...] = (0, 1, 2, 3, 4)
-    part: str = ""
+    header_order: tuple[int, ...] = (0, 1, 2, 3, 4)
+    suffix: str = ""
 
     @property
     def stamp(self) -> str:
-        return f"stamp-{self.identity}-{self.status}{self.part}"
+        return f"stamp-{self.identity}-{self.status}{self.suffix}"
 
     @property
-    def refusal(self) -> bool:
+    def is_refusal(self) -> bool:
         return self.not_run or self.status == 421
 
     @property
     def head(self) -> bytes:
         lines = [
             b"" if self.identity is None else b"x-id: %s\r\n" % self.identity.encode(),
-            b"" if self.refusal else b"x-stamp: %s\r\n" % self.stamp.encode(),
+            b"" if self.is_refusal else b"x-stamp: %s\r\n" % self.stamp.encode(),
             self._framing(),
             b"Server: stand-in\r\n",
             b"x-not-run: 1\r\n" if self.not_run else b"",
         ]
         line = b"HTTP/1.1 %d Some Reason\r\n" % self.status
-        return line + b"".join(lines[place] for place in self.order) + b"\r\n"
+        return line + b"".join(lines[index] for index in self.header_order) + b"\r\n"
 
     def encode(self) -> bytes:
         if self.framing is not Framing.CHUNKED:
@@ -124,7 +124,7 @@
                 return b""
 
 
-def records(identity: str, count: int) -> bytes:
+def make_records(identity: str, count: int) -> bytes:
     """Return records that no other identity has."""
     return random.Random(identity).randbytes(16 * count)
 
@@ -137,46 +137,46 @@
     before the answer to the next request.
     """
 
-    message: Message
+    response: PlannedResponse
     sent: bytes
     end: ConnectionEnd = ConnectionEnd.OPEN
-    late: bytes = b""
-    split: int = 0
-    moment: Moment = Moment.BEFORE_RECEIVE
-    cuts: tuple[int, ...] = ()
+    late_bytes: bytes = b""
+    late_split: int = 0
+    dispatch_time: DispatchTime = DispatchTime.BEFORE_RECEIVE
+    segment_offsets: tuple[int, ...] = ()
 
 
-class StagedSocket(socket.socket):
+class SteppingSocket(socket.socket):
     """Lets the far end go one step on whenever the reader has taken all that was sent."""
 
-    def __init__(self, plain: socket.socket, conversation: "Conversation") -> None:
+    def __init__(self, plain: socket.socket, connection: "ScriptedConnection") -> None:
         super().__init__(fileno=plain.detach())
-        self.conversation = conversation
+        self.connection = connection
 
     def recv_into(self, buffer, size=0, flags=0):
         poller = select.poll()
         poller.register(self, select.POLLIN)
         if not poller.poll(0):
-            next(self.conversation.script)
+            next(self.connection.script)
         count = super().recv_into(buffer, size, flags)
-        self.conversation.received()
+        self.connection.handle_receive()
         return count
 
 
-class Conversation:
+class ScriptedConnection:
     """Plays exchanges over one real connection, in one thread, and keeps their calls."""
 
-    def __init__(self, exchanges: list[Exchange], last: Call | None = None) -> None:
+    def __init__(self, exchanges: list[Exchange], last_call: Call | None = None) -> None:
         near, self.far = connect_pair()
-        self.last = last
-        self.waiting = list(exchanges)
+        self.last_call = last_call
+        self.pending_exchanges = list(exchanges)
         self.calls: list[tuple[Exchange, Call]] = []
-        self.given_in_receive = False
-        self.script = self._play()
+        self.dispatch_in_receive = False
+        self.script = self._run_script()
         self.task = SearcherTask(
             SearcherId("s1"), Address("127.0.0.1:9"), self, HEADER_NAMES, ManualClock()
         )
-        self.task.client.socket = self.near = StagedSocket(near, self)
+        self.task.client.socket = self.near = SteppingSocket(near, self)
 
     def run(self) -> list[tuple[Exchange, Call]]:
         self.task.run()
@@ -187,8 +187,8 @@
         pass
 
     def handle_outcome(self, task, call, load, *, reusable):
-        if reusable and self.calls[-1][0].moment is Moment.AT_FINISH:
-            self._give()
+        if reusable and self.calls[-1][0].dispatch_time is DispatchTime.AT_FINISH:
+            self._dispatch_next()
 
     def handle_close(self, task, *, connected):
         pass
@@ -196,56 +196,58 @@
     def record_violation(self, task, violation):
         pass
 
-    def received(self) -> None:
-        if self.given_in_receive:
-            self.given_in_receive = False
-            self._give()
+    def handle_receive(self) -> None:
+        if self.dispatch_in_receive:
+            self.dispatch_in_receive = False
+            self._dispatch_next()
 
-    def _give(self) -> None:
+    def _dispatch_next(self) -> None:
         """Give the next call, as another task would."""
-        if not self.waiting:
+        if not self.pending_exchanges:
             return
-        exchange = self.waiting.pop(0)
-        call = self.last if self.last and not self.waiting else None
-        call = call or make_call(exchange.message.identity)
+        exchange = self.pending_exchanges.pop(0)
+        call = self.last_call if self.last_call and not self.pending_exchanges else None
+        call = call or make_call(exchange.response.identity)
         self.calls.append((exchange, call))
         assert self.task.dispatch(call)
 
-    def _play(self) -> Iterator[None]:
+    def _run_script(self) -> Iterator[None]:
         """Do what the searcher does, until the connection ends; each step is one to receive."""
         pending = b""
         number = 0
-        while self._is_given(number):
+        while self._ensure_dispatched(number):
             exchange, call = self.calls[number]
-            yield from self._send(pending + exchange.sent, exchange.cuts)
+            yield from self._send_segments(pending + exchange.sent, exchange.segment_offsets)
             if exchange.end is not ConnectionEnd.OPEN:
-                self._end(exchange.end)
+                self._close(exchange.end)
                 yield
             number += 1
-            pending = exchange.late
+            pending = exchange.late_bytes
             if call.outcome is None:
-                yield from self._send(pending, exchange.cuts)
+                yield from self._send_segments(pending, exchange.segment_offsets)
                 break
-            if number == len(self.calls) and exchange.split:
-                self.given_in_receive = exchange.moment is Moment.IN_RECEIVE
-                yield from self._send(pending[: exchange.split], exchange.cuts)
-                pending = pending[exchange.split :]
+            if number == len(self.calls) and exchange.late_split:
+                self.dispatch_in_receive = exchange.dispatch_time is DispatchTime.IN_RECEIVE
+                yield from self._send_segments(
+                    pending[: exchange.late_split], exchange.segment_offsets
+                )
+                pending = pending[exchange.late_split :]
         self.task.close()
         yield
 
-    def _is_given(self, number: int) -> bool:
+    def _ensure_dispatched(self, number: int) -> bool:
         if number == len(self.calls):
-            self._give()
+            self._dispatch_next()
         return number < len(self.calls)
 
-    def _send(self, data: bytes, cuts: tuple[int, ...]) -> Iterator[None]:
-        places = sorted({cut % len(data) for cut in cuts}) if data else []
-        for start, stop in zip([0, *places], [*places, len(data)], strict=True):
+    def _send_segments(self, data: bytes, segment_offsets: tuple[int, ...]) -> Iterator[None]:
+        offsets = sorted({offset % len(data) for offset in segment_offsets}) if data else []
+        for start, stop in zip([0, *offsets], [*offsets, len(data)], strict=True):
             if start < stop:
                 self.far.sendall(data[start:stop])
                 yield
 
-    def _end(self, end: ConnectionEnd) -> None:
+    def _close(self, end: ConnectionEnd) -> None:
         """Close the connection; a request that was not received would make that a reset."""
         if end is ConnectionEnd.RESET:
             self.far.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET_AT_CLOSE)
@@ -263,25 +265,25 @@
     return [value for key, value in answer.headers if key.lower() == name]
 
 
-def check(exchange: Exchange, call: Call) -> None:
+def check_call(exchange: Exchange, call: Call) -> None:
     """Fail where a call got what its searcher did not mean for it."""
-    message = exchange.message
+    response = exchange.response
     match call.outcome:
         case Answered() as answer:
-            assert not message.refusal
-            assert (answer.status, answer.stamp) == (message.status, message.stamp)
-            assert answer.body == message.body
-            assert field_values(answer, HEADER_NAMES.request_id) == [message.identity.encode()]
-            assert field_values(answer, HEADER_NAMES.stamp) == [message.stamp.encode()]
+            assert not response.is_refusal
+            assert (answer.status, answer.stamp) == (response.status, response.stamp)
+            assert answer.body == response.body
+            assert field_values(answer, HEADER_NAMES.request_id) == [response.identity.encode()]
+            assert field_values(answer, HEADER_NAMES.stamp) == [response.stamp.encode()]
         case Declined():
-            assert message.refusal
+            assert response.is_refusal
         case Lost():
             return
         case None:
             raise AssertionError("a call without an outcome")
 
 
-JUNK = [
+INVALID_BYTES = [
     b"\0" * 20,
     b"garbage\r\n\r\n",
     b"\r\n",
@@ -290,121 +292,164 @@
     b"HTTP/1.1 200 OK\r\n\r\n",
     b"HTTP/1.1 200 OK\r\nContent-Length: 40\r\n\r\n",
 ]
-INTERIM = [b"HTTP/1.1 100 Continue\r\n\r\n", b"HTTP/1.1 103 Hints\r\nLink: </a>\r\n\r\n"]
-STATUSES = [(200, False)] * 6 + [
+INTERIM_RESPONSES = [b"HTTP/1.1 100 Continue\r\n\r\n", b"HTTP/1.1 103 Hints\r\nLink: </a>\r\n\r\n"]
+STATUS_CHOICES = [(200, False)] * 6 + [
     (500, False),
     (404, False),
     (204, False),
     (503, True),
     (421, False),
 ]
-KINDS = ["whole"] * 6 + ["interim", "other", "none", "junk"]
-FRAMINGS = [Framing.LENGTH] * 3 + [Framing.CHUNKED, Framing.CLOSE]
-ENDS = [ConnectionEnd.OPEN] * 6 + [ConnectionEnd.ORDERLY, ConnectionEnd.RESET, ConnectionEnd.RESET]
+FIRST_PART_KINDS = ["complete"] * 6 + ["interim", "other", "none", "junk"]
+FRAMING_CHOICES = [Framing.LENGTH] * 3 + [Framing.CHUNKED, Framing.CLOSE]
+END_CHOICES = [ConnectionEnd.OPEN] * 6 + [
+    ConnectionEnd.ORDERLY,
+    ConnectionEnd.RESET,
+    ConnectionEnd.RESET,
+]
 
 
 @dataclass(frozen=True)
-class Part:
+class SentPart:
     """Some of the bytes that a searcher sends; ``missing`` is what a cut answer lacks."""
 
     data: bytes
-    unframed: bool = False
-    missing: int = 0
+    ends_with_close: bool = False
+    missing_bytes: int = 0
 
 
-def is_decidable(parts: list[Part], end: ConnectionEnd) -> bool:
+def is_unambiguous(sent_parts: list[SentPart], end: ConnectionEnd) -> bool:
     """Tell whether a receiver can know the part that is an answer to the call and whole."""
-    for place, part in enumerate(parts):
-        behind = parts[place + 1 :]
+    for index, part in enumerate(sent_parts):
+        later_parts = sent_parts[index + 1 :]
         # An answer without a length ends with its connection, as does what stands behind it.
-        if part.unframed and end is ConnectionEnd.ORDERLY and (part.missing or behind):
+        if (
+            part.ends_with_close
+            and end is ConnectionEnd.ORDERLY
+            and (part.missing_bytes or later_parts)
+        ):
             return False
         # Bytes that fill up a cut answer are told from it only if they look like a next one.
-        if part.missing and any(other.data in JUNK for other in behind):
+        if part.missing_bytes and any(other.data in INVALID_BYTES for other in later_parts):
             return False
-        if 0 < part.missing < STATUS_LINE_START and behind:
+        if 0 < part.missing_bytes < STATUS_LINE_START and later_parts:
             return False
     return True
 
 
 @st.composite
-def messages(draw, identity: str, part: str = "") -> Message:
-    status, not_run = draw(st.sampled_from(STATUSES))
+def responses(draw, identity: str, suffix: str = "") -> PlannedResponse:
+    status, not_run = draw(st.sampled_from(STATUS_CHOICES))
     empty = status == 204
-    return Message(
+    return PlannedResponse(
         identity,
         status,
-        b"" if empty else records(identity + part, draw(st.sampled_from([0, 1, 3, 20, 300]))),
-        Framing.LENGTH if empty else draw(st.sampled_from(FRAMINGS)),
+        (
+            b""
+            if empty
+            else make_records(identity + suffix, draw(st.sampled_from([0, 1, 3, 20, 300])))
+        ),
+        Framing.LENGTH if empty else draw(st.sampled_from(FRAMING_CHOICES)),
         not_run,
         tuple(draw(st.permutations(range(5)))),
-        part,
+        suffix,
     )
 
 
-def cut_places(message: Message, data: bytes) -> list[int]:
+def truncation_offsets(response: PlannedResponse, data: bytes) -> list[int]:
     """Return where an answer may be cut: within its head, at the edges of lines, in its body."""
-    head = len(message.head)
-    edges = [place for place in range(1, head) if data[place - 1 : place] in (b" ", b"\r", b"\n")]
-    return [place for place in (*edges, *range(1, len(data), 7)) if place < len(data)]
+    head = len(response.head)
+    edges = [index for index in range(1, head) if data[index - 1 : index] in (b" ", b"\r", b"\n")]
+    return [index for index in (*edges, *range(1, len(data), 7)) if index < len(data)]
 
 
 @st.composite
-def parts(draw, message: Message, cut: bool) -> Part:
+def sent_parts(draw, response: PlannedResponse, truncated: bool) -> SentPart:
     """Return an answer, which may have another framing or be cut short."""
-    if message.status != 204 and draw(st.booleans()):
-        message = replace(message, framing=draw(st.sampled_from(FRAMINGS)))
-    data = message.encode()
-    kept = draw(st.sampled_from(cut_places(message, data))) if cut else len(data)
-    return Part(data[:kept], message.framing is Framing.CLOSE, len(data) - kept)
+    if response.status != 204 and draw(st.booleans()):
+        response = replace(response, framing=draw(st.sampled_from(FRAMING_CHOICES)))
+    data = response.encode()
+    kept = draw(st.sampled_from(truncation_offsets(response, data))) if truncated else len(data)
+    return SentPart(data[:kept], response.framing is Framing.CLOSE, len(data) - kept)
 
 
 @st.composite
-def first_parts(draw, message: Message, cut: int) -> list[Part]:
+def first_sent_parts(draw, response: PlannedResponse, truncation_weight: int) -> list[SentPart]:
     """Return what a searcher sends where an answer is due, cut short as often as told."""
-    match draw(st.sampled_from(KINDS + ["cut"] * cut)):
+    match draw(st.sampled_from(FIRST_PART_KINDS + ["truncated"] * truncation_weight)):
         case "interim":
-            return [Part(draw(st.sampled_from(INTERIM))), draw(parts(message, False))]
-        case "cut":
-            return [draw(parts(message, True))]
+            return [
+                SentPart(draw(st.sampled_from(INTERIM_RESPONSES))),
+                draw(sent_parts(response, False)),
+            ]
+        case "truncated":
+            return [draw(sent_parts(response, True))]
         case "other":
-            return [draw(parts(replace(message, identity="other", body=records("o", 2)), False))]
+            return [
+                draw(
+                    sent_parts(
+                        replace(response, identity="other", body=make_records("o", 2)), False
+                    )
+                )
+            ]
         case "none":
-            return [draw(parts(replace(message, identity=None, body=records("n", 2)), False))]
+            return [
+                draw(sent_parts(replace(response, identity=None, body=make_records("n", 2)), False))
+            ]
         case "junk":
-            return [Part(draw(st.sampled_from(JUNK))), draw(parts(message, False))]
+            return [
+                SentPart(draw(st.sampled_from(INVALID_BYTES))),
+                draw(sent_parts(response, False)),
+            ]
         case _:
-            return [draw(parts(message, False))]
+            return [draw(sent_parts(response, False))]
 
 
 @st.composite
-def exchanges(draw, identity: str, cut_open: bool = False, part: str = "") -> Exchange:
+def exchanges(draw, identity: str, truncates_open: bool = False, suffix: str = "") -> Exchange:
     """Return an exchange; answers are cut on open connections only if ``cut_open``."""
-    message = draw(messages(identity, part))
-    end = draw(st.sampled_from(ENDS))
-    sent = draw(first_parts(message, 4 if cut_open or end is not ConnectionEnd.OPEN else 0))
-    copied = cut_open and draw(st.booleans())
-    goes_on = cut_open or not sent[-1].missing
-    for _ in range(draw(st.sampled_from([0, 0, 0, 1, 2])) if goes_on else 0):
-        sent.append(draw(st.sampled_from(JUNK).map(Part) | parts(message, copied)))
-    late = []
-    if draw(st.sampled_from([True] * (3 if cut_open else 1) + [False])):
-        late = [draw(parts(message, cut_open and draw(st.booleans())))]
-    assume(is_decidable(sent + (late if end is ConnectionEnd.OPEN else []), end))
-    data, data_late = (b"".join(part.data for part in group) for group in (sent, late))
-    split = draw(st.sampled_from([0, 0, 0, len(data_late), len(data_late) // 3]))
-    cuts = tuple(draw(st.lists(st.integers(0, 600), max_size=3)))
-    return Exchange(message, data, end, data_late, split, draw(st.sampled_from(Moment)), cuts)
+    response = draw(responses(identity, suffix))
+    end = draw(st.sampled_from(END_CHOICES))
+    sent = draw(
+        first_sent_parts(response, 4 if truncates_open or end is not ConnectionEnd.OPEN else 0)
+    )
+    truncates_copies = truncates_open and draw(st.booleans())
+    continues = truncates_open or not sent[-1].missing_bytes
+    for _ in range(draw(st.sampled_from([0, 0, 0, 1, 2])) if continues else 0):
+        sent.append(
+            draw(
+                st.sampled_from(INVALID_BYTES).map(SentPart)
+                | sent_parts(response, truncates_copies)
+            )
+        )
+    late_bytes = []
+    if draw(st.sampled_from([True] * (3 if truncates_open else 1) + [False])):
+        late_bytes = [draw(sent_parts(response, truncates_open and draw(st.booleans())))]
+    assume(is_unambiguous(sent + (late_bytes if end is ConnectionEnd.OPEN else []), end))
+    data, late_data = (b"".join(part.data for part in group) for group in (sent, late_bytes))
+    late_split = draw(st.sampled_from([0, 0, 0, len(late_data), len(late_data) // 3]))
+    segment_offsets = tuple(draw(st.lists(st.integers(0, 600), max_size=3)))
+    return Exchange(
+        response,
+        data,
+        end,
+        late_data,
+        late_split,
+        draw(st.sampled_from(DispatchTime)),
+        segment_offsets,
+    )
 
 
 @st.composite
-def series(draw, cut_open: bool) -> list[Exchange]:
-    return [draw(exchanges(f"q{number}", cut_open)) for number in range(draw(st.integers(1, 4)))]
+def exchange_lists(draw, truncates_open: bool) -> list[Exchange]:
+    return [
+        draw(exchanges(f"q{number}", truncates_open)) for number in range(draw(st.integers(1, 4)))
+    ]
 
 
-QUERY = "query"
-TOP = 5
-LEAST_SHARE = 0.5
+QUERY_ID = "query"
+TOP_K = 5
+MIN_SHARD_RATIO = 0.5
 Plans = dict[str, list[list[Exchange]]]
 
 
@@ -414,15 +459,15 @@
     return {
         f"s{shard}": [
             draw(st.lists(exchanges(f"before-{shard}-{attempt}"), max_size=1))
-            + [draw(exchanges(QUERY, part=f"-{shard}-{attempt}"))]
+            + [draw(exchanges(QUERY_ID, suffix=f"-{shard}-{attempt}"))]
             for attempt in range(2)
         ]
         for shard in range(draw(st.integers(1, 4)))
     }
 
 
-class PlayedShards:
-    """Senders and inbox in one: each send is played on a connection of its own until it ends."""
+class ScriptedShards:
+    """Senders and inbox in one: each send is upstream on a connection of its own until it ends."""
 
     def __init__(self, plans: Plans) -> None:
         self.plans = {service: list(plan) for service, plan in plans.items()}
@@ -431,15 +476,15 @@
     def now(self):
         return Millis(0.0)
 
-    def send(self, call, tried):
+    def send(self, call, attempts):
         if not self.plans[call.service]:
             return NotRun(Reason.NO_SEARCHER, Step.ROUTE, call.service)
-        planned = self.plans[call.service].pop(0)
-        Conversation(planned, call).run()
+        exchanges = self.plans[call.service].pop(0)
+        ScriptedConnection(exchanges, call).run()
         if not call.started:
-            Conversation(planned[-1:], call).run()
+            ScriptedConnection(exchanges[-1:], call).run()
         self.finished.append(call)
-        return ScriptedCall(call, SearcherId(f"{call.service}-{len(tried)}"))
+        return ScriptedCall(call, SearcherId(f"{call.service}-{len(attempts)}"))
 
     def hedge_delay(self, route):
         return Millis(1_000.0)
@@ -462,111 +507,152 @@
 
 def check_merged(merged: Merged, plans: Plans) -> None:
     """Fail where a query's answer is not the merge of the parts that it names."""
-    meant = {
-        plan[-1].message.stamp: (service, plan[-1].message)
-        for service, tried in plans.items()
-        for plan in tried
-        if plan[-1].message.status in (200, 204)
+    expected = {
+        plan[-1].response.stamp: (service, plan[-1].response)
+        for service, attempts in plans.items()
+        for plan in attempts
+        if plan[-1].response.status in (200, 204)
     }
-    assert set(merged.stamps) <= set(meant)
-    named = [meant[stamp] for stamp in merged.stamps]
-    assert len({service for service, _ in named}) == len(named) >= len(plans) * LEAST_SHARE
-    assert len(named) + merged.missing == len(plans)
-    bodies = b"".join(message.body for _, message in named)
-    held = [bodies[start : start + 16] for start in range(0, len(bodies), 16)]
-    assert merged.records == b"".join(sorted(held, reverse=True)[:TOP])
+    assert set(merged.stamps) <= set(expected)
+    included = [expected[stamp] for stamp in merged.stamps]
+    assert (
+        len({service for service, _ in included}) == len(included) >= len(plans) * MIN_SHARD_RATIO
+    )
+    assert len(included) + merged.missing == len(plans)
+    bodies = b"".join(response.body for _, response in included)
+    all_records = [bodies[start : start + 16] for start in range(0, len(bodies), 16)]
+    assert merged.records == b"".join(sorted(all_records, reverse=True)[:TOP_K])
 
 
-def play(*planned: Exchange) -> None:
+def run_and_check(*exchanges: Exchange) -> None:
     """Play exchanges on one connection and check each call."""
-    for exchange, call in Conversation(list(planned)).run():
-        check(exchange, call)
+    for exchange, call in ScriptedConnection(list(exchanges)).run():
+        check_call(exchange, call)
 
 
-class TestAnswersOfOneConnection:
+class TestResponsesOfOneConnection:
     """No call takes what its searcher did not mean for it."""
 
     @settings(max_examples=EXAMPLES, deadline=None, derandomize=True)
-    @given(series(cut_open=False))
-    def test_each_call_gets_its_own_whole_answer_or_none(self, planned):
-        play(*planned)
+    @given(exchange_lists(truncates_open=False))
+    def test_each_call_gets_its_own_whole_answer_or_none(self, planned_exchanges):
+        run_and_check(*planned_exchanges)
 
     @settings(max_examples=EXAMPLES // 4, deadline=None, derandomize=True)
-    @given(st.lists(messages("q"), min_size=1, max_size=4), st.sampled_from(Moment))
-    def test_whole_answers_are_all_taken(self, planned, moment):
-        own = [replace(message, identity=f"q{place}") for place, message in enumerate(planned)]
-        last = own[-1].framing is Framing.CLOSE
-        own = [m for m in own[:-1] if m.framing is not Framing.CLOSE] + own[-1:]
-        series = [Exchange(message, message.encode(), moment=moment) for message in own]
-        series[-1] = replace(series[-1], end=ConnectionEnd.ORDERLY if last else ConnectionEnd.OPEN)
-        played = Conversation(series).run()
-        assert len(played) == len(series)
-        for exchange, call in played:
-            check(exchange, call)
+    @given(st.lists(responses("q"), min_size=1, max_size=4), st.sampled_from(DispatchTime))
+    def test_whole_answers_are_all_taken(self, drawn_responses, dispatch_time):
+        numbered = [
+            replace(response, identity=f"q{number}")
+            for number, response in enumerate(drawn_responses)
+        ]
+        ends_with_close = numbered[-1].framing is Framing.CLOSE
+        numbered = [
+            response for response in numbered[:-1] if response.framing is not Framing.CLOSE
+        ] + numbered[-1:]
+        series = [
+            Exchange(response, response.encode(), dispatch_time=dispatch_time)
+            for response in numbered
+        ]
+        series[-1] = replace(
+            series[-1], end=ConnectionEnd.ORDERLY if ends_with_close else ConnectionEnd.OPEN
+        )
+        exchange_calls = ScriptedConnection(series).run()
+        assert len(exchange_calls) == len(series)
+        for exchange, call in exchange_calls:
+            check_call(exchange, call)
             assert isinstance(call.outcome, Answered | Declined)
 
 
-class TestCutAnswersOnOpenConnections:
+class TestTruncatedResponsesOnOpenConnections:
     """A searcher stops within an answer, keeps the connection and goes on with the next one."""
 
     @settings(max_examples=EXAMPLES, deadline=None, derandomize=True)
-    @given(series(cut_open=True))
-    def test_each_call_gets_its_own_whole_answer_or_none(self, planned):
-        play(*planned)
+    @given(exchange_lists(truncates_open=True))
+    def test_each_call_gets_its_own_whole_answer_or_none(self, planned_exchanges):
+        run_and_check(*planned_exchanges)
 
     # Guards against a success whose searcher had failed: the status was a cut late answer's.
     def test_the_status_of_a_cut_answer_is_not_taken_for_the_next_ones(self):
-        before, own = Message("q0", 200, b""), Message("q1", 500, records("q1", 1))
-        late = b"HTTP/1.1 200 "
-        play(Exchange(before, before.encode(), late=late), Exchange(own, own.encode()))
-        bytewise = Exchange(own, own.encode(), cuts=tuple(range(60)))
-        play(Exchange(before, before.encode(), late=late), bytewise)
+        earlier, response = PlannedResponse("q0", 200, b""), PlannedResponse(
+            "q1", 500, make_records("q1", 1)
+        )
+        late_bytes = b"HTTP/1.1 200 "
+        run_and_check(
+            Exchange(earlier, earlier.encode(), late_bytes=late_bytes),
+            Exchange(response, response.encode()),
+        )
+        byte_by_byte = Exchange(response, response.encode(), segment_offsets=tuple(range(60)))
+        run_and_check(
+            Exchange(earlier, earlier.encode(), late_bytes=late_bytes),
+            byte_by_byte,
+        )
 
     # Guards against an answer that bears two requests' ids and stamps, the first a stranger's.
     def test_headers_of_a_cut_answer_are_not_taken_for_the_next_ones(self):
-        before, own = Message("q0", 200, b""), Message("q1", 200, records("q1", 1))
-        cut = before.encode().partition(b"-q0-200")[0]
-        play(Exchange(before, before.encode(), late=cut), Exchange(own, own.encode()))
+        earlier, response = PlannedResponse("q0", 200, b""), PlannedResponse(
+            "q1", 200, make_records("q1", 1)
+        )
+        truncated_bytes = earlier.encode().partition(b"-q0-200")[0]
+        run_and_check(
+            Exchange(earlier, earlier.encode(), late_bytes=truncated_bytes),
+            Exchange(response, response.encode()),
+        )
 
     # Guards against a promise of not having run, for a request that ran.
     def test_a_cut_refusal_does_not_make_the_next_answer_one(self):
-        before, own = Message("q0", 503, b"", not_run=True), Message("q1", 200, records("q1", 1))
-        cut = b"HTTP/1.1 503 X\r\nx-not-run: 1\r\nx-id: "
-        play(Exchange(before, before.encode(), late=cut), Exchange(own, own.encode()))
+        earlier, response = PlannedResponse("q0", 503, b"", not_run=True), PlannedResponse(
+            "q1", 200, make_records("q1", 1)
+        )
+        truncated_bytes = b"HTTP/1.1 503 X\r\nx-not-run: 1\r\nx-id: "
+        run_and_check(
+            Exchange(earlier, earlier.encode(), late_bytes=truncated_bytes),
+            Exchange(response, response.encode()),
+        )
 
     # Guards against a body of which a part is the head of the answer's second copy.
     def test_a_copy_that_comes_at_once_does_not_fill_up_a_cut_answer(self):
-        own = Message("q0", 200, records("q0", 3))
-        play(Exchange(own, own.encode()[:-20] + own.encode()))
+        response = PlannedResponse("q0", 200, make_records("q0", 3))
+        run_and_check(Exchange(response, response.encode()[:-20] + response.encode()))
 
     # Guards against the same where the copy arrives so that nothing stands behind the body.
     def test_a_copy_that_comes_in_pieces_does_not_fill_up_a_cut_answer(self):
-        own = Message("q0", 200, records("q0", 300))
-        missing = 2 * len(own.head)
-        cut = own.encode()[:-missing]
-        play(Exchange(own, cut, late=own.encode(), cuts=(missing,)))
+        response = PlannedResponse("q0", 200, make_records("q0", 300))
+        missing_size = 2 * len(response.head)
+        truncated_bytes = response.encode()[:-missing_size]
+        run_and_check(
+            Exchange(
+                response,
+                truncated_bytes,
+                late_bytes=response.encode(),
+                segment_offsets=(missing_size,),
+            )
+        )
 
     def test_a_body_that_quotes_a_status_line_is_taken(self):
-        own = Message(
+        response = PlannedResponse(
             "q0", 200, b"GET / gave HTTP/1.1 200 Some Reason\r\nx-id: other\r\n\r\nand so on"
         )
-        call = Conversation([Exchange(own, own.encode())]).run()[0][1]
-        assert isinstance(call.outcome, Answered) and call.outcome.body == own.body
+        call = ScriptedConnection([Exchange(response, response.encode())]).run()[0][1]
+        assert isinstance(call.outcome, Answered) and call.outcome.body == response.body
 
 
-class ResetNoticedBySender(socket.socket):
+class ResetReportedToSender(socket.socket):
     """Holds the second receive until a send has failed, and the task that sent until then."""
 
     def __init__(self, plain: socket.socket) -> None:
         super().__init__(fileno=plain.detach())
-        self.receives = 0
-        self.half_read, self.failed, self.read_end = Event(), Event(), Event()
+        self.receive_count = 0
+        self.second_receive_started, self.send_failed, self.call_finished = (
+            Event(),
+            Event(),
+            Event(),
+        )
 
     def recv_into(self, buffer, size=0, flags=0):
-        self.receives += 1
-        if self.receives > 1:
-            self.half_read.set()
-            assert self.failed.wait(5)
+        self.receive_count += 1
+        if self.receive_count > 1:
+            self.second_receive_started.set()
+            assert self.send_failed.wait(5)
         return super().recv_into(buffer, size, flags)
 
     def send(self, data, flags=0):
@@ -575,12 +661,12 @@
         except BlockingIOError:
             raise
         except OSError:
-            self.failed.set()
-            self.read_end.wait(0.5)
+            self.send_failed.set()
+            self.call_finished.wait(0.5)
             raise
 
 
-class EndNoted:
+class FinishRecorder:
     """An owner that notes when a call is finished."""
 
     def __init__(self, finished: Event) -> None:
@@ -603,23 +689,25 @@
     def test_an_answer_without_length_is_not_whole_if_a_send_took_its_reset(self):
         near, far = connect_pair()
         near.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4_096)
-        held = ResetNoticedBySender(near)
+        stream = ResetReportedToSender(near)
         call = make_call("q0")
         call.request = replace(call.request, method=b"POST", body=bytes(4_000_000))
-        owner = EndNoted(held.read_end)
+        handler = FinishRecorder(stream.call_finished)
         task = SearcherTask(
-            SearcherId("s1"), Address("127.0.0.1:9"), owner, HEADER_NAMES, SystemClock(), call
+            SearcherId("s1"), Address("127.0.0.1:9"), handler, HEADER_NAMES, SystemClock(), call
         )
         call.deadline = Millis(task.clock.now() + 10_000.0)
-        task.client.socket = held
+        task.client.socket = stream
         reader = threading.Thread(
             target=lambda: task._finish(task._receive_responses(), connected=True)
         )
         sender = threading.Thread(target=task._send, args=(call,))
         reader.start()
         sender.start()
-        far.sendall(Message("q0", 200, records("q0", 300), Framing.CLOSE).encode()[:-100])
-        assert held.half_read.wait(5)
+        far.sendall(
+            PlannedResponse("q0", 200, make_records("q0", 300), Framing.CLOSE).encode()[:-100]
+        )
+        assert stream.second_receive_started.wait(5)
         far.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET_AT_CLOSE)
         far.close()
         for thread in (reader, sender):
@@ -627,32 +715,40 @@
         assert isinstance(call.outcome, Lost)
 
 
-class TestInterimAnswers:
+class TestInterimResponses:
     """What comes before the final answer of a call."""
 
     # Guards against a call without an outcome and a connection that is never counted out.
     def test_a_switch_of_protocols_ends_the_call_and_the_connection(self):
-        own = Message("q0", 200, b"")
+        response = PlannedResponse("q0", 200, b"")
         switch = b"HTTP/1.1 101 X\r\nUpgrade: x\r\nConnection: upgrade\r\n\r\n"
-        play(Exchange(own, switch + own.encode()))
+        run_and_check(Exchange(response, switch + response.encode()))
 
 
-class TestFieldsOfAnswers:
+class TestResponseHeaders:
     """What an answer says of itself beside its body."""
 
     # Guards against an answer taken for a call that only its trailers name.
     def test_the_request_of_an_answer_is_not_taken_from_its_trailers(self):
-        own, other = Message("q1", 200, records("q1", 1)), Message("q0", 200, b"", Framing.CHUNKED)
-        play(Exchange(own, other.encode()[:-2] + b"x-id: q1\r\n\r\n"))
+        response, other = PlannedResponse("q1", 200, make_records("q1", 1)), PlannedResponse(
+            "q0", 200, b"", Framing.CHUNKED
+        )
+        run_and_check(Exchange(response, other.encode()[:-2] + b"x-id: q1\r\n\r\n"))
 
     # Guards against an answer that is passed on with two requests' ids, or with two stamps.
     @pytest.mark.parametrize("field", [b"x-id: other\r\n", b"x-stamp: other\r\n"])
     def test_an_answer_with_two_ids_or_stamps_is_nobodys(self, field):
-        own = Message("q0", 200, records("q0", 1))
-        (played,) = Conversation(
-            [Exchange(own, own.encode().replace(b"x-id", field + b"x-id"), ConnectionEnd.ORDERLY)]
+        response = PlannedResponse("q0", 200, make_records("q0", 1))
+        (exchange_call,) = ScriptedConnection(
+            [
+                Exchange(
+                    response,
+                    response.encode().replace(b"x-id", field + b"x-id"),
+                    ConnectionEnd.ORDERLY,
+                )
+            ]
         ).run()
-        assert isinstance(played[1].outcome, Lost)
+        assert isinstance(exchange_call[1].outcome, Lost)
 
     # Guards against a call without an outcome, as the task ends by what int() raises.
     @pytest.mark.parametrize(
@@ -660,8 +756,8 @@
         [b"x-load: 1,2,%s\r\n" % (b"9" * 5_000), b"Keep-Alive: timeout=%s\r\n" % (b"9" * 5_000)],
     )
     def test_a_number_of_any_length_does_not_end_the_task(self, field):
-        own = Message("q0", 200, records("q0", 1))
-        play(Exchange(own, own.encode().replace(b"Server", field + b"Server")))
+        response = PlannedResponse("q0", 200, make_records("q0", 1))
+        run_and_check(Exchange(response, response.encode().replace(b"Server", field + b"Server")))
 
 
 class TestLongBodies:
@@ -672,12 +768,12 @@
     def test_a_body_of_status_lines_is_searched_in_seconds(self, unit):
         parser = ResponseParser()
         body = unit * (2_000_000 // len(unit)) + b"."
-        began = time.thread_time()
+        started_at = time.thread_time()
         for start in range(0, len(body), 65_536):
             head = b"" if start else b"HTTP/1.1 200 OK\r\nx-id: q\r\nContent-Length: %d\r\n\r\n"
             parser.feed((head % len(body) if head else b"") + body[start : start + 65_536])
         assert [response.body for response in parser.ready] == [body]
-        assert time.thread_time() - began < 10.0
+        assert time.thread_time() - started_at < 10.0
 
 
 class TestQueries:
@@ -686,10 +782,10 @@
     @settings(max_examples=EXAMPLES // 2, deadline=None, derandomize=True)
     @given(queries())
     def test_a_merge_holds_the_records_of_the_parts_that_it_names(self, plans):
-        target = Shards(tuple(ServiceId(name) for name in plans), TOP, LEAST_SHARE)
-        request = make_call(QUERY).request
-        played = PlayedShards(plans)
-        reply = run_gather(request, make_route(target), target, played, played)
+        target = Shards(tuple(ServiceId(name) for name in plans), TOP_K, MIN_SHARD_RATIO)
+        request = make_call(QUERY_ID).request
+        upstream = ScriptedShards(plans)
+        reply = run_gather(request, make_route(target), target, upstream, upstream)
         match reply:
             case Merged() as merged:
                 check_merged(merged, plans)
@@ -697,21 +793,21 @@
                 assert isinstance(reply, Failed | Refused)
 
 
-PEER_QUERIES = 80
-SHARDS = Shards((ServiceId("s1"), ServiceId("s2")), TOP, LEAST_SHARE)
+PEER_QUERY_COUNT = 80
+SHARDS = Shards((ServiceId("s1"), ServiceId("s2")), TOP_K, MIN_SHARD_RATIO)
 
 
-def gathered_stamps(identity: str, by: str) -> list[str]:
-    return [f"{identity}-{name}-{by}" for name in SHARDS.services]
+def gathered_stamps(identity: str, gathered_by: str) -> list[str]:
+    return [f"{identity}-{name}-{gathered_by}" for name in SHARDS.services]
 
 
-def merged_records(identity: str, by: str) -> bytes:
-    bodies = b"".join(records(stamp, 3) for stamp in gathered_stamps(identity, by))
-    held = [bodies[start : start + 16] for start in range(0, len(bodies), 16)]
-    return b"".join(sorted(held, reverse=True)[:TOP])
+def merged_records(identity: str, gathered_by: str) -> bytes:
+    bodies = b"".join(make_records(stamp, 3) for stamp in gathered_stamps(identity, gathered_by))
+    all_records = [bodies[start : start + 16] for start in range(0, len(bodies), 16)]
+    return b"".join(sorted(all_records, reverse=True)[:TOP_K])
 
 
-def answer_as_gatherer(head: bytes) -> bytes:
+def respond_as_gatherer(head: bytes) -> bytes:
     identity = head_value(head, b"x-id").decode()
     body = merged_records(identity, "gatherer")
     fields = (
@@ -721,23 +817,23 @@
     return b"HTTP/1.1 200 OK\r\n" + fields.encode() + body
 
 
-def answer_as_shard(head: bytes) -> bytes:
+def respond_as_shard(head: bytes) -> bytes:
     identity = head_value(head, b"x-id").decode()
     stamp = f"{identity}-{head_value(head, b'x-expected').decode()[:2]}-entry"
-    body = records(stamp, 3)
+    body = make_records(stamp, 3)
     fields = f"x-id: {identity}\r\nx-stamp: {stamp}\r\nContent-Length: {len(body)}\r\n\r\n"
     return b"HTTP/1.1 200 OK\r\n" + fields.encode() + body
 
 
-class TestQueriesHandedOver:
+class TestForwardedQueries:
     """A gatherer ends within its answers, and the entry gathers again."""
 
     # Guards against an answer made of what two gateways gathered, or of a part of either.
     @pytest.mark.parametrize("resets", [False, True])
     def test_an_answer_is_one_gateways_wherever_the_gatherer_ends(self, resets):
-        gatherer = BreakingSearcher(answer_as_gatherer, resets=resets)
-        searchers = {name: [RepeatingSearcher(answer_as_shard)] for name in SHARDS.services}
-        told = []
+        gatherer = BreakingSearcher(respond_as_gatherer, resets=resets)
+        searchers = {name: [RepeatingSearcher(respond_as_shard)] for name in SHARDS.services}
+        replies = []
         with running_gateway([make_route(SHARDS)], searchers) as entry:
             entry.peers.update_gathering = lambda: None
             entry.peers.gathering = GatherAtPeers()
@@ -745,13 +841,13 @@
                 replace(make_entry("p", PEER_SERVICE), address=gatherer.address)
             )
             entry.fleet.budgets.window(PEER_SERVICE).slack = 1_000.0
-            for number in range(PEER_QUERIES):
+            for number in range(PEER_QUERY_COUNT):
                 identity = f"q{number}"
-                told.append((identity, *RawCaller(entry).get(identity=identity).read()))
-        for identity, status, head, body in told:
+                replies.append((identity, *RawCaller(entry).get(identity=identity).read()))
+        for identity, status, head, body in replies:
             stamps = head_value(head, b"x-stamps").decode().split(", ")
-            by = stamps[0].rpartition("-")[2]
+            gathered_by = stamps[0].rpartition("-")[2]
             assert (status, head_value(head, b"x-missing")) == (200, b"0")
-            assert sorted(stamps) == gathered_stamps(identity, by)
-            assert body == merged_records(identity, by)
-        assert gatherer.broken_count >= PEER_QUERIES // 3
+            assert sorted(stamps) == gathered_stamps(identity, gathered_by)
+            assert body == merged_records(identity, gathered_by)
+        assert gatherer.broken_count >= PEER_QUERY_COUNT // 3
--- a/tests/gateway/test_whole_gateway.py
+++ b/tests/gateway/test_whole_gateway.py
@@ -44,7 +44,7 @@
         assert head_value(sent, b"x-id") == b"q1"
         assert head_value(sent, b"x-other") == b"7"
         assert head_value(sent, b"x-expected") == b"orders-0"
-        assert 0 < int(head_value(sent, b"x-patience")) <= 400
+        assert 0 < int(head_value(sent, b"x-caller-timeout")) <= 400
         assert b"connection" not in sent.lower()
 
     def test_forwards_chunked_body_whole(self):
