--- a/src/masticgate/process/_caller_service.py
+++ b/src/masticgate/process/_caller_service.py
@@ -84,7 +84,7 @@
         """Run a booking, at most once for its ticket, and return its outcome."""
         parts = parse_ticket(request.ticket)
         if parts is None:
-            return NotRun(Reason.BAD_REQUEST, Step.TICKET, detail="no ticket of this deployment")
+            return NotRun(Reason.BAD_REQUEST, Step.TICKET, detail="malformed ticket")
         booking = Booking(
             self._new_id(),
             request.ticket,
--- a/src/masticgate/process/_command_explain.py
+++ b/src/masticgate/process/_command_explain.py
@@ -30,7 +30,10 @@
 """The events that may affect every request of their host."""
 
 HEADER_FIELDS = frozenset({"wall_ms", "host", "event", "request"})
+"""The fields that are not printed again after the time, the host and the event of a line."""
+
 TOKEN = re.compile(r"[\w~.:/-]+")
+"""Matches one word of a field's value, such as the name of a searcher or a service."""
 
 
 @dataclass(frozen=True, slots=True)
--- a/src/masticgate/process/_command_status.py
+++ b/src/masticgate/process/_command_status.py
@@ -12,7 +12,7 @@
 
 @click.command()
 @click.argument("hosts", nargs=-1, required=True, metavar="HOST...")
-@click.option("--json", "as_json", is_flag=True, help="Print one JSON object a host.")
+@click.option("--json", "as_json", is_flag=True, help="Print one JSON object per host.")
 def status(hosts: tuple[str, ...], as_json: bool) -> None:
     """Show the state of each entry HOST (address:port): versions, peers, owned services, queues.
 
--- a/src/masticgate/process/_command_timeline.py
+++ b/src/masticgate/process/_command_timeline.py
@@ -29,8 +29,10 @@
 
 @click.command()
 @click.argument("hosts", nargs=-1, required=True, metavar="HOST...")
-@click.option("--json", "as_json", is_flag=True, help="Print one JSON object a line.")
-@click.option("--html", type=click.Path(path_type=Path), help="Draw the time line into a file.")
+@click.option("--json", "as_json", is_flag=True, help="Print one JSON object per line.")
+@click.option(
+    "--html", type=click.Path(path_type=Path), help="Also write an HTML page to this file."
+)
 def timeline(hosts: tuple[str, ...], as_json: bool, html: Path | None) -> None:
     """Merge the events of the entry HOSTs (address:port) into one time line.
 
--- a/src/masticgate/process/_dispatcher.py
+++ b/src/masticgate/process/_dispatcher.py
@@ -47,8 +47,8 @@
     def dispatch(self, now: Millis) -> list[QueueEntry]:
         """Assign all work that may be sent now; return the entries past their deadline.
 
-        Due hedges are sent first, unless more urgent work is queued. Such hedges are sent when
-        the queue is empty.
+        Due hedges are sent first, except those less urgent than the most urgent queued work,
+        which are sent once the queue is empty.
         """
         expired = self._find_expired(now)
         if self.idle_connections:
--- a/src/masticgate/process/_searcher_health.py
+++ b/src/masticgate/process/_searcher_health.py
@@ -77,6 +77,10 @@
 
     ``connections`` is this owner's share of the connections to the searcher. ``open`` counts the
     connections that have not closed yet, ``closing`` those of them that were told to close.
+
+    ``warm_up_limit`` is how many requests may be in flight while the searcher is warming up.
+    ``drained_incarnation`` is the run of the searcher that is shutting down, if known, and
+    ``lost_while_draining`` says that the searcher was unreachable since it began to drain.
     """
 
     def __init__(self, searcher: Searcher) -> None:
--- a/src/masticgate/process/_service_load.py
+++ b/src/masticgate/process/_service_load.py
@@ -70,6 +70,9 @@
     Everything is admitted until work has waited too long. The first admitted rate is then
     estimated from the completions per slot while work was waiting. After that it is corrected by
     its own effect: idle slots raise it, a backlog lowers it.
+
+    ``admitted_rate`` and ``demand`` are in pieces of work per millisecond. ``limited_at`` is the
+    last update at which the admitted rate did not cover all demand.
     """
 
     def __init__(self, now: Millis) -> None:
--- a/src/masticgate/process/_service_pool.py
+++ b/src/masticgate/process/_service_pool.py
@@ -35,14 +35,15 @@
 """The most queued pieces of work; work beyond this is refused as overload."""
 
 MAX_IDLE_WAIT = Millis(4000.0)
-"""The longest that an idle connection waits for work before it may check the searcher's load."""
+"""The longest that an idle connection waits for work; it may then check the searcher's load."""
 
 
 class ServicePool:
     """Queues the work of one service and dispatches it to connections as they become idle.
 
     There is one task for each connection. It blocks in :meth:`wait_for_work`, sends the attempt
-    that is returned to it and passes the result to :meth:`finish`.
+    that is returned to it and passes the result to :meth:`finish`. Work is settled when it leaves
+    the pool and its result is delivered.
     """
 
     def __init__(
@@ -142,11 +143,12 @@
     def apply_configuration(
         self, searchers: Iterable[tuple[Searcher, int]], floors: Mapping[Rank, float]
     ) -> list[Searcher]:
-        """Apply searchers, their shares of connections and the ranks' floors.
+        """Apply the searchers, how many connections to open to each, and the ranks' floors.
 
-        A pool that was stopped takes work again. The queue is kept, and so are connections that
-        are still wanted. Return the searchers to connect to, each once for every connection that
-        the caller has to open.
+        The floor of a rank is the share of the served work that it gets in any case. A pool that
+        was stopped accepts work again. The queue is kept, and so are connections that are still
+        wanted. Return the searchers to connect to, each once for every connection that the caller
+        has to open.
         """
         with self.delivery_lock:
             self.stopping = False
