--- a/src/masticgate/request/gateway/_attempts.py
+++ b/src/masticgate/request/gateway/_attempts.py
@@ -25,8 +25,10 @@
 class Attempts:
     """Sends one request to searchers of one service, at most as often as the route allows.
 
-    ``tried`` holds the searchers that were sent to. ``failure`` is the latest reason for which
-    there is no answer, and ``repeat_failure`` the reason for which the latest repeat was not sent.
+    ``tried`` holds the searchers to which the request was sent. ``reached_searcher`` says whether
+    one of them received it and ``possibly_ran`` whether one may have run it, both by the outcomes
+    so far. ``failure`` is the latest reason for which there is no answer, and ``repeat_failure``
+    the reason for which the latest repeat was not sent.
     """
 
     def __init__(
@@ -152,6 +154,11 @@
             self.failure = NotRun(reason, Step.UPSTREAM, answer.searcher, detail)
 
     def _repeat(self, kind: Repeat) -> bool:
+        """Send the request again, if the deadline, the route's limit and the budget allow it.
+
+        If no searcher can have received it so far, the attempts in flight are cancelled, and the
+        new attempt does not use the budget.
+        """
         if self.upstream.now() >= self.deadline or self.attempt_count >= self.route.attempts:
             return False
         if not self.started:
--- a/src/masticgate/version/_configuration.py
+++ b/src/masticgate/version/_configuration.py
@@ -12,8 +12,8 @@
 class Department:
     """A department of a customer.
 
-    A department that is leaving receives no new work. ``leaves_on`` is the date of its departure
-    as the operators wrote it, for people only.
+    A department that is leaving receives no new work. ``leaves_on`` is the date that the operators
+    gave for this, or an empty string; no decision depends on it.
     """
 
     id: DepartmentId
--- a/src/masticgate/version/_snapshot.py
+++ b/src/masticgate/version/_snapshot.py
@@ -36,7 +36,7 @@
     shards: Mapping[ServiceId, Mapping[ShardId, float]]
 
     def shards_of(self, service: ServiceId) -> Mapping[ShardId, float]:
-        """Return the weights of the shards of ``service``, which are empty if it has no shards."""
+        """Return the weights of the shards of ``service``, or an empty mapping if it has none."""
         return self.shards.get(service, {})
 
     def holds(self, services: Iterable[ServiceId]) -> bool:
