--- a/src/masticgate/process/_command_book.py
+++ b/src/masticgate/process/_command_book.py
@@ -36,7 +36,7 @@
     remaining_ms: float,
     as_json: bool,
 ) -> None:
-    """Run a booking at most once, through one of the entry HOSTs (address:port).
+    """Run a booking at most once, through the entry HOSTs (address:port) in turn.
 
     Keep the ticket that is printed: a later call with it never books a second time.
     Exit status 0: it ran; 1: it did not run; 3: unknown, call again with the ticket.
