--- a/src/masticgate/process/_distribution.py
+++ b/src/masticgate/process/_distribution.py
@@ -41,7 +41,8 @@
 class Distribution:
     """Obtains newer versions from the platform and from peers, and announces them to peers.
 
-    Only the hosts with the watch role read the platform; the others get the versions from peers.
+    Each host reads the platform once when it starts. After that only the hosts with the watch role
+    read it, and the others get the versions from peers.
     """
 
     def __init__(
--- a/tests/process/test_departure.py
+++ b/tests/process/test_departure.py
@@ -11,7 +11,7 @@
 from tests.texts import SMALL
 
 LEAVE_SECONDS = 3.0
-"""The longest time for which a searcher that leaves may still receive new work."""
+"""The longest time for which a searcher that drains or leaves may still receive new work."""
 
 LEDGER_LEAVES = SMALL.replace('"ledger": {}', '"ledger": {"leaving": true}')
 NOWHERE = {"configuration": "127.0.0.1:1", "hosts": "127.0.0.1:1"}
--- a/tests/process/test_recovery.py
+++ b/tests/process/test_recovery.py
@@ -20,7 +20,7 @@
         yield started
 
 
-def member_state(fleet, index, host):
+def peer_status(fleet, index, host):
     """Return what the status of the host with index ``index`` says of ``host``."""
     peers = {peer["host"]: peer for peer in fleet.status(index)["peers"]}
     return peers.get(host, {"state": "unknown", "incarnation": 0})
@@ -34,7 +34,7 @@
 def wait_for_state(fleet, host, state, observers):
     """Wait until every one of ``observers``, indexes of hosts, knows ``host`` in ``state``."""
     fleet.wait_until(
-        lambda: all(member_state(fleet, index, host)["state"] == state for index in observers),
+        lambda: all(peer_status(fleet, index, host)["state"] == state for index in observers),
         SETTLE_SECONDS,
         f"{host} is not {state} at every observer",
     )
@@ -46,7 +46,7 @@
         lost = max(range(3), key=lambda index: len(before[index]))
         others = [index for index in range(3) if index != lost]
         host = fleet.hosts[lost]["host"]
-        incarnation = member_state(fleet, others[0], host)["incarnation"]
+        incarnation = peer_status(fleet, others[0], host)["incarnation"]
         fleet.kill(host)
         assert all(fleet.search(index, ["desk/1"]).body["whole"] for index in others)
         wait_for_state(fleet, host, "dead", others)
@@ -56,7 +56,7 @@
         fleet.start_host(lost)
         fleet.wait_until(fleet.is_ready, SETTLE_SECONDS, "the host did not come back")
         wait_for_state(fleet, host, "alive", others)
-        assert member_state(fleet, others[0], host)["incarnation"] > incarnation
+        assert peer_status(fleet, others[0], host)["incarnation"] > incarnation
         assert [owned_services(fleet, index) for index in range(3)] == before
 
     def test_paused_host_costs_no_answer_and_refutes_that_it_is_suspect(self, fleet):
@@ -69,7 +69,7 @@
         fleet.signal(host, signal.SIGCONT)
         wait_for_state(fleet, host, "alive", [0, 1, 2])
         assert "paused" in {event["kind"] for event in events(fleet, 0)["events"]}
-        assert {member_state(fleet, 0, h["host"])["state"] for h in fleet.hosts} == {"alive"}
+        assert {peer_status(fleet, 0, h["host"])["state"] for h in fleet.hosts} == {"alive"}
 
 
 class TestReplacement:
