--- a/bench/process/_capacity_page.py
+++ b/bench/process/_capacity_page.py
@@ -14,7 +14,7 @@
     latency_table,
 )
 from ._roles import all_rows
-from ._rows import Unit, markdown, measure, number, role_table
+from ._rows import Unit, format_measure, format_number, markdown_table, role_table
 from ._target import Slopes
 
 PAGE = ROOT / "docs" / "CAPACITY.md"
@@ -56,12 +56,14 @@
     for line in slopes.figures["slopes"].values():
         unit = {"us": "µs", "bytes": "B"}[line["unit"]]
         points = ", ".join(
-            f"{number(size)}: {number(value)}"
+            f"{format_number(size)}: {format_number(value)}"
             for size, value in zip(line["sizes"], line["values"], strict=True)
         )
-        slope = f"{number(line['slope'])} {unit} a {line['per']}"
-        rows.append([line["name"], points, slope, number(line["start"]), f"{line['r2']:.3f}"])
-    return markdown(["cost", "measured at", "slope", "at 0", "r²"], rows)
+        slope = f"{format_number(line['slope'])} {unit} a {line['per']}"
+        rows.append(
+            [line["name"], points, slope, format_number(line["start"]), f"{line['r2']:.3f}"]
+        )
+    return markdown_table(["cost", "measured at", "slope", "at 0", "r²"], rows)
 
 
 def today_table(slopes: Slopes) -> str:
@@ -72,12 +74,12 @@
             [
                 name,
                 str(use["hosts"]),
-                measure(use["control_cpu"], Unit.CORE),
-                measure(use["all_cpu"], Unit.CORE),
-                measure(use["control_sent"], Unit.BYTES_A_SECOND),
-                measure(use["work_sent"], Unit.BYTES_A_SECOND),
-                measure(use["resident"], Unit.BYTES),
-                number(use["threads"]),
+                format_measure(use["control_cpu"], Unit.CORE),
+                format_measure(use["all_cpu"], Unit.CORE),
+                format_measure(use["control_sent"], Unit.BYTES_A_SECOND),
+                format_measure(use["work_sent"], Unit.BYTES_A_SECOND),
+                format_measure(use["resident"], Unit.BYTES),
+                format_number(use["threads"]),
             ]
         )
     heads = [
@@ -90,4 +92,4 @@
         "resident",
         "tasks",
     ]
-    return markdown(heads, rows)
+    return markdown_table(heads, rows)
--- a/bench/process/_control_roles.py
+++ b/bench/process/_control_roles.py
@@ -1,39 +1,48 @@
 """What the roles of control hold, send and compute at the target: watcher, relay, member."""
 
-from . import _target as t
+from . import _target as target
 from ._rows import Factor, Row, State, Unit
 
-MICRO = 1e-6
-LIST_READS = 0.5
+SECONDS_PER_MICRO = 1e-6
+HOST_LIST_READS_A_SECOND = 0.5
 """Reads a second of the host list by a watcher."""
 
-POLLS = 0.1
+KEY_READS_A_SECOND = 0.1
 """Reads a second of both keys by a watcher where nothing changes."""
 
-BEATS = 1.0
-DIGESTS = 0.25
+HEARTBEATS_A_SECOND = 1.0
+DIGESTS_A_SECOND = 0.25
 
 
-def watcher_rows(s: t.Slopes) -> list[Row]:
+def watcher_rows(slopes: target.Slopes) -> list[Row]:
     """Return what a watcher of the platform does beyond a member."""
-    changes = Factor(t.CHANGES, "changes/s")
-    text = s.text_bytes()
-    lists = Factor(LIST_READS, "reads/s")
-    watchers = Factor(t.WATCHERS, "watchers")
+    changes = Factor(target.CHANGES_A_SECOND, "changes/s")
+    text = slopes.text_bytes()
+    lists = Factor(HOST_LIST_READS_A_SECOND, "reads/s")
+    watchers = Factor(target.WATCHERS, "watchers")
     return [
         Row(
-            "watchers", (Factor(t.DOMAINS, "domains"), Factor(2, "")), Unit.COUNT, "`should_watch`"
+            "watchers",
+            (Factor(target.DOMAINS, "domains"), Factor(2, "")),
+            Unit.COUNT,
+            "`should_watch`",
         ),
         Row(
             "reads of the platform by all",
-            (watchers, Factor(t.CHANGES + LIST_READS + POLLS, "reads/s")),
+            (
+                watchers,
+                Factor(
+                    target.CHANGES_A_SECOND + HOST_LIST_READS_A_SECOND + KEY_READS_A_SECOND,
+                    "reads/s",
+                ),
+            ),
             Unit.A_SECOND,
             "long polls, host list each 2 s",
             control=True,
         ),
         Row(
             "reads by all hosts cut off, platform down",
-            (Factor(t.HOSTS, "hosts"), Factor(3 / 5, "reads/s")),
+            (Factor(target.HOSTS, "hosts"), Factor(3 / 5, "reads/s")),
             Unit.A_SECOND,
             "`most_outage_reads_per_second`",
             control=True,
@@ -48,7 +57,7 @@
         ),
         Row(
             "bytes of the host list read",
-            (lists, Factor(s.at("host_list_bytes", t.HOSTS), "B")),
+            (lists, Factor(slopes.value_at("host_list_bytes", target.HOSTS), "B")),
             Unit.BYTES_A_SECOND,
             "whole list each 2 s",
             control=True,
@@ -56,15 +65,15 @@
         ),
         Row(
             "CPU, text read",
-            (changes, Factor(s.at("watch", text / 1000), "µs")),
+            (changes, Factor(slopes.value_at("watch", text / 1000), "µs")),
             Unit.CORE,
             "pycurl, pydantic",
-            scale=MICRO,
+            scale=SECONDS_PER_MICRO,
             control=True,
         ),
         Row(
             "CPU, whole text accepted",
-            (changes, Factor(s.accept_seconds(), "s")),
+            (changes, Factor(slopes.accept_seconds(), "s")),
             Unit.CORE,
             "`accept_text`, sections",
             control=True,
@@ -72,45 +81,45 @@
         ),
         Row(
             "CPU, host list",
-            (lists, Factor(s.at("host_list", t.HOSTS), "µs")),
+            (lists, Factor(slopes.value_at("host_list", target.HOSTS), "µs")),
             Unit.CORE,
             "whole list each 2 s",
-            scale=MICRO,
+            scale=SECONDS_PER_MICRO,
             control=True,
             state=State.PARTLY,
         ),
     ]
 
 
-def relay_rows(s: t.Slopes) -> list[Row]:
+def relay_rows(slopes: target.Slopes) -> list[Row]:
     """Return what every host does with a configuration that peers pass on."""
-    changes = Factor(t.CHANGES, "changes/s")
-    links = Factor(2 * t.PEERS, "messages")
+    changes = Factor(target.CHANGES_A_SECOND, "changes/s")
+    links = Factor(2 * target.PEERS_A_HOST, "messages")
     return [
         Row(
             "memory of the text",
-            (Factor(t.SEARCHERS, "searchers"), Factor(s.slope("text_memory"), "B")),
+            (Factor(target.SEARCHERS, "searchers"), Factor(slopes.slope("text_memory"), "B")),
             Unit.BYTES,
             "one configuration and its sections",
             control=True,
         ),
         Row(
             "memory of the owner table",
-            (Factor(t.SERVICES, "services"), Factor(s.slope("table_memory"), "B")),
+            (Factor(target.SERVICES, "services"), Factor(slopes.slope("table_memory"), "B")),
             Unit.BYTES,
             "`owner_table`",
             control=True,
         ),
         Row(
             "bytes of deltas, in and as much out",
-            (changes, Factor(s.at("delta_bytes", 0), "B")),
+            (changes, Factor(slopes.value_at("delta_bytes", 0), "B")),
             Unit.BYTES_A_SECOND,
             "the section of a department",
             control=True,
         ),
         Row(
             "bytes of announcements and replies",
-            (changes, links, Factor(s.at("heartbeat_bytes", 0), "B")),
+            (changes, links, Factor(slopes.value_at("heartbeat_bytes", 0), "B")),
             Unit.BYTES_A_SECOND,
             "a heartbeat over every open link",
             control=True,
@@ -118,16 +127,16 @@
         ),
         Row(
             "CPU, announcements",
-            (changes, links, Factor(s.at("heartbeat", 0), "µs")),
+            (changes, links, Factor(slopes.value_at("heartbeat", 0), "µs")),
             Unit.CORE,
             "a heartbeat over every open link",
-            scale=MICRO,
+            scale=SECONDS_PER_MICRO,
             control=True,
             state=State.PARTLY,
         ),
         Row(
             "CPU, delta applied and the text accepted",
-            (changes, Factor(s.adopt_seconds(), "s")),
+            (changes, Factor(slopes.apply_seconds(), "s")),
             Unit.CORE,
             "whole text accepted anew",
             control=True,
@@ -135,7 +144,7 @@
         ),
         Row(
             "CPU, owner table after a change",
-            (changes, Factor(s.table_seconds(), "s")),
+            (changes, Factor(slopes.table_seconds(), "s")),
             Unit.CORE,
             "whole table worked out anew",
             control=True,
@@ -144,81 +153,89 @@
     ]
 
 
-def member_rows(s: t.Slopes) -> list[Row]:
+def member_rows(slopes: target.Slopes) -> list[Row]:
     """Return what every host does to know the others."""
-    messages = Factor(2 * t.NEIGHBOURS * BEATS, "heartbeats and replies/s")
-    told = Factor(t.BELIEFS_A_DAY / t.DAY * t.TELLINGS, "beliefs/s")
-    digest = s.figures["digest_bytes"] - s.figures["empty_heartbeat_bytes"]
+    messages = Factor(2 * target.NEIGHBOURS * HEARTBEATS_A_SECOND, "heartbeats and replies/s")
+    updates = Factor(
+        target.MEMBER_UPDATES_A_DAY / target.SECONDS_A_DAY * target.SENDS_PER_UPDATE, "beliefs/s"
+    )
+    digest = slopes.figures["digest_bytes"] - slopes.figures["empty_heartbeat_bytes"]
     return [
         Row(
             "memory of beliefs",
-            (Factor(t.HOSTS, "hosts"), Factor(s.slope("member_memory"), "B")),
+            (Factor(target.HOSTS, "hosts"), Factor(slopes.slope("member_memory"), "B")),
             Unit.BYTES,
             "`Members`",
             control=True,
         ),
         Row(
             "memory of neighbours' links",
-            (Factor(t.NEIGHBOURS, "links both ways"), Factor(s.slope("link_memory"), "B")),
+            (
+                Factor(target.NEIGHBOURS, "links both ways"),
+                Factor(slopes.slope("link_memory"), "B"),
+            ),
             Unit.BYTES,
             "a task a link",
             control=True,
         ),
         Row(
             "bytes of heartbeats",
-            (messages, Factor(s.at("heartbeat_bytes", 0), "B")),
+            (messages, Factor(slopes.value_at("heartbeat_bytes", 0), "B")),
             Unit.BYTES_A_SECOND,
             "8 neighbours, each second",
             control=True,
         ),
         Row(
             "bytes of digests",
-            (Factor(DIGESTS, "a second"), Factor(digest, "B")),
+            (Factor(DIGESTS_A_SECOND, "a second"), Factor(digest, "B")),
             Unit.BYTES_A_SECOND,
             "one neighbour in turn",
             control=True,
         ),
         Row(
             "bytes of changed beliefs",
-            (told, Factor(s.slope("heartbeat_bytes"), "B")),
+            (updates, Factor(slopes.slope("heartbeat_bytes"), "B")),
             Unit.BYTES_A_SECOND,
             "3 × log2(hosts) tellings a change",
             control=True,
         ),
         Row(
             "CPU, heartbeats",
-            (messages, Factor(s.at("heartbeat", 0), "µs")),
+            (messages, Factor(slopes.value_at("heartbeat", 0), "µs")),
             Unit.CORE,
             "8 neighbours, each second",
-            scale=MICRO,
+            scale=SECONDS_PER_MICRO,
             control=True,
         ),
         Row(
             "CPU, the beat's own work",
-            (Factor(BEATS, "beats/s"), Factor(s.at("beat", t.HOSTS), "µs")),
+            (
+                Factor(HEARTBEATS_A_SECOND, "beats/s"),
+                Factor(slopes.value_at("beat", target.HOSTS), "µs"),
+            ),
             Unit.CORE,
             "roles, beliefs, idle pools",
-            scale=MICRO,
+            scale=SECONDS_PER_MICRO,
             control=True,
         ),
         Row(
             "CPU, the beat's look at each service",
             (
-                Factor(BEATS, "beats/s"),
-                Factor(t.SERVICES, "services"),
-                Factor(s.slope("wide_beat"), "µs"),
+                Factor(HEARTBEATS_A_SECOND, "beats/s"),
+                Factor(target.SERVICES, "services"),
+                Factor(slopes.slope("wide_beat"), "µs"),
             ),
             Unit.CORE,
             "whole table gone through for idle pools",
-            scale=MICRO,
+            scale=SECONDS_PER_MICRO,
             control=True,
         ),
         Row(
             "CPU, owner table after a host came or went",
-            (Factor(t.TABLES_A_DAY, "a day"), Factor(s.table_seconds(), "s")),
+            (Factor(target.OWNER_TABLES_A_DAY, "a day"), Factor(slopes.table_seconds(), "s")),
             Unit.CORE,
             "whole table worked out anew",
-            scale=1 / t.DAY,
+            scale=1 / target.SECONDS_A_DAY,
             control=True,
             state=State.PARTLY,
         ),
--- a/bench/process/_forecast.py
+++ b/bench/process/_forecast.py
@@ -6,65 +6,69 @@
 from masticgate.process._members import MAX_UPDATES_PER_MESSAGE
 from masticgate.process._server import MAX_TASKS
 
-from . import _target as t
+from . import _target as target
 from ._control_fleet import BUSY_RATES
 from ._roles import all_rows
-from ._rows import Row, Unit, markdown, measure, number
-
-CALLERS = 256
-MILLION = 1e6
-FRAME_LIMIT = 4e6
-READS_AN_OUTAGE = 3 / 5
-NEWS_REST = 0.2
-CROSSING = 0.001
-ACCESS_HOPS = 3
+from ._rows import Row, Unit, format_measure, format_number, markdown_table
+
+MAX_CALLERS = 256
+MICROS_PER_SECOND = 1e6
+FRAME_BYTES_LIMIT = 4e6
+OUTAGE_READS_PER_HOST = 3 / 5
+WATCH_DELAY_SECONDS = 0.2
+NETWORK_HOP_SECONDS = 0.001
+MESSAGES_PER_RELAY = 3
 """Crossings of the network for one relay: announcement, question, sections."""
 
 DETECTION_SECONDS = 7.0
-SCARCE = 0.8
+TIGHT_RATIO = 0.8
 """From this part of a budget on, a forecast is marked as tight."""
 
-HEADS = ["budget", "allowed", "forecast", "verdict"]
+BUDGET_HEADS = ["budget", "allowed", "forecast", "verdict"]
 
 
-def control_rows(s: t.Slopes, unit: Unit, roles: tuple[str, ...]) -> list[Row]:
+def control_rows(slopes: target.Slopes, unit: Unit, roles: tuple[str, ...]) -> list[Row]:
     """Return the rows of control of some roles."""
-    rows = all_rows(s)
+    rows = all_rows(slopes)
     return [row for role in roles for row in rows[role] if row.control and row.unit is unit]
 
 
-def control(s: t.Slopes, unit: Unit, *, watcher: bool) -> float:
+def control_sum(slopes: target.Slopes, unit: Unit, *, watcher: bool) -> float:
     """Return the sum of a host's control; bytes are those sent, but for a watcher's reads."""
     roles = ("entry", "relay", "member") + (("watcher",) if watcher else ())
-    return sum(row.value for row in control_rows(s, unit, roles))
+    return sum(row.value for row in control_rows(slopes, unit, roles))
 
 
 def relay_hops() -> int:
     """Return the hops from the watchers to the last host, each told by its neighbours."""
-    return ceil(log(t.HOSTS / t.WATCHERS, t.NEIGHBOURS)) + 1
+    return ceil(log(target.HOSTS / target.WATCHERS, target.NEIGHBOURS)) + 1
 
 
-def change_lines(s: t.Slopes) -> list[tuple[str, float, float]]:
+def change_steps(slopes: target.Slopes) -> list[tuple[str, float, float]]:
     """Return each step of a change of configuration: now, and with the table worked out last."""
-    adopt, table, accept = s.adopt_seconds(), s.table_seconds(), s.accept_seconds()
-    read = s.at("watch", s.text_bytes() / 1000) / MILLION
+    apply_delta, table, accept_text = (
+        slopes.apply_seconds(),
+        slopes.table_seconds(),
+        slopes.accept_seconds(),
+    )
+    read = slopes.value_at("watch", slopes.text_bytes() / 1000) / MICROS_PER_SECOND
     hops = relay_hops()
-    network = hops * ACCESS_HOPS * CROSSING
+    network = hops * MESSAGES_PER_RELAY * NETWORK_HOP_SECONDS
     return [
-        ("rest of the watch after the value before", NEWS_REST, NEWS_REST),
+        ("rest of the watch after the value before", WATCH_DELAY_SECONDS, WATCH_DELAY_SECONDS),
         ("the watcher reads the text", read, read),
-        ("the watcher accepts the text", accept, accept),
+        ("the watcher accepts the text", accept_text, accept_text),
         ("the watcher's owner table", table, 0.0),
-        (f"{hops} relays accept the delta", hops * adopt, hops * adopt),
+        (f"{hops} relays accept the delta", hops * apply_delta, hops * apply_delta),
         (f"{hops} relays' owner tables", hops * table, table),
-        (f"{hops} relays' messages, {ACCESS_HOPS} of 1 ms each", network, network),
+        (f"{hops} relays' messages, {MESSAGES_PER_RELAY} of 1 ms each", network, network),
     ]
 
 
-def change_table(s: t.Slopes) -> str:
+def change_table(slopes: target.Slopes) -> str:
     """Return the split of the time until a change is in force everywhere."""
-    lines = change_lines(s)
-    rows = [[what, f"{now:.2f} s", f"{late:.2f} s"] for what, now, late in lines]
+    lines = change_steps(slopes)
+    rows = [[what, f"{now:.2f} s", f"{deferred:.2f} s"] for what, now, deferred in lines]
     rows.append(
         [
             "**sum, on an idle core**",
@@ -72,98 +76,147 @@
             f"**{sum(line[2] for line in lines):.2f} s**",
         ]
     )
-    return markdown(["step", "today's order", "table worked out after the announcement"], rows)
+    return markdown_table(
+        ["step", "today's order", "table worked out after the announcement"], rows
+    )
 
 
-def budget_table(s: t.Slopes) -> str:
+def budget_table(slopes: target.Slopes) -> str:
     """Return each budget against its forecast."""
-    owner = {row.what: row.value for row in all_rows(s)["owner"]}
-    entry = all_rows(s)["entry"]
+    owner = {row.label: row.value for row in all_rows(slopes)["owner"]}
+    entry = all_rows(slopes)["entry"]
     process = sum(r.value for r in entry if r.unit is Unit.CORE) + owner["CPU, sub-queries"]
-    change = sum(line[1] for line in change_lines(s))
-    host, watcher = (control(s, Unit.CORE, watcher=w) for w in (False, True))
-    sent, read = (control(s, Unit.BYTES_A_SECOND, watcher=w) for w in (False, True))
-    added = control(s, Unit.BYTES, watcher=False)
-    memory = s.figures["imports_bytes"] + added
-    outage = t.HOSTS * READS_AN_OUTAGE
+    change = sum(line[1] for line in change_steps(slopes))
+    host, watcher = (control_sum(slopes, Unit.CORE, watcher=w) for w in (False, True))
+    sent, read = (control_sum(slopes, Unit.BYTES_A_SECOND, watcher=w) for w in (False, True))
+    control_memory = control_sum(slopes, Unit.BYTES, watcher=False)
+    memory = slopes.figures["imports_bytes"] + control_memory
+    outage_reads = target.HOSTS * OUTAGE_READS_PER_HOST
     lines = [
-        ("control: CPU", t.CONTROL_CORE, host, Unit.CORE),
-        ("control: CPU of a watcher", t.CONTROL_CORE, watcher, Unit.CORE),
-        ("control: bytes sent", t.CONTROL_BYTES, sent, Unit.BYTES_A_SECOND),
-        ("control: the same with a watcher's reads", t.CONTROL_BYTES, read, Unit.BYTES_A_SECOND),
-        ("control: memory that it adds to a process", t.CONTROL_MEMORY, added, Unit.BYTES),
-        ("control: memory, the process itself included", t.CONTROL_MEMORY, memory, Unit.BYTES),
+        ("control: CPU", target.CONTROL_CPU_BUDGET, host, Unit.CORE),
+        ("control: CPU of a watcher", target.CONTROL_CPU_BUDGET, watcher, Unit.CORE),
+        ("control: bytes sent", target.CONTROL_BYTES_BUDGET, sent, Unit.BYTES_A_SECOND),
+        (
+            "control: the same with a watcher's reads",
+            target.CONTROL_BYTES_BUDGET,
+            read,
+            Unit.BYTES_A_SECOND,
+        ),
+        (
+            "control: memory that it adds to a process",
+            target.CONTROL_MEMORY_BUDGET,
+            control_memory,
+            Unit.BYTES,
+        ),
+        (
+            "control: memory, the process itself included",
+            target.CONTROL_MEMORY_BUDGET,
+            memory,
+            Unit.BYTES,
+        ),
         ("one interpreter lock: CPU of a host", 1.0, process, Unit.CORE),
         ("one owner: CPU of one service", 1.0, owner["of that, one service"], Unit.CORE),
-        ("value of the configuration service", t.VALUE_LIMIT, s.text_bytes(), Unit.BYTES),
-        ("frame between hosts", FRAME_LIMIT, s.text_bytes(), Unit.BYTES),
-        ("reads of the platform in an outage", t.READ_LIMIT, outage, Unit.A_SECOND),
-        ("tasks", MAX_TASKS, 2 * t.PEERS + CALLERS, Unit.COUNT),
-        ("a change in force everywhere", t.CHANGE_SECONDS, change, Unit.SECONDS),
+        (
+            "value of the configuration service",
+            target.VALUE_BYTES_LIMIT,
+            slopes.text_bytes(),
+            Unit.BYTES,
+        ),
+        ("frame between hosts", FRAME_BYTES_LIMIT, slopes.text_bytes(), Unit.BYTES),
+        (
+            "reads of the platform in an outage",
+            target.PLATFORM_READS_LIMIT,
+            outage_reads,
+            Unit.A_SECOND,
+        ),
+        ("tasks", MAX_TASKS, 2 * target.PEERS_A_HOST + MAX_CALLERS, Unit.COUNT),
+        ("a change in force everywhere", target.CHANGE_SECONDS, change, Unit.SECONDS),
     ]
     rows = [
-        [what, measure(allowed, unit), measure(value, unit), verdict(value / allowed)]
+        [what, format_measure(allowed, unit), format_measure(value, unit), verdict(value / allowed)]
         for what, allowed, value, unit in lines
     ]
-    return markdown(HEADS, rows)
+    return markdown_table(BUDGET_HEADS, rows)
 
 
 def verdict(ratio: float) -> str:
     """Return how a forecast stands to its budget; red lines are plain to see."""
     if ratio > 1.0:
-        return f"🔴 **red: {number(ratio)} times the budget**"
-    return f"🟡 tight: {ratio:.0%}" if ratio >= SCARCE else f"🟢 {ratio:.0%}"
+        return f"🔴 **red: {format_number(ratio)} times the budget**"
+    return f"🟡 tight: {ratio:.0%}" if ratio >= TIGHT_RATIO else f"🟢 {ratio:.0%}"
 
 
-def break_table(s: t.Slopes) -> str:
+def break_table(slopes: target.Slopes) -> str:
     """Return the size at which each part of the present design ends."""
-    searchers = (t.VALUE_LIMIT - s.at("text_bytes", 0)) / s.slope("text_bytes")
-    framed = (FRAME_LIMIT - s.at("text_bytes", 0)) / s.slope("text_bytes")
-    subs = MILLION / s.slope("owner")
-    table = s.slope("wide_table") / t.HOSTS / MILLION
-    daily = t.CONTROL_CORE * t.DAY
-    accepted = daily / t.CHANGES_A_DAY / s.slope("adopt") * MILLION
-    square = daily / (t.TABLES_A_DAY + t.CHANGES_A_DAY) / table / t.DEPARTMENTS
-    links = (MAX_TASKS - CALLERS) // 2
-    listed = t.CONTROL_BYTES / 0.5 / s.slope("host_list_bytes")
-    kept = t.CONTROL_BYTES / s.at("heartbeat_bytes", 0)
+    searchers_in_value = (
+        target.VALUE_BYTES_LIMIT - slopes.value_at("text_bytes", 0)
+    ) / slopes.slope("text_bytes")
+    searchers_in_frame = (FRAME_BYTES_LIMIT - slopes.value_at("text_bytes", 0)) / slopes.slope(
+        "text_bytes"
+    )
+    sub_queries = MICROS_PER_SECOND / slopes.slope("owner")
+    table = slopes.slope("wide_table") / target.HOSTS / MICROS_PER_SECOND
+    cpu_seconds_a_day = target.CONTROL_CPU_BUDGET * target.SECONDS_A_DAY
+    accepted_searchers = (
+        cpu_seconds_a_day / target.CHANGES_A_DAY / slopes.slope("adopt") * MICROS_PER_SECOND
+    )
+    hosts_by_owner_tables = (
+        cpu_seconds_a_day
+        / (target.OWNER_TABLES_A_DAY + target.CHANGES_A_DAY)
+        / table
+        / target.DEPARTMENTS
+    )
+    links_by_tasks = (MAX_TASKS - MAX_CALLERS) // 2
+    hosts_in_list = target.CONTROL_BYTES_BUDGET / 0.5 / slopes.slope("host_list_bytes")
+    kept_links = target.CONTROL_BYTES_BUDGET / slopes.value_at("heartbeat_bytes", 0)
     rows = [
-        ["1 MB value that holds the text", f"{number(searchers)} searchers"],
-        ["4 MB frame that holds the text", f"{number(framed)} searchers"],
-        ["2,000 reads/s in an outage", f"{number(t.READ_LIMIT / READS_AN_OUTAGE)} hosts"],
-        ["4,096 tasks, two a peer", f"{number(links)} hosts"],
-        ["interpreter lock, sub-queries of all services on a host", f"{number(subs)} a second"],
-        ["interpreter lock, sub-queries of one service", f"{number(subs)} a second"],
-        ["2.9 % of a core for accepting 13,000 changes a day", f"{number(accepted)} searchers"],
+        ["1 MB value that holds the text", f"{format_number(searchers_in_value)} searchers"],
+        ["4 MB frame that holds the text", f"{format_number(searchers_in_frame)} searchers"],
         [
-            f"2.9 % of a core for owner tables, {t.DEPARTMENTS} departments",
-            f"{number(square)} hosts",
+            "2,000 reads/s in an outage",
+            f"{format_number(target.PLATFORM_READS_LIMIT / OUTAGE_READS_PER_HOST)} hosts",
         ],
-        ["3 KB/s for a watcher's host list each 2 s", f"{number(listed)} hosts"],
-        ["3 KB/s for heartbeats that keep links", f"{number(kept)} links"],
+        ["4,096 tasks, two a peer", f"{format_number(links_by_tasks)} hosts"],
+        [
+            "interpreter lock, sub-queries of all services on a host",
+            f"{format_number(sub_queries)} a second",
+        ],
+        ["interpreter lock, sub-queries of one service", f"{format_number(sub_queries)} a second"],
+        [
+            "2.9 % of a core for accepting 13,000 changes a day",
+            f"{format_number(accepted_searchers)} searchers",
+        ],
+        [
+            f"2.9 % of a core for owner tables, {target.DEPARTMENTS} departments",
+            f"{format_number(hosts_by_owner_tables)} hosts",
+        ],
+        ["3 KB/s for a watcher's host list each 2 s", f"{format_number(hosts_in_list)} hosts"],
+        ["3 KB/s for heartbeats that keep links", f"{format_number(kept_links)} links"],
     ]
-    return markdown(["limit", "reached at"], rows)
+    return markdown_table(["limit", "reached at"], rows)
 
 
-def failure_table(s: t.Slopes) -> str:
+def failure_table(slopes: target.Slopes) -> str:
     """Return what failures cost one host."""
-    table = s.table_seconds()
+    table = slopes.table_seconds()
     rows = []
     for what, changes in (
-        ("a day's 140 failures, each host back", 2 * t.FAILURES_A_DAY),
-        ("a day's 1,400 replacements", 2 * t.REPLACEMENTS_A_DAY),
-        ("a lost failure domain", t.DOMAIN_HOSTS),
-        ("regions split, the smaller side", t.HOSTS - t.REGION_HOSTS),
-        ("regions split, the larger side", t.REGION_HOSTS),
+        ("a day's 140 failures, each host back", 2 * target.FAILURES_A_DAY),
+        ("a day's 1,400 replacements", 2 * target.REPLACEMENTS_A_DAY),
+        ("a lost failure domain", target.DOMAIN_HOSTS),
+        ("regions split, the smaller side", target.HOSTS - target.REGION_HOSTS),
+        ("regions split, the larger side", target.REGION_HOSTS),
     ):
         batches = ceil(changes / MAX_UPDATES_PER_MESSAGE)
         rows.append(
             [
                 what,
-                number(changes),
-                measure(changes * t.TELLINGS * s.slope("heartbeat_bytes"), Unit.BYTES),
-                measure(batches * table, Unit.SECONDS),
-                measure(changes * table, Unit.SECONDS),
+                format_number(changes),
+                format_measure(
+                    changes * target.SENDS_PER_UPDATE * slopes.slope("heartbeat_bytes"), Unit.BYTES
+                ),
+                format_measure(batches * table, Unit.SECONDS),
+                format_measure(changes * table, Unit.SECONDS),
             ]
         )
     heads = [
@@ -173,71 +226,98 @@
         "CPU of owner tables, 20 news a message",
         "the same, one by one",
     ]
-    return markdown(heads, rows)
+    return markdown_table(heads, rows)
 
 
 def derived_table() -> str:
     """Return what follows from the target for one host."""
     rows = [
-        ["services", f"{t.SEARCHERS:,} searchers / {t.SEARCHERS_A_SERVICE}", number(t.SERVICES)],
+        [
+            "services",
+            f"{target.SEARCHERS:,} searchers / {target.SEARCHERS_A_SERVICE}",
+            format_number(target.SERVICES),
+        ],
         [
             "departments",
-            f"{t.SEARCHERS:,} / {t.TODAY_SEARCHERS} × {t.TODAY_DEPARTMENTS}, as in kerala",
-            number(t.DEPARTMENTS),
+            f"{target.SEARCHERS:,} / {target.TODAY_SEARCHERS} × {target.TODAY_DEPARTMENTS},"
+            " as in kerala",
+            format_number(target.DEPARTMENTS),
+        ],
+        [
+            "queries a host",
+            f"{target.QUERIES_A_SECOND:,} / {target.HOSTS:,}",
+            f"{target.QUERIES_A_HOST:.0f}/s",
+        ],
+        ["sub-queries a host", f"× {target.FAN_OUT}", f"{target.SUB_QUERIES_A_HOST:,.0f}/s"],
+        [
+            "owners of one query",
+            f"{target.FAN_OUT} / 3 services each",
+            format_number(target.OWNERS_A_QUERY),
+        ],
+        ["asks a host", f"× {target.OWNERS_A_QUERY}", f"{target.ASKS_A_HOST:,.0f}/s"],
+        [
+            "services owned by a host",
+            f"{target.SERVICES:,} / {target.HOSTS:,}",
+            format_number(target.SERVICES_A_HOST),
+        ],
+        ["sub-queries a service", "all / services", f"{target.SUB_QUERIES_A_SERVICE:,.0f}/s"],
+        ["sub-queries a searcher", "all / searchers", f"{target.SUB_QUERIES_A_SEARCHER:,.0f}/s"],
+        [
+            "changes of configuration",
+            f"{target.CHANGES_A_DAY:,} / 86,400 s",
+            f"{target.CHANGES_A_SECOND:.2f}/s",
+        ],
+        [
+            "hosts of a failure domain",
+            f"{target.HOSTS:,} / {target.DOMAINS}",
+            format_number(target.DOMAIN_HOSTS),
         ],
-        ["queries a host", f"{t.QUERIES:,} / {t.HOSTS:,}", f"{t.QUERIES_A_HOST:.0f}/s"],
-        ["sub-queries a host", f"× {t.FAN_OUT}", f"{t.SUB_QUERIES_A_HOST:,.0f}/s"],
-        ["owners of one query", f"{t.FAN_OUT} / 3 services each", number(t.OWNERS_ASKED)],
-        ["asks a host", f"× {t.OWNERS_ASKED}", f"{t.ASKS_A_HOST:,.0f}/s"],
-        ["services owned by a host", f"{t.SERVICES:,} / {t.HOSTS:,}", number(t.SERVICES_A_HOST)],
-        ["sub-queries a service", "all / services", f"{t.SUB_QUERIES_A_SERVICE:,.0f}/s"],
-        ["sub-queries a searcher", "all / searchers", f"{t.SUB_QUERIES_A_SEARCHER:,.0f}/s"],
-        ["changes of configuration", f"{t.CHANGES_A_DAY:,} / 86,400 s", f"{t.CHANGES:.2f}/s"],
-        ["hosts of a failure domain", f"{t.HOSTS:,} / {t.DOMAINS}", number(t.DOMAIN_HOSTS)],
     ]
-    return markdown(["what", "worked out", "figure"], rows)
+    return markdown_table(["what", "worked out", "figure"], rows)
 
 
-def latency_table(s: t.Slopes) -> str:
+def latency_table(slopes: target.Slopes) -> str:
     """Return the split of the 99th percentile, beside the processor time that each step needs."""
-    first = s.at("entry", 0) / 1e3
-    asks = t.OWNERS_ASKED * s.at("ask", t.FAN_OUT / t.OWNERS_ASKED) / 2e3
-    parts = t.FAN_OUT / t.OWNERS_ASKED
-    merge = t.FAN_OUT * s.slope("entry") / 1e3
-    owner = parts * s.slope("owner") / 1e3
+    request_cpu = slopes.value_at("entry", 0) / 1e3
+    asks_cpu = (
+        target.OWNERS_A_QUERY * slopes.value_at("ask", target.FAN_OUT / target.OWNERS_A_QUERY) / 2e3
+    )
+    parts = target.FAN_OUT / target.OWNERS_A_QUERY
+    merge_cpu = target.FAN_OUT * slopes.slope("entry") / 1e3
+    owner = parts * slopes.slope("owner") / 1e3
     lines: list[tuple[str, float, float | None]] = [
         ("caller, balancer, entry and back", 4, None),
-        ("entry: request read, admitted, answered", 15, first),
-        (f"entry: {t.OWNERS_ASKED} asks sent", 5, asks),
+        ("entry: request read, admitted, answered", 15, request_cpu),
+        (f"entry: {target.OWNERS_A_QUERY} asks sent", 5, asks_cpu),
         ("entry to owner and back", 4, None),
         ("owner: wait in the queue", 60, None),
-        (f"owner: {number(parts)} sub-queries sent and replied", 5, owner),
+        (f"owner: {format_number(parts)} sub-queries sent and replied", 5, owner),
         ("owner to searcher and back", 2, None),
         ("searcher, hedge included", 100, None),
-        (f"entry: {t.FAN_OUT} replies merged", 15, merge),
+        (f"entry: {target.FAN_OUT} replies merged", 15, merge_cpu),
         ("rest", 20, None),
     ]
-    assert sum(line[1] for line in lines) == t.P99_MS
+    assert sum(line[1] for line in lines) == target.P99_MS
     rows = [
         [what, f"{allowed:.0f} ms", "" if used is None else f"{used:.1f} ms"]
         for what, allowed, used in lines
     ]
-    rows.append(["**sum**", f"**{t.P99_MS:.0f} ms**", ""])
-    return markdown(["step", "allowance (plan)", "CPU on an idle core"], rows)
+    rows.append(["**sum**", f"**{target.P99_MS:.0f} ms**", ""])
+    return markdown_table(["step", "allowance (plan)", "CPU on an idle core"], rows)
 
 
-def check_table(s: t.Slopes) -> str:
+def check_table(slopes: target.Slopes) -> str:
     """Return what the slopes say of the busy fleet beside what was measured there."""
-    idle, busy = s.figures["fleets"]["kerala idle"], s.figures["fleets"]["kerala busy"]
+    idle, busy = slopes.figures["fleets"]["kerala idle"], slopes.figures["fleets"]["kerala busy"]
     fan_out = DEPLOYMENTS["kerala"].fan_out
     rate = sum(BUSY_RATES.values()) / busy["hosts"]
-    query = s.at("entry", fan_out) + fan_out * s.slope("owner")
-    forecast = idle["all_cpu"] + rate * query / MILLION
+    query = slopes.value_at("entry", fan_out) + fan_out * slopes.slope("owner")
+    forecast = idle["all_cpu"] + rate * query / MICROS_PER_SECOND
     measured = busy["all_cpu"]
     row = [
-        f"{number(rate)} queries/s × {number(query)} µs + idle {idle['all_cpu']:.1%}",
-        measure(forecast, Unit.CORE),
-        measure(measured, Unit.CORE),
-        number(measured / forecast),
+        f"{format_number(rate)} queries/s × {format_number(query)} µs + idle {idle['all_cpu']:.1%}",
+        format_measure(forecast, Unit.CORE),
+        format_measure(measured, Unit.CORE),
+        format_number(measured / forecast),
     ]
-    return markdown(["by the slopes", "forecast", "measured", "measured / forecast"], [row])
+    return markdown_table(["by the slopes", "forecast", "measured", "measured / forecast"], [row])
--- a/bench/process/_host_costs.py
+++ b/bench/process/_host_costs.py
@@ -69,7 +69,7 @@
     last = max(services)
 
     def call() -> object:
-        host.admission.hear(HostId("other"), [ServicePressure(last, (0.0, 0.0, 0.0))])
+        host.admission.record_pressure(HostId("other"), [ServicePressure(last, (0.0, 0.0, 0.0))])
         result = host.caller_service.search(request)
         assert "OVERLOAD" in repr(result), result
         return result
--- a/bench/process/_path_costs.py
+++ b/bench/process/_path_costs.py
@@ -11,7 +11,7 @@
 from ._cpu import cpu_seconds
 from ._host_costs import FAN_OUTS
 from ._slope import Slope
-from ._stopwatch import MILLION
+from ._stopwatch import MICROS_PER_SECOND
 
 QUERIES = 240
 CALLERS = 4
@@ -57,7 +57,7 @@
     with ThreadPoolExecutor(CALLERS) as callers:
         list(callers.map(run, range(QUERIES)))
     first, second = (
-        (after - start) / QUERIES * MILLION
+        (after - start) / QUERIES * MICROS_PER_SECOND
         for start, after in zip(before, _cpu(fleet), strict=True)
     )
     return first - second, second
@@ -68,7 +68,7 @@
     before = _cpu(fleet)
     for _ in range(TRIES):
         fleet.mint(0)
-    return (_cpu(fleet)[0] - before[0]) / TRIES * MILLION
+    return (_cpu(fleet)[0] - before[0]) / TRIES * MICROS_PER_SECOND
 
 
 def _cpu(fleet: Fleet) -> list[float]:
--- a/bench/process/_roles.py
+++ b/bench/process/_roles.py
@@ -3,53 +3,53 @@
 from masticgate.version import connections_per_owner
 from masticgate.version._configuration import Searcher
 
-from . import _target as t
-from ._control_roles import MICRO, member_rows, relay_rows, watcher_rows
+from . import _target as target
+from ._control_roles import SECONDS_PER_MICRO, member_rows, relay_rows, watcher_rows
 from ._rows import Factor, Row, State, Unit
 
-HALF = 0.5
+ONE_END = 0.5
 """One end of a message that was measured at both ends."""
 
 SLOTS = 2
-KEEP_BEATS = 0.5
+KEEPALIVES_A_SECOND = 0.5
 """Heartbeats a second to a host that is no neighbour."""
 
 
-def entry_rows(s: t.Slopes) -> list[Row]:
+def entry_rows(slopes: target.Slopes) -> list[Row]:
     """Return what a host does for its callers."""
-    queries = Factor(t.QUERIES_A_HOST, "queries/s")
-    subs = Factor(t.SUB_QUERIES_A_HOST, "sub-queries/s")
-    asks = Factor(t.ASKS_A_HOST, "asks/s")
-    probes = Factor(2 * t.ASKS_A_HOST, "probes and replies/s")
-    peers = Factor(t.PEERS, "hosts")
-    ask_bytes = s.at("ask_bytes", t.FAN_OUT / t.OWNERS_ASKED)
+    queries = Factor(target.QUERIES_A_HOST, "queries/s")
+    sub_queries = Factor(target.SUB_QUERIES_A_HOST, "sub-queries/s")
+    asks = Factor(target.ASKS_A_HOST, "asks/s")
+    probes = Factor(2 * target.ASKS_A_HOST, "probes and replies/s")
+    peers = Factor(target.PEERS_A_HOST, "hosts")
+    ask_bytes = slopes.value_at("ask_bytes", target.FAN_OUT / target.OWNERS_A_QUERY)
     return [
         Row(
             "queries in flight",
-            (queries, Factor(t.P99_MS / 1000, "s")),
+            (queries, Factor(target.P99_MS / 1000, "s")),
             Unit.COUNT,
             "a task a caller's connection, at most 256",
         ),
         Row(
             "CPU, a query",
-            (queries, Factor(s.at("entry", 0), "µs")),
+            (queries, Factor(slopes.value_at("entry", 0), "µs")),
             Unit.CORE,
             "`run_search`, caller's HTTP",
-            scale=MICRO,
+            scale=SECONDS_PER_MICRO,
         ),
         Row(
             "CPU, its sub-queries",
-            (subs, Factor(s.slope("entry"), "µs")),
+            (sub_queries, Factor(slopes.slope("entry"), "µs")),
             Unit.CORE,
             "inbox and merge",
-            scale=MICRO,
+            scale=SECONDS_PER_MICRO,
         ),
         Row(
             "CPU, asks to several owners",
-            (asks, Factor(s.at("ask", 0), "µs"), Factor(HALF, "of both ends")),
+            (asks, Factor(slopes.value_at("ask", 0), "µs"), Factor(ONE_END, "of both ends")),
             Unit.CORE,
             "an ask an owner",
-            scale=MICRO,
+            scale=SECONDS_PER_MICRO,
         ),
         Row(
             "bytes of asks",
@@ -59,16 +59,16 @@
         ),
         Row(
             "CPU, signs of life",
-            (probes, Factor(s.at("heartbeat", 0), "µs")),
+            (probes, Factor(slopes.value_at("heartbeat", 0), "µs")),
             Unit.CORE,
             "a probe with an ask over a quiet link",
-            scale=MICRO,
+            scale=SECONDS_PER_MICRO,
             control=True,
             state=State.PARTLY,
         ),
         Row(
             "bytes of signs of life",
-            (probes, Factor(s.at("heartbeat_bytes", 0), "B")),
+            (probes, Factor(slopes.value_at("heartbeat_bytes", 0), "B")),
             Unit.BYTES_A_SECOND,
             "a probe with an ask over a quiet link",
             control=True,
@@ -83,23 +83,31 @@
         ),
         Row(
             "memory of links, both ways",
-            (peers, Factor(s.slope("link_memory"), "B")),
+            (peers, Factor(slopes.slope("link_memory"), "B")),
             Unit.BYTES,
             "a task a link",
             state=State.PARTLY,
         ),
         Row(
             "CPU, heartbeats that keep links",
-            (peers, Factor(2 * KEEP_BEATS, "messages/s"), Factor(s.at("heartbeat", 0), "µs")),
+            (
+                peers,
+                Factor(2 * KEEPALIVES_A_SECOND, "messages/s"),
+                Factor(slopes.value_at("heartbeat", 0), "µs"),
+            ),
             Unit.CORE,
             "every second heartbeat",
-            scale=MICRO,
+            scale=SECONDS_PER_MICRO,
             control=True,
             state=State.PARTLY,
         ),
         Row(
             "bytes of heartbeats that keep links",
-            (peers, Factor(2 * KEEP_BEATS, "messages/s"), Factor(s.at("heartbeat_bytes", 0), "B")),
+            (
+                peers,
+                Factor(2 * KEEPALIVES_A_SECOND, "messages/s"),
+                Factor(slopes.value_at("heartbeat_bytes", 0), "B"),
+            ),
             Unit.BYTES_A_SECOND,
             "every second heartbeat",
             control=True,
@@ -108,21 +116,21 @@
     ]
 
 
-def owner_rows(s: t.Slopes) -> list[Row]:
+def owner_rows(slopes: target.Slopes) -> list[Row]:
     """Return what a host does for the services that it owns."""
-    searcher = Searcher("s", "127.0.0.1:1", "d", SLOTS, t.CONNECTION_LIMIT)  # type: ignore[arg-type]
-    held = connections_per_owner(searcher, t.HOSTS)
-    services = Factor(t.SERVICES_A_HOST, "services")
-    connections = Factor(held, "connections")
-    searchers = Factor(t.SEARCHERS_A_SERVICE, "searchers")
-    subs = Factor(t.SUB_QUERIES_A_HOST, "sub-queries/s")
-    reply_bytes = Factor(s.at("reply_bytes", t.HITS), "B")
-    searcher_subs = t.SUB_QUERIES_A_SEARCHER
+    searcher = Searcher("s", "127.0.0.1:1", "d", SLOTS, target.CONNECTION_LIMIT)  # type: ignore[arg-type]
+    connections_per_searcher = connections_per_owner(searcher, target.HOSTS)
+    services = Factor(target.SERVICES_A_HOST, "services")
+    connections = Factor(connections_per_searcher, "connections")
+    searchers = Factor(target.SEARCHERS_A_SERVICE, "searchers")
+    sub_queries = Factor(target.SUB_QUERIES_A_HOST, "sub-queries/s")
+    reply_bytes = Factor(slopes.value_at("reply_bytes", target.HITS_A_REPLY), "B")
+    sub_queries_per_searcher = target.SUB_QUERIES_A_SEARCHER
     return [
         Row("services owned", (services,), Unit.COUNT, "rendezvous hashing in two levels"),
         Row(
             "memory of pools",
-            (services, Factor(s.slope("pool_memory"), "B")),
+            (services, Factor(slopes.slope("pool_memory"), "B")),
             Unit.BYTES,
             "one queue a service",
         ),
@@ -134,30 +142,38 @@
         ),
         Row(
             "memory of connections",
-            (services, searchers, connections, Factor(s.slope("searcher_memory"), "B")),
+            (services, searchers, connections, Factor(slopes.slope("searcher_memory"), "B")),
             Unit.BYTES,
             "a task a connection",
         ),
         Row(
             "CPU, sub-queries",
-            (subs, Factor(s.slope("owner"), "µs")),
+            (sub_queries, Factor(slopes.slope("owner"), "µs")),
             Unit.CORE,
             "pool, HTTP to the searcher, reply",
-            scale=MICRO,
+            scale=SECONDS_PER_MICRO,
             state=State.PARTLY,
         ),
         Row(
             "of that, one service",
-            (Factor(t.SUB_QUERIES_A_SERVICE, "sub-queries/s"), Factor(s.slope("owner"), "µs")),
+            (
+                Factor(target.SUB_QUERIES_A_SERVICE, "sub-queries/s"),
+                Factor(slopes.slope("owner"), "µs"),
+            ),
             Unit.CORE,
             "one owner a service",
-            scale=MICRO,
+            scale=SECONDS_PER_MICRO,
             state=State.PARTLY,
         ),
-        Row("bytes of replies", (subs, reply_bytes), Unit.BYTES_A_SECOND, "a reply a service"),
+        Row(
+            "bytes of replies", (sub_queries, reply_bytes), Unit.BYTES_A_SECOND, "a reply a service"
+        ),
         Row(
             "longest a sub-query may hold a connection",
-            (Factor(held, "connections"), Factor(1 / searcher_subs, "s a sub-query")),
+            (
+                Factor(connections_per_searcher, "connections"),
+                Factor(1 / sub_queries_per_searcher, "s a sub-query"),
+            ),
             Unit.MILLIS,
             "`limit / 8` connections an owner",
             scale=1e3,
@@ -165,7 +181,10 @@
         ),
         Row(
             "the same with the searcher's whole limit",
-            (Factor(t.CONNECTION_LIMIT, "connections"), Factor(1 / searcher_subs, "s a sub-query")),
+            (
+                Factor(target.CONNECTION_LIMIT, "connections"),
+                Factor(1 / sub_queries_per_searcher, "s a sub-query"),
+            ),
             Unit.MILLIS,
             "a share that is handed over",
             State.DESIGNED,
@@ -174,12 +193,12 @@
     ]
 
 
-def all_rows(s: t.Slopes) -> dict[str, list[Row]]:
+def all_rows(slopes: target.Slopes) -> dict[str, list[Row]]:
     """Return the rows of each role."""
     return {
-        "entry": entry_rows(s),
-        "owner": owner_rows(s),
-        "watcher": watcher_rows(s),
-        "relay": relay_rows(s),
-        "member": member_rows(s),
+        "entry": entry_rows(slopes),
+        "owner": owner_rows(slopes),
+        "watcher": watcher_rows(slopes),
+        "relay": relay_rows(slopes),
+        "member": member_rows(slopes),
     }
--- a/bench/process/_rows.py
+++ b/bench/process/_rows.py
@@ -5,7 +5,7 @@
 from math import prod
 
 KILO = 1e3
-NOTHING = 1e-9
+SHOWN_AS_ZERO = 1e-9
 
 
 class State(Enum):
@@ -35,17 +35,17 @@
     """One factor of a product, and what it counts."""
 
     value: float
-    what: str
+    label: str
 
     def text(self) -> str:
-        return f"{number(self.value)} {self.what}".strip()
+        return f"{format_number(self.value)} {self.label}".strip()
 
 
 @dataclass(frozen=True)
 class Row:
     """One line of a role's table; ``scale`` turns the product into the unit."""
 
-    what: str
+    label: str
     factors: tuple[Factor, ...]
     unit: Unit
     mechanism: str = ""
@@ -59,43 +59,43 @@
         return prod(factor.value for factor in self.factors) * self.scale
 
     @property
-    def working(self) -> str:
+    def formula(self) -> str:
         """The product as people write it."""
         return " × ".join(factor.text() for factor in self.factors)
 
 
-def number(value: float) -> str:
+def format_number(value: float) -> str:
     """Write a figure with three digits that count."""
-    if abs(value) < NOTHING:
+    if abs(value) < SHOWN_AS_ZERO:
         return "0"
     if 0.01 <= abs(value) < KILO:
         return f"{value:.3g}"
     return f"{float(f'{value:.3g}'):,.0f}" if abs(value) >= KILO else f"{value:.2e}"
 
 
-def measure(value: float, unit: Unit) -> str:
+def format_measure(value: float, unit: Unit) -> str:
     """Write a figure with its unit."""
     match unit:
         case Unit.CORE:
             return f"{value:.1%} of a core" if value < 1 else f"{value:.2f} cores"
         case Unit.BYTES | Unit.BYTES_A_SECOND:
-            return _bytes(value) + ("/s" if unit is Unit.BYTES_A_SECOND else "")
+            return _format_bytes(value) + ("/s" if unit is Unit.BYTES_A_SECOND else "")
         case Unit.COUNT:
-            return f"{value:,.0f}" if value >= KILO else number(value)
+            return f"{value:,.0f}" if value >= KILO else format_number(value)
         case Unit.A_SECOND:
-            return number(value) + "/s"
+            return format_number(value) + "/s"
         case _:
-            return f"{number(value)} {unit.value}"
+            return f"{format_number(value)} {unit.value}"
 
 
-def _bytes(value: float) -> str:
+def _format_bytes(value: float) -> str:
     for size, name in ((1e9, "GB"), (1e6, "MB"), (1e3, "KB")):
         if value >= size:
             return f"{value / size:.3g} {name}"
     return f"{value:.3g} B"
 
 
-def markdown(heads: list[str], rows: list[list[str]]) -> str:
+def markdown_table(heads: list[str], rows: list[list[str]]) -> str:
     """Return a table."""
     lines = [heads, ["---"] * len(heads), *rows]
     return "\n".join("| " + " | ".join(cells) + " |" for cells in lines)
@@ -106,13 +106,13 @@
     heads = ["what", "worked out", "at the target", "control", "carried by", "state"]
     cells = [
         [
-            row.what,
-            row.working,
-            measure(row.value, row.unit),
+            row.label,
+            row.formula,
+            format_measure(row.value, row.unit),
             "yes" if row.control else "",
             row.mechanism,
             row.state.value,
         ]
         for row in rows
     ]
-    return markdown(heads, cells)
+    return markdown_table(heads, cells)
--- a/bench/process/_scenario.py
+++ b/bench/process/_scenario.py
@@ -35,7 +35,7 @@
     return {rank: part * share for rank, part in MIX.items()}
 
 
-ALL = (
+ALL_SCENARIOS = (
     Scenario("calm-50", mixed(0.5)),
     Scenario("calm-80", mixed(0.8)),
     Scenario(SATURATED, mixed(1.0)),
@@ -50,5 +50,5 @@
     Scenario("departure", mixed(0.3), event=Depart()),
     Scenario("flood-and-kill", BULK_FLOOD, flooded="bulk", event=KillHost()),
 )
-SCENARIOS = {scenario.name: scenario for scenario in ALL}
+SCENARIOS = {scenario.name: scenario for scenario in ALL_SCENARIOS}
 QUICK = ("calm-50", "calm-80", SATURATED, "stragglers", "flood-bulk", "host-killed")
--- a/bench/process/_stopwatch.py
+++ b/bench/process/_stopwatch.py
@@ -3,7 +3,7 @@
 import time
 from collections.abc import Callable
 
-MILLION = 1e6
+MICROS_PER_SECOND = 1e6
 BATCHES = 25
 
 
@@ -16,4 +16,4 @@
         for _ in range(repeats):
             run()
         best = min(best, time.thread_time() - started)
-    return best / repeats * MILLION
+    return best / repeats * MICROS_PER_SECOND
--- a/bench/process/_target.py
+++ b/bench/process/_target.py
@@ -14,23 +14,23 @@
 
 HOSTS = 3_300
 SEARCHERS = 22_000
-QUERIES = 580_000
+QUERIES_A_SECOND = 580_000
 FAN_OUT = 71
 P99_MS = 230.0
 REGIONS = 5
 DOMAINS = 17
 CHANGES_A_DAY = 13_000
 CHANGE_SECONDS = 13.0
-CONTROL_CORE = 0.029
-CONTROL_MEMORY = 32e6
-CONTROL_BYTES = 3_000.0
+CONTROL_CPU_BUDGET = 0.029
+CONTROL_MEMORY_BUDGET = 32e6
+CONTROL_BYTES_BUDGET = 3_000.0
 FAILURES_A_DAY = 140
 REPLACEMENTS_A_DAY = 1_400
 CONNECTION_LIMIT = 25
-VALUE_LIMIT = 1e6
-READ_LIMIT = 2_000.0
-DAY = 86_400.0
-HITS = 10
+VALUE_BYTES_LIMIT = 1e6
+PLATFORM_READS_LIMIT = 2_000.0
+SECONDS_A_DAY = 86_400.0
+HITS_A_REPLY = 10
 
 TODAY = accepted(DEPLOYMENTS["kerala"].text)
 TODAY_SEARCHERS = sum(len(service.searchers) for service in TODAY.services.values())
@@ -39,25 +39,25 @@
 TODAY_DEPARTMENTS = len(TODAY.departments)
 DEPARTMENTS = round(SEARCHERS / TODAY_SEARCHERS * TODAY_DEPARTMENTS)
 
-QUERIES_A_HOST = QUERIES / HOSTS
+QUERIES_A_HOST = QUERIES_A_SECOND / HOSTS
 SUB_QUERIES_A_HOST = QUERIES_A_HOST * FAN_OUT
-OWNERS_ASKED = ceil(FAN_OUT / SERVICES_PER_OWNER)
-ASKS_A_HOST = QUERIES_A_HOST * OWNERS_ASKED
+OWNERS_A_QUERY = ceil(FAN_OUT / SERVICES_PER_OWNER)
+ASKS_A_HOST = QUERIES_A_HOST * OWNERS_A_QUERY
 SERVICES_A_HOST = SERVICES / HOSTS
-SUB_QUERIES_A_SERVICE = QUERIES * FAN_OUT / SERVICES
-SUB_QUERIES_A_SEARCHER = QUERIES * FAN_OUT / SEARCHERS
+SUB_QUERIES_A_SERVICE = QUERIES_A_SECOND * FAN_OUT / SERVICES
+SUB_QUERIES_A_SEARCHER = QUERIES_A_SECOND * FAN_OUT / SEARCHERS
 NEIGHBOURS = NEAR_NEIGHBOURS + FOREIGN_NEIGHBOURS
-PEERS = HOSTS - 1
+PEERS_A_HOST = HOSTS - 1
 WATCHERS = DOMAINS * WATCHERS_PER_DOMAIN
-CHANGES = CHANGES_A_DAY / DAY
-TELLINGS = RETRANSMIT_FACTOR * ceil(log2(HOSTS + 1))
-BELIEFS_A_DAY = FAILURES_A_DAY * 3 + REPLACEMENTS_A_DAY * 2
+CHANGES_A_SECOND = CHANGES_A_DAY / SECONDS_A_DAY
+SENDS_PER_UPDATE = RETRANSMIT_FACTOR * ceil(log2(HOSTS + 1))
+MEMBER_UPDATES_A_DAY = FAILURES_A_DAY * 3 + REPLACEMENTS_A_DAY * 2
 """Suspect, dead and back for a failure; leaving and back for a replacement."""
 
-TABLES_A_DAY = (FAILURES_A_DAY + REPLACEMENTS_A_DAY) * 2
+OWNER_TABLES_A_DAY = (FAILURES_A_DAY + REPLACEMENTS_A_DAY) * 2
 DOMAIN_HOSTS = round(HOSTS / DOMAINS)
 REGION_HOSTS = HOSTS // REGIONS
-GROUP = department_group_size(round(SERVICES / DEPARTMENTS))
+DEPARTMENT_GROUP_HOSTS = department_group_size(round(SERVICES / DEPARTMENTS))
 
 
 class Slopes:
@@ -71,23 +71,23 @@
         """Return the cost of one more."""
         return float(self.figures["slopes"][name]["slope"])
 
-    def at(self, name: str, size: float) -> float:
+    def value_at(self, name: str, size: float) -> float:
         """Return the cost on the line at ``size``."""
         line = self.figures["slopes"][name]
         return float(line["slope"] * size + line["start"])
 
     def table_seconds(self) -> float:
         """Return the processor seconds of one owner table at the target."""
-        return self.at("wide_table", DEPARTMENTS) / 1e6
+        return self.value_at("wide_table", DEPARTMENTS) / 1e6
 
-    def adopt_seconds(self) -> float:
+    def apply_seconds(self) -> float:
         """Return the processor seconds to apply and accept one delta at the target."""
-        return self.at("adopt", SEARCHERS) / 1e6
+        return self.value_at("adopt", SEARCHERS) / 1e6
 
     def accept_seconds(self) -> float:
         """Return the processor seconds to accept one whole text at the target."""
-        return self.at("accept", SEARCHERS) / 1e6
+        return self.value_at("accept", SEARCHERS) / 1e6
 
     def text_bytes(self) -> float:
         """Return the bytes of the text at the target."""
-        return self.at("text_bytes", SEARCHERS)
+        return self.value_at("text_bytes", SEARCHERS)
--- a/tests/process/test_bench_slopes.py
+++ b/tests/process/test_bench_slopes.py
@@ -1,7 +1,7 @@
 """Lines through measured costs, and how their figures are written."""
 
 import pytest
-from bench.process._rows import Factor, Row, Unit, measure, number
+from bench.process._rows import Factor, Row, Unit, format_measure, format_number
 from bench.process._slope import Slope
 
 
@@ -17,11 +17,11 @@
 class TestRow:
     def test_is_the_product_that_it_shows(self):
         row = Row("CPU", (Factor(2000.0, "calls/s"), Factor(3.0, "µs")), Unit.CORE, scale=1e-6)
-        assert row.working == "2,000 calls/s × 3 µs"
-        assert measure(row.value, row.unit) == "0.6% of a core"
+        assert row.formula == "2,000 calls/s × 3 µs"
+        assert format_measure(row.value, row.unit) == "0.6% of a core"
 
     def test_writes_three_digits(self):
-        assert [number(x) for x in (0.0, 0.001234, 12.345, 12345.0)] == [
+        assert [format_number(x) for x in (0.0, 0.001234, 12.345, 12345.0)] == [
             "0",
             "1.23e-03",
             "12.3",
