--- a/src/masticgate/process/gateway/_gateway.py
+++ b/src/masticgate/process/gateway/_gateway.py
@@ -21,10 +21,10 @@
 from ._settings import GatewaySettings
 from ._task_pool import TaskPool
 
-MAX_CALLERS = 1_500
+MAX_CALLER_CONNECTIONS = 1_500
 """The limit on open connections of callers; each uses a task and three file descriptors."""
 
-MAX_PAGE_CALLERS = 32
+MAX_PAGE_CONNECTIONS = 32
 """The limit on open connections to the readiness page, and to the metrics page."""
 
 PEER_TRANSIT_TIME = Millis(6.0)
@@ -36,7 +36,7 @@
 STACK_BYTES = 256 * 1024
 """The stack size of each thread."""
 
-TICK_INTERVAL = Millis(500.0)
+MAINTENANCE_INTERVAL = Millis(500.0)
 """The interval of the regular maintenance."""
 
 PAUSE_THRESHOLD = Millis(1_500.0)
@@ -97,7 +97,10 @@
         self.was_ready = False
         self.readiness = self._listen(settings.readiness, header_names, self._ready_page)
         self.callers = self._listen(
-            settings.callers, header_names, self.service.handle, max_connections=MAX_CALLERS
+            settings.callers,
+            header_names,
+            self.service.handle,
+            max_connections=MAX_CALLER_CONNECTIONS,
         )
         self.listeners = [self.readiness, self.callers]
         if settings.peers is not None:
@@ -108,7 +111,7 @@
     def start(self) -> None:
         """Start the tasks that run as long as the process."""
         self.log.write(LogEvent.STARTED, domain=self.settings.domain, callers=self.settings.callers)
-        tasks = [self.log.run, self.follower.run, self._tick]
+        tasks = [self.log.run, self.follower.run, self._run_maintenance]
         for run in (*tasks, *(listener.run for listener in self.listeners)):
             Thread(target=run, daemon=True).start()
         self.peers.start()
@@ -158,7 +161,7 @@
         address: Address,
         header_names: HeaderNames,
         handler: Handler,
-        max_connections: int = MAX_PAGE_CALLERS,
+        max_connections: int = MAX_PAGE_CONNECTIONS,
     ) -> Listener:
         settings = CallerSettings(
             handler, header_names, self.clock, self._limits, self.stopping.is_set
@@ -175,7 +178,7 @@
             callers_are_gateways=True,
             transit_time=PEER_TRANSIT_TIME,
         )
-        return Listener(address, settings, self.pool, MAX_CALLERS)
+        return Listener(address, settings, self.pool, MAX_CALLER_CONNECTIONS)
 
     def _make_relayed_source(self, platform: PlatformSource) -> CatalogueSource:
         wait = Event().wait
@@ -203,18 +206,18 @@
     def _metrics_page(self, request: Request, inbox: Inbox) -> Reply:
         return LocalPage(200, self.metrics.render())
 
-    def _tick(self) -> None:
+    def _run_maintenance(self) -> None:
         """Do the regular maintenance until the process ends.
 
         Choose who gathers queries, maintain the searchers, update the gauges, and log a change of
         readiness or a pause of the process.
         """
-        last_tick_at = self.clock.now()
-        while not self.ended.wait(TICK_INTERVAL / MILLIS_PER_SECOND):
+        last_run_at = self.clock.now()
+        while not self.ended.wait(MAINTENANCE_INTERVAL / MILLIS_PER_SECOND):
             now = self.clock.now()
-            if now - last_tick_at > PAUSE_THRESHOLD:
-                self.log.write(LogEvent.PAUSED, for_ms=round(now - last_tick_at))
-            last_tick_at = now
+            if now - last_run_at > PAUSE_THRESHOLD:
+                self.log.write(LogEvent.PAUSED, for_ms=round(now - last_run_at))
+            last_run_at = now
             self.peers.update_gathering()
             self.fleet.sweep()
             if self._is_ready() != self.was_ready:
--- a/tests/connection/test_endless_responses.py
+++ b/tests/connection/test_endless_responses.py
@@ -25,7 +25,7 @@
 Nothing of them is kept in memory.
 """
 
-ENDED_BY_SIZE = {
+CLOSED_AT_SIZE_LIMIT = {
     name: response
     for name, response in (ENDLESS_HEADS | ENDLESS_BODIES).items()
     if name not in NOT_COUNTED_BY_LIBCURL
@@ -55,9 +55,9 @@
         assert server.closed.wait(CLOSE_TIMEOUT_S)
         return server
 
-    @pytest.mark.parametrize("name", ENDED_BY_SIZE)
+    @pytest.mark.parametrize("name", CLOSED_AT_SIZE_LIMIT)
     def test_closes_connection_with_endless_response_at_size_limit(self, name):
-        assert self.post(ENDED_BY_SIZE[name], LONG_TIMEOUT).sent_bytes < MAX_SENT_BYTES
+        assert self.post(CLOSED_AT_SIZE_LIMIT[name], LONG_TIMEOUT).sent_bytes < MAX_SENT_BYTES
 
     @pytest.mark.parametrize("name", SLOW_RESPONSES)
     def test_ends_slow_endless_response_at_timeout(self, name):
--- a/tests/gateway/test_relay.py
+++ b/tests/gateway/test_relay.py
@@ -33,14 +33,14 @@
 )
 
 
-def get(catalogue: CatalogueLog, query: str = ""):
+def request_catalogue(catalogue: CatalogueLog, query: str = ""):
     target = b"/?" + query.encode()
     request = Request(RequestId(""), b"GET", target, "", (), b"", None, Millis(0.0))
     return catalogue.handle_request(request)
 
 
-def since(catalogue: CatalogueLog, after: int, wait: int = 0):
-    return get(catalogue, f"after={after}&epoch={catalogue.epoch}&wait={wait}")
+def watch_catalogue(catalogue: CatalogueLog, after: int, wait: int = 0):
+    return request_catalogue(catalogue, f"after={after}&epoch={catalogue.epoch}&wait={wait}")
 
 
 def make_catalogue(age: float = 0.0) -> CatalogueLog:
@@ -58,7 +58,7 @@
         catalogue.add(SearcherListed(entry))
         catalogue.add(SearcherListed(make_entry("b")))
         catalogue.add(SearcherUnlisted(SearcherId("b")))
-        update = decode_changes(get(catalogue).body)
+        update = decode_changes(request_catalogue(catalogue).body)
         number, changes = update.number, update.changes
         table = make_table(SHARDS, SPLIT, make_route(prefix="/c/"), version=7)
         assert number == 4
@@ -69,26 +69,28 @@
         unreadable = UnreadableItem("servers/x", "no slots", SearcherId("x"))
         catalogue.add(SearcherUnlisted(SearcherId("b")))
         catalogue.add(unreadable)
-        update = decode_changes(since(catalogue, 1).body)
+        update = decode_changes(watch_catalogue(catalogue, 1).body)
         number, changes = update.number, update.changes
         assert (number, changes) == (3, (SearcherUnlisted(SearcherId("b")), unreadable))
-        assert decode_changes(since(catalogue, 3).body) == CatalogueUpdate(catalogue.epoch, 3, ())
+        assert decode_changes(watch_catalogue(catalogue, 3).body) == CatalogueUpdate(
+            catalogue.epoch, 3, ()
+        )
 
     def test_rejects_watch_after_restart_or_lost_changes(self):
         catalogue = make_catalogue()
-        assert get(catalogue, "after=1&epoch=other&wait=0").status == 410
+        assert request_catalogue(catalogue, "after=1&epoch=other&wait=0").status == 410
         for number in range(2_100):
             catalogue.add(SearcherUnlisted(SearcherId(str(number))))
-        assert since(catalogue, 1).status == 410
+        assert watch_catalogue(catalogue, 1).status == 410
 
     def test_serves_nothing_while_platform_is_unavailable(self):
-        assert get(make_catalogue(age=3_000.0)).status == 503
-        assert since(make_catalogue(age=3_000.0), 1).status == 503
+        assert request_catalogue(make_catalogue(age=3_000.0)).status == 503
+        assert watch_catalogue(make_catalogue(age=3_000.0), 1).status == 503
 
 
 class TestCodec:
     @given(st.binary(max_size=60))
-    def test_rejects_bytes_that_are_no_catalogue(self, data):
+    def test_arbitrary_bytes_raise_only_invalid_catalogue_error(self, data):
         from masticgate.connection.gateway import InvalidCatalogueError
 
         try:
@@ -115,7 +117,7 @@
         return Changes((), after)
 
 
-def relayed(answer):
+def make_source(answer):
     """Return a source with one relay that responds by ``answer``, its platform, and its relays.
 
     The test may change the list of relays.
@@ -129,14 +131,16 @@
     return source, platform, relays
 
 
-def http(status: int, body: bytes) -> bytes:
+def http_response(status: int, body: bytes) -> bytes:
     return b"HTTP/1.1 %d X\r\nContent-Length: %d\r\n\r\n%s" % (status, len(body), body)
 
 
 class TestRelayedSource:
     def test_reads_and_watches_relay(self):
         catalogue = make_catalogue()
-        source, platform, _ = relayed(lambda head: http(200, get(catalogue).body))
+        source, platform, _ = make_source(
+            lambda head: http_response(200, request_catalogue(catalogue).body)
+        )
         contents = source.read()
         assert isinstance(contents, Contents) and contents.revision == 1
         changes = source.watch(Revision(1), Millis(10.0))
@@ -144,13 +148,15 @@
         assert platform.reads == 0
 
     def test_reads_platform_if_relay_refuses(self):
-        source, platform, _ = relayed(lambda head: http(503, b"the platform is unavailable"))
+        source, platform, _ = make_source(
+            lambda head: http_response(503, b"the platform is unavailable")
+        )
         assert source.read() == Contents((), Revision(50))
         assert platform.reads == 1
 
     def test_failed_watch_of_relay_requires_new_read(self):
-        answers = [http(200, get(make_catalogue()).body), None]
-        source, platform, relays = relayed(lambda head: answers.pop(0))
+        answers = [http_response(200, request_catalogue(make_catalogue()).body), None]
+        source, platform, relays = make_source(lambda head: answers.pop(0))
         source.read()
         assert source.watch(Revision(1), Millis(10.0)) == HistoryGone()
         relays.clear()
@@ -158,13 +164,15 @@
         assert platform.reads == 1
 
     def test_stops_watching_gateway_that_no_longer_relays(self):
-        source, _, relays = relayed(lambda head: http(200, get(make_catalogue()).body))
+        source, _, relays = make_source(
+            lambda head: http_response(200, request_catalogue(make_catalogue()).body)
+        )
         source.read()
         relays.clear()
         assert source.watch(Revision(1), Millis(10.0)) == HistoryGone()
 
     def test_starting_gateway_reads_small_deployment_from_platform_at_once(self):
-        source, platform, relays = relayed(lambda head: http(503, b""))
+        source, platform, relays = make_source(lambda head: http_response(503, b""))
         relays.clear()
         waits = []
         source.wait = waits.append
@@ -172,7 +180,9 @@
         assert (platform.reads, waits) == (1, [])
 
     def test_starting_gateway_waits_for_relay_in_large_deployment(self):
-        source, platform, relays = relayed(lambda head: http(200, get(make_catalogue()).body))
+        source, platform, relays = make_source(
+            lambda head: http_response(200, request_catalogue(make_catalogue()).body)
+        )
         names = tuple(ServiceId(f"s{number}") for number in range(120))
         platform.table = make_table(make_route(Shards(names, 3, 0.5)))
         address = relays.pop()
@@ -180,8 +190,10 @@
         source.read()
         assert platform.reads == 0
 
-    def test_starting_gateway_waits_for_relay_without_configuration(self):
-        source, platform, relays = relayed(lambda head: http(200, get(make_catalogue()).body))
+    def test_starting_gateway_without_configuration_waits_for_relay(self):
+        source, platform, relays = make_source(
+            lambda head: http_response(200, request_catalogue(make_catalogue()).body)
+        )
         platform.read_table = lambda: Unavailable("no configuration")
         address = relays.pop()
         source.wait = lambda seconds: relays.append(address)
@@ -189,14 +201,16 @@
         assert platform.reads == 0
 
     def test_reads_platform_if_no_relay_appears(self):
-        source, platform, relays = relayed(lambda head: http(503, b""))
+        source, platform, relays = make_source(lambda head: http_response(503, b""))
         platform.read_table = lambda: Unavailable("no configuration")
         relays.clear()
         source.read()
         assert platform.reads == 1
 
     def test_switches_to_relay_found_later(self):
-        source, platform, relays = relayed(lambda head: http(200, get(make_catalogue()).body))
+        source, platform, relays = make_source(
+            lambda head: http_response(200, request_catalogue(make_catalogue()).body)
+        )
         address = relays.pop()
         source.startup_wait_over = True
         source.read()
--- a/tests/version/test_placement.py
+++ b/tests/version/test_placement.py
@@ -36,7 +36,7 @@
         owned = Counter(owners[0] for s, owners in table.items() if s.startswith(f"{department}/"))
         assert max(owned.values()) <= 5
 
-    def test_limits_owners_of_a_department_whatever_the_host_count(self, configuration):
+    def test_limits_owners_of_a_department_for_any_host_count(self, configuration):
         table = owner_table(configuration, hosts(300))
         for department in configuration.departments:
             services = [
@@ -48,15 +48,17 @@
             assert len(owners) <= max(3, -(-len(services) // 3))
 
 
-class TestServiceConnections:
-    @pytest.mark.parametrize("listed", range(1, 9))
+class TestConnectionsPerOwner:
+    @pytest.mark.parametrize("listed_hosts", range(1, 9))
     @pytest.mark.parametrize(("slots", "limit"), [(2, 25), (2, 100), (3, 40)])
-    def test_sum_over_candidate_owners_stays_within_limit(self, listed, slots, limit):
+    def test_sum_over_candidate_owners_stays_within_limit(self, listed_hosts, slots, limit):
         searcher = Searcher("s", "127.0.0.1:1", "north", slots, limit)
-        assert listed * connections_per_owner(searcher, listed) <= limit
+        assert listed_hosts * connections_per_owner(searcher, listed_hosts) <= limit
 
     @pytest.mark.parametrize(("slots", "limit"), [(2, 25), (2, 100), (3, 40)])
-    def test_sum_stays_within_current_limits_if_owners_count_hosts_differently(self, slots, limit):
+    def test_sum_stays_within_limit_if_owners_count_hosts_differently(self, slots, limit):
         searcher = Searcher("s", "127.0.0.1:1", "north", slots, limit)
-        largest = max(connections_per_owner(searcher, listed) for listed in range(1, 20))
+        largest = max(
+            connections_per_owner(searcher, listed_hosts) for listed_hosts in range(1, 20)
+        )
         assert MAX_OWNER_CANDIDATES * largest <= limit
