--- a/tests/gateway/soak.py
+++ b/tests/gateway/soak.py
@@ -1,6 +1,7 @@
-"""Real gateway processes between stand-ins, under random faults from outside them.
+"""A soak run: real gateway processes that serve requests under random injected faults.
 
-What callers are told is checked against what the searchers logged.
+Callers, searchers and the platform's store are stand-ins in the process of the test. The replies
+that the callers received are checked against the requests that the searchers recorded.
 """
 
 import base64
@@ -30,19 +31,19 @@
 DRAIN_S = 3.0
 GRACE_S = 6.0
 SETTLE_S = 4.0
-"""What a gateway needs after its last disturbance before time bounds hold for it again."""
+"""The time after the last fault at a gateway from which time limits apply to it again."""
 
 MAX_ATTEMPTS = 2
-"""The searchers that one request may be sent to, for each shard."""
+"""The number of searchers that one request may be sent to, for each shard."""
 
 BASE_LOSS_RATE = 0.02
-"""The share of answers that are lost after their run, also without a fault."""
+"""The share of responses that are lost after the request was run, also without injected faults."""
 
 BASE_FAULT_RATE = 0.05
-"""The share of answers that come twice, or without a length, also without a fault."""
+"""The share of responses with a ``ResponseFault``, also without injected faults."""
 
 IDLE_WAIT_S = 0.01
-"""After an answer its connection is idle at the gateway by then."""
+"""The time after a response by which its connection is idle at the gateway."""
 
 RECORD_BYTES = 16
 
@@ -51,7 +52,11 @@
 
 
 class ProxyMode(Enum):
-    """What a proxy does to its connections."""
+    """What a proxy does to its connections.
+
+    It copies bytes in both directions, does so with a delay, resets the connections, stops copying
+    the bytes from the server, or stops copying in both directions.
+    """
 
     PASS = "pass"
     DELAY = "delay"
@@ -61,7 +66,7 @@
 
 
 class Proxy:
-    """A loopback proxy before one server."""
+    """A loopback proxy for one server, which can delay, stop or reset its connections."""
 
     def __init__(self, target: str) -> None:
         host, _, port = target.rpartition(":")
@@ -74,6 +79,7 @@
         threading.Thread(target=self._accept, daemon=True).start()
 
     def set_mode(self, mode: ProxyMode) -> None:
+        """Change what the proxy does; ``RESET`` also resets the connections that are open."""
         self.mode = mode
         if mode is ProxyMode.RESET:
             self._reset(*self.open_sockets)
@@ -95,7 +101,7 @@
         self.reset_sockets -= {client, server}
 
     def _reset(self, *ends: socket.socket) -> None:
-        """Wake the tasks that read from both ends, which then close by a reset."""
+        """Wake the threads that read from these sockets; they then close them with a reset."""
         self.reset_sockets |= {*ends}
         for end in ends:
             with suppress(OSError):
@@ -120,7 +126,12 @@
 
 
 class ResponseFault(Enum):
-    """How a searcher answers other than once and with a length."""
+    """How a searcher responds other than with one complete response that states its length.
+
+    It sends the response again at once, while the connection is idle, or right before the next
+    response. Or it sends the response without a length, so that the end of the connection ends it,
+    and may reset the connection before the last record.
+    """
 
     REPEATED_AT_ONCE = "repeated at once"
     REPEATED_WHILE_IDLE = "repeated while idle"
@@ -132,7 +143,11 @@
 
 @dataclass(frozen=True)
 class PlannedResponse:
-    """What a searcher sends for one request; ``late`` follows right before the next answer."""
+    """What a searcher sends for one request.
+
+    It sends ``data`` at once, ``idle_bytes`` while the connection is idle, and ``late_bytes`` right
+    before the next response. ``end`` is what it does with the connection after ``data``.
+    """
 
     data: bytes
     idle_bytes: bytes = b""
@@ -141,7 +156,13 @@
 
 
 class Searcher(StandInSearcher):
-    """Logs each run, and misbehaves as told."""
+    """A stand-in for a searcher, which records each request that it runs and injects faults.
+
+    ``fault_rate`` is the rate of faults beyond the base rates, and ``extra_delay_s`` the delay of
+    each run in addition to 2 ms. ``runs`` has the id and the time of each request that was run, and
+    ``lost_requests`` the ids of those whose response was lost. ``drained_at`` is when the searcher
+    was listed as draining, if it was.
+    """
 
     def __init__(self, identity: str, service: str, rng: random.Random) -> None:
         self.identity = identity
@@ -178,6 +199,7 @@
             self.lost_requests.append(request)
 
     def handle_request(self, head: bytes) -> PlannedResponse:
+        """Run a request, or refuse it because of its searcher id or at random."""
         request = request_id(head)
         if head_value(head, b"x-masticgate-expected-instance").decode() != self.identity:
             return self.plan_response(self.make_response(request, 421, b"", b""))
@@ -197,7 +219,10 @@
         return self.plan_response(response, request)
 
     def plan_response(self, response: bytes, request: str = "") -> PlannedResponse:
-        """Answer once, or at times in another way; that of a ``request`` may be lost."""
+        """Plan to send a response once, or at random with a fault.
+
+        Only the response to a ``request`` that was run may be lost; it is empty for a refusal.
+        """
         if self.rng.random() > BASE_FAULT_RATE + self.fault_rate / 2:
             return PlannedResponse(response)
         match self.rng.choice(list(ResponseFault)):
@@ -238,20 +263,24 @@
 
 
 def without_length(response: bytes) -> bytes:
-    """Return an answer without its length."""
+    """Return a response without its ``Content-Length`` header."""
     head, _, body = response.partition(b"\r\n\r\n")
     lines = [line for line in head.split(b"\r\n") if not line.startswith(b"Content-Length")]
     return b"\r\n".join((*lines, b"", body))
 
 
 def make_records(request: str, service: str) -> list[bytes]:
-    """Return the records that a service holds for a request."""
+    """Return the records of a service that match a request."""
     rng = random.Random(f"{request} {service}")
     return [rng.randbytes(16) for _ in range(3)]
 
 
 class Store:
-    """The platform's store: items by key, and a history that it may forget."""
+    """A stand-in for the platform's store: items by key, and the history of their changes.
+
+    The history can be dropped. A gateway that then asks for older changes has to read all items
+    again.
+    """
 
     def __init__(self) -> None:
         self.changed = threading.Condition()
@@ -270,6 +299,7 @@
         self._record_change(key, {"key": key, "removed": True})
 
     def drop_history(self) -> None:
+        """Drop the history, as the store does with old changes from time to time."""
         with self.changed:
             self.history.clear()
             self.oldest = self.revision
@@ -285,6 +315,7 @@
             self.changed.notify_all()
 
     def respond(self, head: bytes) -> bytes:
+        """Return the response to a read of a key, a read of all items, or a watch for changes."""
         url = urlsplit(head.split(b" ")[1].decode())
         query = {name: values[0] for name, values in parse_qs(url.query).items()}
         with self.changed:
@@ -309,7 +340,7 @@
 
 @dataclass
 class CallerReply:
-    """One answer that a caller got."""
+    """One reply that a caller received, with the path of its request."""
 
     request: str
     path: str
@@ -319,13 +350,19 @@
 
 
 def gateway_address(number: int) -> str:
-    """Return an address of this run's own, so that runs beside each other do not meet."""
+    """Return the IP address of a gateway.
+
+    It is derived from the process id, so that concurrent runs use different addresses.
+    """
     process = os.getpid()
     return f"127.{1 + process % 250}.{number}.{1 + process // 250 % 250}"
 
 
 class GatewayProcess:
-    """One real gateway, started and stopped from outside."""
+    """A real gateway in a process of its own.
+
+    ``disturbed_at`` is the time of the last injected fault that affects it.
+    """
 
     def __init__(self, number: int, folder: Path, store: Store) -> None:
         self.ip = gateway_address(number)
@@ -370,7 +407,7 @@
             self.process.send_signal(number)
 
     def restart(self, number: int) -> None:
-        """End the process by a signal and start another."""
+        """End the process with a signal, or kill it after the grace period, and start a new one."""
         with self.lock:
             assert self.process is not None
             self.signal(number)
@@ -384,7 +421,10 @@
 
 @dataclass
 class Soak:
-    """One run; the same seed plans the same faults."""
+    """One soak run of three gateways; the seed determines the faults and their order.
+
+    ``replies`` has all replies that callers received, and ``problems`` describes each violation.
+    """
 
     seed: int
     folder: Path
@@ -392,6 +432,7 @@
     problems: list[str] = field(default_factory=list)
 
     def run(self, seconds: float) -> None:
+        """Inject faults for ``seconds`` while callers send requests, then check the replies."""
         self.rng = random.Random(self.seed)
         self.stopping = threading.Event()
         self.store = Store()
@@ -435,6 +476,7 @@
         self.list_searcher(searcher, "ready")
 
     def list_searcher(self, searcher: Searcher, state: str) -> None:
+        """Put the listing of a searcher into the store."""
         entry = {
             "service": searcher.service,
             "address": searcher.proxy.address,
@@ -449,6 +491,7 @@
         self.store.put(f"servers/{searcher.identity}", entry)
 
     def publish(self) -> None:
+        """Put a new version of the configuration into the store."""
         common = {
             "hostname": HOST,
             "maxAttempts": MAX_ATTEMPTS,
@@ -488,7 +531,10 @@
             connection.close()
 
     def run_caller(self, number: int) -> None:
-        """Keep one connection open and use it until the gateway closes it."""
+        """Send requests one after another until the run ends, and record the replies.
+
+        The caller keeps its connection open until the gateway closes it.
+        """
         rng = random.Random(f"{self.seed} caller {number}")
         gateway = self.gateways[number % GATEWAYS]
         connection = http.client.HTTPConnection(gateway.ip, 8104, timeout=3)
@@ -515,7 +561,7 @@
                 time.sleep(0.05)
 
     def inject_faults(self, seconds: float) -> None:
-        """Plan faults in series that overlap, and end all of them."""
+        """Start random faults for ``seconds``, which may overlap, and wait until all have ended."""
         deadline = time.monotonic() + seconds
         faults = []
         while time.monotonic() < deadline:
@@ -527,10 +573,10 @@
             fault.join()
 
     def check_recovery(self) -> None:
-        """All requests are served again once nothing is disturbed any more.
+        """Check that the gateways serve all requests again after the faults have ended.
 
-        Searchers lose a few answers all the time; who was sent a request as often as it may be,
-        and lost each answer, is no failure of a gateway.
+        Searchers lose a few responses all the time. A request may fail without a fault of the
+        gateway if it was sent as often as permitted and each response was lost.
         """
         self.wait_ready()
         time.sleep(SETTLE_S)
@@ -543,23 +589,28 @@
             if reply.status != 200 and not self.has_lost_every_response(reply)
         ]
         if failed or len(recent) < 20:
-            names = [
+            failures = [
                 (reply.request, reply.path, reply.status, self.lost_count(reply.request))
                 for reply in failed
             ]
-            self.problems.append(f"not recovered: {names} of {len(recent)}")
+            self.problems.append(
+                f"not recovered: {failures} failed among the last {len(recent)} requests"
+            )
 
     def has_lost_every_response(self, reply: CallerReply) -> bool:
-        """Tell whether every answer that the gateway was allowed to ask for was lost."""
+        """Return whether the response to each permitted attempt of the request was lost."""
         max_losses = {"/book/x": 1, "/one/x": MAX_ATTEMPTS}.get(reply.path)
         return reply.status == 502 and self.lost_count(reply.request) == max_losses
 
     def lost_count(self, request: str) -> int:
-        """Return how many searchers ran a request and lost its answer."""
+        """Return how many searchers ran a request and lost the response."""
         return sum(searcher.lost_requests.count(request) for searcher in self.searchers)
 
     def check_replies(self) -> None:
-        """Compare what callers were told with what the searchers ran."""
+        """Check the replies of all callers against the requests that the searchers ran.
+
+        A searcher runs no request after its drain has ended, and a booking is run at most once.
+        """
         runs: dict[str, list[str]] = defaultdict(list)
         for searcher in self.searchers:
             for request, at in searcher.runs:
@@ -570,19 +621,24 @@
                     and at > drain_started_at + DRAIN_S
                     and not self.was_disturbed(at)
                 ):
-                    self.problems.append(f"{searcher.identity} ran {request} after its drain")
+                    self.problems.append(
+                        f"{searcher.identity} ran {request} after the end of its drain"
+                    )
         for reply in self.replies:
             self.check_reply(reply, runs[reply.request])
         booked = {reply.request for reply in self.replies if reply.path == "/book/x"}
         for request in booked:
             if len(runs[request]) > 1:
-                self.problems.append(f"{request} ran at {runs[request]}")
+                self.problems.append(
+                    f"booking {request} was run more than once, at {runs[request]}"
+                )
 
     def check_reply(self, reply: CallerReply, runs: list[str]) -> None:
+        """Check one reply; ``runs`` has the ids of the searchers that ran its request."""
         if reply.status in (408, 421, 429, 503) and reply.path == "/book/x" and runs:
-            self.problems.append(f"{reply.request} was refused and ran at {runs}")
+            self.problems.append(f"{reply.request} was refused but was run at {runs}")
         if reply.status in (400, 404):
-            self.problems.append(f"{reply.request} was denied with {reply.status}")
+            self.problems.append(f"{reply.request} was rejected with {reply.status}")
         if reply.status != 200:
             return
         if reply.path == "/all/x":
@@ -590,31 +646,39 @@
             return
         stamp = reply.headers.get("x-masticgate-server-stamp", "")
         if not stamp.startswith(f"{reply.request}."):
-            self.problems.append(f"{reply.request} got the stamp {stamp}")
+            self.problems.append(f"{reply.request} got the stamp {stamp} of another request")
         if reply.body != b"".join(sorted(make_records(reply.request, "orders"))):
-            self.problems.append(f"{reply.request} got another body")
+            self.problems.append(f"{reply.request} got a body with other records")
 
     def check_merged(self, reply: CallerReply) -> None:
+        """Check that a merged reply has the top records of the shards that it names."""
         stamps = [part.split(".") for part in reply.headers["x-masticgate-part-stamps"].split(", ")]
         services = [part[2] for part in stamps]
         missing = int(reply.headers["x-masticgate-missing-parts"])
         has_own_stamps = all(part[0] == reply.request for part in stamps)
         is_complete = len(set(services)) == len(services) and len(services) + missing == SHARDS
         if not has_own_stamps or not is_complete or len(services) * 2 < SHARDS:
-            self.problems.append(f"{reply.request} names {stamps} and {missing} missing")
+            self.problems.append(
+                f"{reply.request} has wrong stamps {stamps} or a wrong missing count {missing}"
+            )
         records = [record for name in services for record in make_records(reply.request, name)]
         if reply.body != b"".join(sorted(records, reverse=True)[:5]):
-            self.problems.append(f"{reply.request} is no merge of its parts")
+            self.problems.append(f"{reply.request} is not the merge of the shards that it names")
 
     def was_disturbed(self, at: float) -> bool:
-        """Tell whether a gateway was disturbed shortly before; it may not know of a drain then."""
+        """Return whether a fault affected a gateway shortly before ``at``.
+
+        Such a gateway may not know yet that a searcher is draining.
+        """
         return any(at - gateway.disturbed_at < SETTLE_S + GRACE_S for gateway in self.gateways)
 
 
 MAX_FAULT_S = 4.0
+"""The longest duration of one fault."""
 
 
 def pause_gateway(soak: Soak) -> None:
+    """Stop a gateway process with SIGSTOP for up to 3 s."""
     gateway = soak.rng.choice(soak.gateways)
     gateway.signal(signal.SIGSTOP)
     time.sleep(soak.rng.uniform(0.5, 3.0))
@@ -622,16 +686,19 @@
 
 
 def kill_gateway(soak: Soak) -> None:
+    """Kill a gateway and start it again."""
     soak.rng.choice(soak.gateways).restart(signal.SIGKILL)
 
 
 def stop_gateway(soak: Soak) -> None:
+    """Reload the settings of a gateway, shut it down with SIGTERM, and start it again."""
     gateway = soak.rng.choice(soak.gateways)
     gateway.signal(signal.SIGHUP)
     gateway.restart(signal.SIGTERM)
 
 
 def break_store_link(soak: Soak) -> None:
+    """Disturb the connections of one gateway, or of all, to the store."""
     proxy = soak.rng.choice([soak.store.proxy, *(g.store_proxy for g in soak.gateways)])
     for gateway in soak.gateways:
         gateway.disturbed_at = time.monotonic()
@@ -641,21 +708,27 @@
 
 
 def drop_store_history(soak: Soak) -> None:
+    """Drop the history of the store, so that gateways have to read all items again."""
     soak.store.drop_history()
 
 
 def break_searcher_link(soak: Soak) -> None:
+    """Disturb the connections to one searcher."""
     apply_proxy_fault(choose_searcher(soak).proxy, soak)
 
 
 def choose_searcher(soak: Soak) -> Searcher:
-    """Return a searcher in use; bookings have few, so those are chosen more often."""
+    """Return a random searcher that is not draining.
+
+    The service of bookings has few searchers, so they are chosen more often.
+    """
     used = [searcher for searcher in soak.searchers if searcher.drained_at is None]
     orders = [searcher for searcher in used if searcher.service == "orders"]
     return soak.rng.choice(orders if soak.rng.random() < 0.4 else used)
 
 
 def apply_proxy_fault(proxy: Proxy, soak: Soak) -> None:
+    """Switch a proxy to a random mode for a while."""
     proxy.set_mode(
         soak.rng.choice([ProxyMode.DELAY, ProxyMode.RESET, ProxyMode.ONE_WAY, ProxyMode.SILENT])
     )
@@ -664,6 +737,7 @@
 
 
 def degrade_searcher(soak: Soak) -> None:
+    """Raise the fault rate of a searcher for a while, and perhaps its delay."""
     searcher = choose_searcher(soak)
     searcher.fault_rate, searcher.extra_delay_s = 0.8, soak.rng.choice([0.0, 0.1])
     time.sleep(soak.rng.uniform(0.5, MAX_FAULT_S))
@@ -671,7 +745,7 @@
 
 
 def replace_searcher(soak: Soak) -> None:
-    """Drain one searcher and list another in its place."""
+    """List a new searcher, drain an old one of the same service, and remove the old one."""
     old = soak.rng.choice([s for s in soak.searchers if s.drained_at is None])
     soak.add_searcher(old.service, f"{old.service}-{len(soak.searchers)}")
     soak.list_searcher(old, "draining")
@@ -681,6 +755,7 @@
 
 
 def change_configuration(soak: Soak) -> None:
+    """Publish a new version of the configuration."""
     soak.publish()
 
 
@@ -697,3 +772,4 @@
     replace_searcher,
     change_configuration,
 ]
+"""The kinds of faults that a run injects; one that is listed twice is chosen twice as often."""
--- a/tests/gateway/test_soak.py
+++ b/tests/gateway/test_soak.py
@@ -1,4 +1,7 @@
-"""Promises of the gateway under random faults; ``make soak`` runs it long and with fresh seeds."""
+"""Soak tests of the gateway under random faults.
+
+``make soak`` runs the long one, with the seed and the duration that it is given.
+"""
 
 import os
 
@@ -10,19 +13,19 @@
 SEED = int(os.environ.get("MASTICGATE_SOAK_SEED", "1"))
 SHORT_RUN_S = 6.0
 FAILED_SEEDS = [
-    # Both searchers that may be asked for /one/ ran it and lost the answer, by the 2 % that are
-    # always lost; the check of recovery took that for a failure of the gateway.
+    # The check of recovery reported a fault of the gateway that was none: both searchers to which a
+    # request for /one/ may be sent ran it, and both responses were among the 2 % always lost.
     301,
     315,
-    # A retry found no searcher: the other of two had just been ejected.
+    # A retry found no searcher, since the other one of two had just been ejected.
     508,
 ]
-"""Seeds that failed once, each with a line on its cause."""
+"""Seeds of runs that failed once, each with the cause of the failure."""
 
 
 class TestGatewaySoak:
     @pytest.mark.parametrize("seed", [1, *FAILED_SEEDS])
-    def test_a_short_run_keeps_every_promise(self, seed, tmp_path):
+    def test_short_run_finds_no_problem(self, seed, tmp_path):
         soak = Soak(seed, tmp_path)
         soak.run(SHORT_RUN_S)
         assert soak.problems == []
@@ -30,7 +33,7 @@
 
     @pytest.mark.soak
     @pytest.mark.timeout(1200)
-    def test_a_long_run_keeps_every_promise(self, tmp_path):
+    def test_long_run_finds_no_problem(self, tmp_path):
         soak = Soak(SEED, tmp_path)
         soak.run(LONG_RUN_S)
         assert soak.problems == []
