--- a/tests/gateway/test_response_matching.py
+++ b/tests/gateway/test_response_matching.py
@@ -300,7 +300,7 @@
     (503, True),
     (421, False),
 ]
-FIRST_PART_KINDS = ["complete"] * 6 + ["interim", "other", "none", "junk"]
+FIRST_PART_KINDS = ["complete"] * 6 + ["interim", "other_id", "no_id", "invalid"]
 FRAMING_CHOICES = [Framing.LENGTH] * 3 + [Framing.CHUNKED, Framing.CLOSE]
 END_CHOICES = [ConnectionEnd.OPEN] * 6 + [
     ConnectionEnd.ORDERLY,
@@ -358,8 +358,10 @@
 
 def truncation_offsets(response: PlannedResponse, data: bytes) -> list[int]:
     """Return where an answer may be cut: within its head, at the edges of lines, in its body."""
-    head = len(response.head)
-    edges = [index for index in range(1, head) if data[index - 1 : index] in (b" ", b"\r", b"\n")]
+    head_length = len(response.head)
+    edges = [
+        index for index in range(1, head_length) if data[index - 1 : index] in (b" ", b"\r", b"\n")
+    ]
     return [index for index in (*edges, *range(1, len(data), 7)) if index < len(data)]
 
 
@@ -384,7 +386,7 @@
             ]
         case "truncated":
             return [draw(sent_parts(response, True))]
-        case "other":
+        case "other_id":
             return [
                 draw(
                     sent_parts(
@@ -392,11 +394,11 @@
                     )
                 )
             ]
-        case "none":
+        case "no_id":
             return [
                 draw(sent_parts(replace(response, identity=None, body=make_records("n", 2)), False))
             ]
-        case "junk":
+        case "invalid":
             return [
                 SentPart(draw(st.sampled_from(INVALID_BYTES))),
                 draw(sent_parts(response, False)),
@@ -422,11 +424,11 @@
                 | sent_parts(response, truncates_copies)
             )
         )
-    late_bytes = []
+    late_parts = []
     if draw(st.sampled_from([True] * (3 if truncates_open else 1) + [False])):
-        late_bytes = [draw(sent_parts(response, truncates_open and draw(st.booleans())))]
-    assume(is_unambiguous(sent + (late_bytes if end is ConnectionEnd.OPEN else []), end))
-    data, late_data = (b"".join(part.data for part in group) for group in (sent, late_bytes))
+        late_parts = [draw(sent_parts(response, truncates_open and draw(st.booleans())))]
+    assume(is_unambiguous(sent + (late_parts if end is ConnectionEnd.OPEN else []), end))
+    data, late_data = (b"".join(part.data for part in group) for group in (sent, late_parts))
     late_split = draw(st.sampled_from([0, 0, 0, len(late_data), len(late_data) // 3]))
     segment_offsets = tuple(draw(st.lists(st.integers(0, 600), max_size=3)))
     return Exchange(
