--- a/tests/gateway/test_response_matching.py
+++ b/tests/gateway/test_response_matching.py
@@ -54,7 +54,7 @@
 from .test_buffers import UnreadInbox, connect_pair
 
 EXAMPLES = 400
-STATUS_LINE_START = 9
+MIN_STATUS_LINE_BYTES = 9
 """The bytes of ``HTTP/1.1`` and a space."""
 
 
@@ -332,7 +332,7 @@
         # Bytes that fill up a cut answer are told from it only if they look like a next one.
         if part.missing_bytes and any(other.data in INVALID_BYTES for other in later_parts):
             return False
-        if 0 < part.missing_bytes < STATUS_LINE_START and later_parts:
+        if 0 < part.missing_bytes < MIN_STATUS_LINE_BYTES and later_parts:
             return False
     return True
 
@@ -575,8 +575,9 @@
 
     # Guards against a success whose searcher had failed: the status was a cut late answer's.
     def test_the_status_of_a_cut_answer_is_not_taken_for_the_next_ones(self):
-        earlier, response = PlannedResponse("q0", 200, b""), PlannedResponse(
-            "q1", 500, make_records("q1", 1)
+        earlier, response = (
+            PlannedResponse("q0", 200, b""),
+            PlannedResponse("q1", 500, make_records("q1", 1)),
         )
         late_bytes = b"HTTP/1.1 200 "
         run_and_check(
@@ -591,8 +592,9 @@
 
     # Guards against an answer that bears two requests' ids and stamps, the first a stranger's.
     def test_headers_of_a_cut_answer_are_not_taken_for_the_next_ones(self):
-        earlier, response = PlannedResponse("q0", 200, b""), PlannedResponse(
-            "q1", 200, make_records("q1", 1)
+        earlier, response = (
+            PlannedResponse("q0", 200, b""),
+            PlannedResponse("q1", 200, make_records("q1", 1)),
         )
         truncated_bytes = earlier.encode().partition(b"-q0-200")[0]
         run_and_check(
@@ -602,8 +604,9 @@
 
     # Guards against a promise of not having run, for a request that ran.
     def test_a_cut_refusal_does_not_make_the_next_answer_one(self):
-        earlier, response = PlannedResponse("q0", 503, b"", not_run=True), PlannedResponse(
-            "q1", 200, make_records("q1", 1)
+        earlier, response = (
+            PlannedResponse("q0", 503, b"", not_run=True),
+            PlannedResponse("q1", 200, make_records("q1", 1)),
         )
         truncated_bytes = b"HTTP/1.1 503 X\r\nx-not-run: 1\r\nx-id: "
         run_and_check(
@@ -732,8 +735,9 @@
 
     # Guards against an answer taken for a call that only its trailers name.
     def test_the_request_of_an_answer_is_not_taken_from_its_trailers(self):
-        response, other = PlannedResponse("q1", 200, make_records("q1", 1)), PlannedResponse(
-            "q0", 200, b"", Framing.CHUNKED
+        response, other = (
+            PlannedResponse("q1", 200, make_records("q1", 1)),
+            PlannedResponse("q0", 200, b"", Framing.CHUNKED),
         )
         run_and_check(Exchange(response, other.encode()[:-2] + b"x-id: q1\r\n\r\n"))
 
