--- a/tests/gateway/test_response_matching.py
+++ b/tests/gateway/test_response_matching.py
@@ -1,4 +1,8 @@
-"""An answer is a call's own and whole, or the call has none, whatever else a connection carries."""
+"""Tests that a call gets the complete response to its own request, or none.
+
+This holds whatever other bytes its connection carries: late, repeated, truncated and interim
+responses, and invalid bytes. Most tests run drawn exchanges on a real connection.
+"""
 
 import random
 import select
@@ -55,11 +59,11 @@
 
 EXAMPLES = 400
 MIN_STATUS_LINE_BYTES = 9
-"""The bytes of ``HTTP/1.1`` and a space."""
+"""The length of ``HTTP/1.1`` and a space, the least from which a new response is recognized."""
 
 
 class Framing(Enum):
-    """How an answer tells where it ends."""
+    """How a response states where it ends."""
 
     LENGTH = "length"
     CHUNKED = "chunked"
@@ -67,7 +71,11 @@
 
 
 class DispatchTime(Enum):
-    """When the next call is given to a connection that has become idle."""
+    """When the next call is dispatched to a connection that has become idle.
+
+    This is when its handler handles the outcome of the last call, before the task receives again,
+    or while it receives.
+    """
 
     AT_FINISH = "at finish"
     BEFORE_RECEIVE = "before receive"
@@ -76,7 +84,11 @@
 
 @dataclass(frozen=True)
 class PlannedResponse:
-    """One answer as its searcher meant it."""
+    """The complete response that a searcher intends to send for one request.
+
+    ``identity`` is the id of the request, if the response has one. ``header_order`` is the order of
+    the header lines. ``suffix`` distinguishes the stamps of several responses to one request.
+    """
 
     identity: str | None
     status: int
@@ -125,16 +137,18 @@
 
 
 def make_records(identity: str, count: int) -> bytes:
-    """Return records that no other identity has."""
+    """Return ``count`` records of 16 bytes, which differ for each ``identity``."""
     return random.Random(identity).randbytes(16 * count)
 
 
 @dataclass(frozen=True)
 class Exchange:
-    """One request and all that its searcher sends because of it.
+    """One request and all bytes that its searcher sends because of it.
 
-    ``late`` follows once the connection is idle, but for its bytes from ``split`` on: they come
-    before the answer to the next request.
+    The searcher sends ``sent``, which is based on ``response``, and then does ``end`` with the
+    connection. The first ``late_split`` bytes of ``late_bytes`` follow when the connection is idle,
+    and the rest right before the response to the next request. ``segment_offsets`` are the offsets,
+    modulo the length, that divide the bytes into segments, which are sent separately.
     """
 
     response: PlannedResponse
@@ -147,7 +161,7 @@
 
 
 class SteppingSocket(socket.socket):
-    """Lets the far end go one step on whenever the reader has taken all that was sent."""
+    """A socket that runs the next step of the script whenever there is nothing to receive."""
 
     def __init__(self, plain: socket.socket, connection: "ScriptedConnection") -> None:
         super().__init__(fileno=plain.detach())
@@ -164,7 +178,12 @@
 
 
 class ScriptedConnection:
-    """Plays exchanges over one real connection, in one thread, and keeps their calls."""
+    """A real connection, over which one thread runs exchanges by a script.
+
+    It has a ``SearcherTask``, whose handler it is, and the searcher's end. ``calls`` has the
+    exchanges that were run with their calls. ``last_call`` is the call of the last exchange, if the
+    caller wants a particular one.
+    """
 
     def __init__(self, exchanges: list[Exchange], last_call: Call | None = None) -> None:
         near, self.far = connect_pair()
@@ -202,7 +221,7 @@
             self._dispatch_next()
 
     def _dispatch_next(self) -> None:
-        """Give the next call, as another task would."""
+        """Dispatch the next call to the connection, as the task of a caller would."""
         if not self.pending_exchanges:
             return
         exchange = self.pending_exchanges.pop(0)
@@ -212,7 +231,11 @@
         assert self.task.dispatch(call)
 
     def _run_script(self) -> Iterator[None]:
-        """Do what the searcher does, until the connection ends; each step is one to receive."""
+        """Do what the searcher does until the connection ends.
+
+        Each step sends bytes or closes the connection, so that the other end has something to
+        receive.
+        """
         pending = b""
         number = 0
         while self._ensure_dispatched(number):
@@ -248,7 +271,11 @@
                 yield
 
     def _close(self, end: ConnectionEnd) -> None:
-        """Close the connection; a request that was not received would make that a reset."""
+        """Close the connection in order or with a reset.
+
+        For an orderly close the request is received first, since the kernel resets a connection
+        that is closed with unread bytes.
+        """
         if end is ConnectionEnd.RESET:
             self.far.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET_AT_CLOSE)
         else:
@@ -266,7 +293,7 @@
 
 
 def check_call(exchange: Exchange, call: Call) -> None:
-    """Fail where a call got what its searcher did not mean for it."""
+    """Check that the outcome of a call is as its searcher intended, or ``Lost``."""
     response = exchange.response
     match call.outcome:
         case Answered() as answer:
@@ -280,7 +307,7 @@
         case Lost():
             return
         case None:
-            raise AssertionError("a call without an outcome")
+            raise AssertionError("the call has no outcome")
 
 
 INVALID_BYTES = [
@@ -311,7 +338,11 @@
 
 @dataclass(frozen=True)
 class SentPart:
-    """Some of the bytes that a searcher sends; ``missing`` is what a cut answer lacks."""
+    """Some of the bytes that a searcher sends.
+
+    ``ends_with_close`` is whether they are a response that the end of the connection ends.
+    ``missing_bytes`` is the number of bytes that a truncated response lacks.
+    """
 
     data: bytes
     ends_with_close: bool = False
@@ -319,17 +350,19 @@
 
 
 def is_unambiguous(sent_parts: list[SentPart], end: ConnectionEnd) -> bool:
-    """Tell whether a receiver can know the part that is an answer to the call and whole."""
+    """Return whether a receiver can detect which part is the complete response to the call."""
     for index, part in enumerate(sent_parts):
         later_parts = sent_parts[index + 1 :]
-        # An answer without a length ends with its connection, as does what stands behind it.
+        # A response without a length extends to the end of its connection, so that it can be told
+        # neither from a truncated one nor from the bytes after it.
         if (
             part.ends_with_close
             and end is ConnectionEnd.ORDERLY
             and (part.missing_bytes or later_parts)
         ):
             return False
-        # Bytes that fill up a cut answer are told from it only if they look like a next one.
+        # The bytes that complete a truncated response are recognized as foreign only if they look
+        # like the beginning of another response.
         if part.missing_bytes and any(other.data in INVALID_BYTES for other in later_parts):
             return False
         if 0 < part.missing_bytes < MIN_STATUS_LINE_BYTES and later_parts:
@@ -339,6 +372,7 @@
 
 @st.composite
 def responses(draw, identity: str, suffix: str = "") -> PlannedResponse:
+    """Draw a response to the request with the id ``identity``."""
     status, not_run = draw(st.sampled_from(STATUS_CHOICES))
     empty = status == 204
     return PlannedResponse(
@@ -357,7 +391,10 @@
 
 
 def truncation_offsets(response: PlannedResponse, data: bytes) -> list[int]:
-    """Return where an answer may be cut: within its head, at the edges of lines, in its body."""
+    """Return the offsets at which a response may be truncated.
+
+    They are the ends of words and lines of its head, and every seventh offset of the whole response.
+    """
     head_length = len(response.head)
     edges = [
         index for index in range(1, head_length) if data[index - 1 : index] in (b" ", b"\r", b"\n")
@@ -367,7 +404,7 @@
 
 @st.composite
 def sent_parts(draw, response: PlannedResponse, truncated: bool) -> SentPart:
-    """Return an answer, which may have another framing or be cut short."""
+    """Draw the bytes of a response, which may have another framing or be truncated."""
     if response.status != 204 and draw(st.booleans()):
         response = replace(response, framing=draw(st.sampled_from(FRAMING_CHOICES)))
     data = response.encode()
@@ -377,7 +414,12 @@
 
 @st.composite
 def first_sent_parts(draw, response: PlannedResponse, truncation_weight: int) -> list[SentPart]:
-    """Return what a searcher sends where an answer is due, cut short as often as told."""
+    """Draw what a searcher sends when a response is due.
+
+    It is a response, or interim or invalid bytes and a response, or a response with another request
+    id or with none. ``truncation_weight`` is how often it is a truncated response, among ten other
+    choices.
+    """
     match draw(st.sampled_from(FIRST_PART_KINDS + ["truncated"] * truncation_weight)):
         case "interim":
             return [
@@ -409,7 +451,10 @@
 
 @st.composite
 def exchanges(draw, identity: str, truncates_open: bool = False, suffix: str = "") -> Exchange:
-    """Return an exchange; answers are cut on open connections only if ``cut_open``."""
+    """Draw an exchange.
+
+    Responses on connections that stay open are truncated only if ``truncates_open``.
+    """
     response = draw(responses(identity, suffix))
     end = draw(st.sampled_from(END_CHOICES))
     sent = draw(
@@ -444,6 +489,7 @@
 
 @st.composite
 def exchange_lists(draw, truncates_open: bool) -> list[Exchange]:
+    """Draw the exchanges of one connection."""
     return [
         draw(exchanges(f"q{number}", truncates_open)) for number in range(draw(st.integers(1, 4)))
     ]
@@ -457,7 +503,10 @@
 
 @st.composite
 def queries(draw) -> Plans:
-    """Return for each shard what two of its searchers send before the query and because of it."""
+    """Draw the exchanges of two searchers of each shard of a query.
+
+    Each searcher has at most one exchange before that of the query.
+    """
     return {
         f"s{shard}": [
             draw(st.lists(exchanges(f"before-{shard}-{attempt}"), max_size=1))
@@ -469,7 +518,11 @@
 
 
 class ScriptedShards:
-    """Senders and inbox in one: each send is upstream on a connection of its own until it ends."""
+    """An upstream client and an inbox in one, for the shards of one query.
+
+    Each call is run at once on a connection of its own, after the earlier exchanges of that
+    connection. If the connection ends before the call is sent, the call is run on a new one.
+    """
 
     def __init__(self, plans: Plans) -> None:
         self.plans = {service: list(plan) for service, plan in plans.items()}
@@ -508,7 +561,7 @@
 
 
 def check_merged(merged: Merged, plans: Plans) -> None:
-    """Fail where a query's answer is not the merge of the parts that it names."""
+    """Check that a merged reply has the top records of the responses that its stamps name."""
     expected = {
         plan[-1].response.stamp: (service, plan[-1].response)
         for service, attempts in plans.items()
@@ -527,22 +580,24 @@
 
 
 def run_and_check(*exchanges: Exchange) -> None:
-    """Play exchanges on one connection and check each call."""
+    """Run exchanges on one connection and check each call."""
     for exchange, call in ScriptedConnection(list(exchanges)).run():
         check_call(exchange, call)
 
 
 class TestResponsesOfOneConnection:
-    """No call takes what its searcher did not mean for it."""
+    """Connections on which responses are truncated only when the connection ends."""
 
     @settings(max_examples=EXAMPLES, deadline=None, derandomize=True)
     @given(exchange_lists(truncates_open=False))
-    def test_each_call_gets_its_own_whole_answer_or_none(self, planned_exchanges):
+    def test_each_call_gets_own_complete_response_or_none(self, planned_exchanges):
         run_and_check(*planned_exchanges)
 
     @settings(max_examples=EXAMPLES // 4, deadline=None, derandomize=True)
     @given(st.lists(responses("q"), min_size=1, max_size=4), st.sampled_from(DispatchTime))
-    def test_whole_answers_are_all_taken(self, drawn_responses, dispatch_time):
+    def test_each_call_gets_its_response_when_all_are_complete(
+        self, drawn_responses, dispatch_time
+    ):
         numbered = [
             replace(response, identity=f"q{number}")
             for number, response in enumerate(drawn_responses)
@@ -566,15 +621,16 @@
 
 
 class TestTruncatedResponsesOnOpenConnections:
-    """A searcher stops within an answer, keeps the connection and goes on with the next one."""
+    """Searchers that stop within a response, keep the connection open and send another response."""
 
     @settings(max_examples=EXAMPLES, deadline=None, derandomize=True)
     @given(exchange_lists(truncates_open=True))
-    def test_each_call_gets_its_own_whole_answer_or_none(self, planned_exchanges):
+    def test_each_call_gets_own_complete_response_or_none(self, planned_exchanges):
         run_and_check(*planned_exchanges)
 
-    # Guards against a success whose searcher had failed: the status was a cut late answer's.
-    def test_the_status_of_a_cut_answer_is_not_taken_for_the_next_ones(self):
+    # Guards against a success for a request that failed at the searcher. A late response ended
+    # within its status line, and its status was used for the response that followed.
+    def test_status_of_truncated_response_is_not_used_for_next_one(self):
         earlier, response = (
             PlannedResponse("q0", 200, b""),
             PlannedResponse("q1", 500, make_records("q1", 1)),
@@ -590,8 +646,9 @@
             byte_by_byte,
         )
 
-    # Guards against an answer that bears two requests' ids and stamps, the first a stranger's.
-    def test_headers_of_a_cut_answer_are_not_taken_for_the_next_ones(self):
+    # Guards against an answer with the ids and stamps of two requests, of which the first comes
+    # from a truncated response to another request.
+    def test_headers_of_truncated_response_are_not_used_for_next_one(self):
         earlier, response = (
             PlannedResponse("q0", 200, b""),
             PlannedResponse("q1", 200, make_records("q1", 1)),
@@ -602,8 +659,9 @@
             Exchange(response, response.encode()),
         )
 
-    # Guards against a promise of not having run, for a request that ran.
-    def test_a_cut_refusal_does_not_make_the_next_answer_one(self):
+    # Guards against a request that ran but is reported as not run, since the header that says so
+    # came from a truncated refusal of another request.
+    def test_truncated_refusal_does_not_make_next_response_a_refusal(self):
         earlier, response = (
             PlannedResponse("q0", 503, b"", not_run=True),
             PlannedResponse("q1", 200, make_records("q1", 1)),
@@ -614,13 +672,14 @@
             Exchange(response, response.encode()),
         )
 
-    # Guards against a body of which a part is the head of the answer's second copy.
-    def test_a_copy_that_comes_at_once_does_not_fill_up_a_cut_answer(self):
+    # Guards against a body that contains the head of the same response, sent again.
+    def test_copy_in_same_segment_does_not_complete_truncated_response(self):
         response = PlannedResponse("q0", 200, make_records("q0", 3))
         run_and_check(Exchange(response, response.encode()[:-20] + response.encode()))
 
-    # Guards against the same where the copy arrives so that nothing stands behind the body.
-    def test_a_copy_that_comes_in_pieces_does_not_fill_up_a_cut_answer(self):
+    # Guards against a body that contains the head of the same response, sent again. The copy is
+    # divided where the body is complete, so that no bytes after the body reveal it.
+    def test_copy_in_two_segments_does_not_complete_truncated_response(self):
         response = PlannedResponse("q0", 200, make_records("q0", 300))
         missing_size = 2 * len(response.head)
         truncated_bytes = response.encode()[:-missing_size]
@@ -633,7 +692,7 @@
             )
         )
 
-    def test_a_body_that_quotes_a_status_line_is_taken(self):
+    def test_accepts_body_that_quotes_status_line(self):
         response = PlannedResponse(
             "q0", 200, b"GET / gave HTTP/1.1 200 Some Reason\r\nx-id: other\r\n\r\nand so on"
         )
@@ -642,7 +701,11 @@
 
 
 class ResetReportedToSender(socket.socket):
-    """Holds the second receive until a send has failed, and the task that sent until then."""
+    """A socket that reports a reset to the thread that sends, before the thread that receives.
+
+    The second receive waits until a send has failed. The failed send waits until the call is
+    finished, for at most 0.5 s.
+    """
 
     def __init__(self, plain: socket.socket) -> None:
         super().__init__(fileno=plain.detach())
@@ -672,7 +735,7 @@
 
 
 class FinishRecorder:
-    """An owner that notes when a call is finished."""
+    """A handler that records when a call is finished."""
 
     def __init__(self, finished: Event) -> None:
         self.finished = finished
@@ -688,10 +751,15 @@
 
 
 class TestResetWhileSending:
-    """The kernel reports a reset once: a receive after a send that failed reads an orderly end."""
+    """The kernel reports a reset only once.
+
+    If a send fails because of it, the next receive reads an orderly end of the connection instead.
+    """
 
-    # Guards against half of an answer, reset before its request was sent whole, taken as whole.
-    def test_an_answer_without_length_is_not_whole_if_a_send_took_its_reset(self):
+    # Guards against a truncated response that is accepted as complete. The searcher reset the
+    # connection within a response without a length, before it had received the whole request. The
+    # send failed because of the reset, and the receive read an orderly end.
+    def test_response_without_length_is_lost_when_send_fails_with_reset(self):
         near, far = connect_pair()
         near.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4_096)
         stream = ResetReportedToSender(near)
@@ -721,29 +789,29 @@
 
 
 class TestInterimResponses:
-    """What comes before the final answer of a call."""
+    """Responses that come before the final response to a call."""
 
-    # Guards against a call without an outcome and a connection that is never counted out.
-    def test_a_switch_of_protocols_ends_the_call_and_the_connection(self):
+    # Guards against a call without an outcome, and a connection that counts as open for ever.
+    def test_switch_of_protocols_ends_call_and_connection(self):
         response = PlannedResponse("q0", 200, b"")
         switch = b"HTTP/1.1 101 X\r\nUpgrade: x\r\nConnection: upgrade\r\n\r\n"
         run_and_check(Exchange(response, switch + response.encode()))
 
 
 class TestResponseHeaders:
-    """What an answer says of itself beside its body."""
+    """The headers of a response that the gateway reads."""
 
-    # Guards against an answer taken for a call that only its trailers name.
-    def test_the_request_of_an_answer_is_not_taken_from_its_trailers(self):
+    # Guards against a response that is accepted for a call whose id is only in its trailers.
+    def test_does_not_read_request_id_from_trailers(self):
         response, other = (
             PlannedResponse("q1", 200, make_records("q1", 1)),
             PlannedResponse("q0", 200, b"", Framing.CHUNKED),
         )
         run_and_check(Exchange(response, other.encode()[:-2] + b"x-id: q1\r\n\r\n"))
 
-    # Guards against an answer that is passed on with two requests' ids, or with two stamps.
+    # Guards against an answer that is returned to the caller with two request ids or two stamps.
     @pytest.mark.parametrize("field", [b"x-id: other\r\n", b"x-stamp: other\r\n"])
-    def test_an_answer_with_two_ids_or_stamps_is_nobodys(self, field):
+    def test_rejects_response_with_two_ids_or_stamps(self, field):
         response = PlannedResponse("q0", 200, make_records("q0", 1))
         (exchange_call,) = ScriptedConnection(
             [
@@ -756,22 +824,23 @@
         ).run()
         assert isinstance(exchange_call[1].outcome, Lost)
 
-    # Guards against a call without an outcome, as the task ends by what int() raises.
+    # Guards against a call without an outcome. The task ended with the exception that int() raises
+    # for a number with too many digits.
     @pytest.mark.parametrize(
         "field",
         [b"x-load: 1,2,%s\r\n" % (b"9" * 5_000), b"Keep-Alive: timeout=%s\r\n" % (b"9" * 5_000)],
     )
-    def test_a_number_of_any_length_does_not_end_the_task(self, field):
+    def test_call_has_outcome_when_header_number_has_5000_digits(self, field):
         response = PlannedResponse("q0", 200, make_records("q0", 1))
         run_and_check(Exchange(response, response.encode().replace(b"Server", field + b"Server")))
 
 
 class TestLongBodies:
-    """What the look for a head within a body costs."""
+    """The time that the search for another response's head within a body takes."""
 
-    # Guards against a body that takes a core for minutes, since it is searched again and again.
+    # Guards against a body that keeps a core busy for minutes because it is searched repeatedly.
     @pytest.mark.parametrize("unit", [b"HTTP/", b"HTTP/1.1 200 OK\r\n", b"HTTP/1.1 200"])
-    def test_a_body_of_status_lines_is_searched_in_seconds(self, unit):
+    def test_searches_body_of_status_lines_within_seconds(self, unit):
         parser = ResponseParser()
         body = unit * (2_000_000 // len(unit)) + b"."
         started_at = time.thread_time()
@@ -783,11 +852,11 @@
 
 
 class TestQueries:
-    """The parts of a query come over connections that carry other answers too."""
+    """Queries whose responses come over connections that also carry other responses."""
 
     @settings(max_examples=EXAMPLES // 2, deadline=None, derandomize=True)
     @given(queries())
-    def test_a_merge_holds_the_records_of_the_parts_that_it_names(self, plans):
+    def test_merged_reply_has_top_records_of_shards_that_it_names(self, plans):
         target = Shards(tuple(ServiceId(name) for name in plans), TOP_K, MIN_SHARD_RATIO)
         request = make_call(QUERY_ID).request
         upstream = ScriptedShards(plans)
@@ -832,11 +901,14 @@
 
 
 class TestForwardedQueries:
-    """A gatherer ends within its answers, and the entry gathers again."""
+    """Queries forwarded to a gatherer, another gateway, that disconnects within its responses.
+
+    The entry gateway, which received the query, then gathers the responses of the shards itself.
+    """
 
-    # Guards against an answer made of what two gateways gathered, or of a part of either.
+    # Guards against a reply that mixes what two gateways gathered, or has only a part of it.
     @pytest.mark.parametrize("resets", [False, True])
-    def test_an_answer_is_one_gateways_wherever_the_gatherer_ends(self, resets):
+    def test_reply_comes_from_one_gateway_wherever_gatherer_disconnects(self, resets):
         gatherer = BreakingSearcher(respond_as_gatherer, resets=resets)
         searchers = {name: [RepeatingSearcher(respond_as_shard)] for name in SHARDS.services}
         replies = []
