--- a/tests/gateway/test_response_matching.py
+++ b/tests/gateway/test_response_matching.py
@@ -393,7 +393,7 @@
 def truncation_offsets(response: PlannedResponse, data: bytes) -> list[int]:
     """Return the offsets at which a response may be truncated.
 
-    They are the ends of words and lines of its head, and every seventh offset of the whole response.
+    They are the ends of words and lines of its head, and every seventh offset of all its bytes.
     """
     head_length = len(response.head)
     edges = [
