--- a/tests/gateway/endless_responses.py
+++ b/tests/gateway/endless_responses.py
@@ -1,4 +1,7 @@
-"""Servers whose answers do not end, and the answers."""
+"""Responses that never end, and a server that sends them.
+
+They test that a client bounds the bytes and the time that it spends on a response.
+"""
 
 import socket
 from contextlib import suppress
@@ -10,14 +13,17 @@
 
 MAX_SENT_BYTES = 64_000_000
 MAX_SENDING_S = 10.0
-"""A server stops by itself after so many bytes and seconds, which a test takes as a failure."""
+"""The bytes and seconds after which a server stops by itself; a test that reaches them fails."""
 
 BLOCK_BYTES = 16_384
 
 
 @dataclass(frozen=True)
 class EndlessResponse:
-    """The bytes ``opening``, and then ``unit`` without end."""
+    """The bytes ``start``, followed by ``repeated`` again and again.
+
+    ``block`` has several repetitions, about ``BLOCK_BYTES`` in all.
+    """
 
     start: bytes
     repeated: bytes
@@ -28,7 +34,11 @@
 
 
 RESPONSE_START = b"HTTP/1.1 200 OK\r\nx-id: q1\r\nx-stamp: s\r\n"
+"""The start of the response to the request that the tests send."""
+
 OTHER_RESPONSE_START = b"HTTP/1.1 200 OK\r\nx-id: q0\r\nx-stamp: s\r\nContent-Length: "
+"""The start of a response to another request."""
+
 CHUNKED_HEAD = RESPONSE_START + b"Transfer-Encoding: chunked\r\n\r\n"
 
 ENDLESS_HEADS = {
@@ -62,14 +72,17 @@
         b"", OTHER_RESPONSE_START + b"1000\r\n\r\n" + b"x" * 1_000
     ),
 }
+"""Endless sequences of complete responses to other requests."""
 
 ENDLESS = ENDLESS_HEADS | ENDLESS_BODIES | ENDLESS_SEQUENCES
 
 
 class EndlessServer(StandInSearcher):
-    """Answers one request of each connection with ``flow``, in blocks or a unit at a time.
+    """A server that sends ``response`` to the first request of each connection.
 
-    It notes when the other side closed, and closes itself only at its bounds.
+    It sends blocks without a pause, or single repetitions with a pause of ``pause_s``. It sets
+    ``closed`` when the client closes the connection, and closes it itself only at
+    ``MAX_SENT_BYTES`` or ``MAX_SENDING_S``.
     """
 
     def __init__(self, response: EndlessResponse, pause_s: float | None = None) -> None:
--- a/tests/gateway/test_endless_responses.py
+++ b/tests/gateway/test_endless_responses.py
@@ -1,4 +1,8 @@
-"""Answers that do not end: they cost a bounded number of bytes, and their connection is closed."""
+"""Tests that a response without an end costs a bounded number of bytes and a bounded time.
+
+The gateway then closes the connection. Such responses come from searchers, from gateways that
+gather a query, or from the platform's store.
+"""
 
 import threading
 from collections.abc import Iterator
@@ -38,9 +42,17 @@
 from .loopback import RawCaller, StandInSearcher, reply_to, running_gateway
 
 MAX_HEAD_BYTES = 65_536
+"""The most bytes of all response heads received for one request."""
+
 MAX_BODY_BYTES = 8_000_000
+"""The most bytes of all response bodies received for one request."""
+
 MAX_CHUNKED_BYTES = MAX_BODY_BYTES * 3 // 2
+"""The most bytes of bodies in chunks, with the framing of the chunks."""
+
 RECEIVE_BYTES = 4_096
+"""The most bytes that a connection receives at once."""
+
 MAX_WAIT_S = 5.0
 LONG_TIMEOUT = Millis(60_000.0)
 SHORT_TIMEOUT = Millis(200.0)
@@ -49,18 +61,18 @@
 
 
 def received_pieces(data: bytes) -> Iterator[bytes]:
-    """Yield ``data`` as a connection receives it."""
+    """Yield ``data`` in the pieces in which a connection receives it."""
     for start in range(0, len(data), RECEIVE_BYTES):
         yield data[start : start + RECEIVE_BYTES]
 
 
 def feed_all(parser: ResponseParser, data: bytes) -> Malformed | None:
-    """Feed ``data``; return what the parser first says against it."""
+    """Feed ``data`` to the parser and return its first error, if any."""
     return next(filter(None, map(parser.feed, received_pieces(data))), None)
 
 
 def count_accepted_bytes(response: EndlessResponse) -> int:
-    """Return how many bytes of ``flow`` a parser takes until it gives up."""
+    """Return how many bytes of a response a parser is fed until it returns an error."""
     parser = ResponseParser()
     accepted = 0
     for piece in chain(received_pieces(response.start), cycle(received_pieces(response.block))):
@@ -73,6 +85,7 @@
 
 @contextmanager
 def running_server(response: EndlessResponse, pause_s: float | None = None):
+    """Run a server that sends ``response``, and yield it."""
     server = EndlessServer(response, pause_s)
     try:
         yield server
@@ -81,6 +94,7 @@
 
 
 def encode_chunked(body: bytes, size: int) -> bytes:
+    """Return a response with ``body`` in chunks of ``size`` bytes."""
     parts = (body[start : start + size] for start in range(0, len(body), size))
     chunks = b"".join(b"%x\r\n%s\r\n" % (len(part), part) for part in parts)
     return CHUNKED_HEAD + chunks + b"0\r\n\r\n"
@@ -88,41 +102,41 @@
 
 class TestResponseParser:
     @pytest.mark.parametrize("name", ENDLESS_HEADS)
-    def test_an_endless_head_is_given_up_at_the_largest_head(self, name):
+    def test_rejects_endless_head_at_size_limit(self, name):
         assert count_accepted_bytes(ENDLESS_HEADS[name]) <= MAX_HEAD_BYTES + RECEIVE_BYTES
 
     @pytest.mark.parametrize("name", ENDLESS_BODIES | ENDLESS_SEQUENCES)
-    def test_an_endless_body_is_given_up_at_the_largest_body(self, name):
+    def test_rejects_endless_body_at_size_limit(self, name):
         assert (
             count_accepted_bytes(ENDLESS[name])
             <= MAX_HEAD_BYTES + MAX_CHUNKED_BYTES + RECEIVE_BYTES
         )
 
     @pytest.mark.parametrize("size", [16, 1_024, 65_536])
-    def test_an_answer_in_chunks_is_taken_whole(self, size):
+    def test_accepts_body_in_chunks(self, size):
         parser = ResponseParser()
         body = bytes(1_000_000)
         assert feed_all(parser, encode_chunked(body, size)) is None
-        assert [answer.body for answer in parser.ready] == [body]
+        assert [response.body for response in parser.ready] == [body]
 
-    def test_the_largest_answer_is_taken_whole(self):
+    def test_accepts_response_of_largest_size(self):
         parser = ResponseParser()
         fill = b"x-fill: " + b"x" * (MAX_HEAD_BYTES - 200) + b"\r\n"
         head = RESPONSE_START + fill + b"Content-Length: %d\r\n\r\n" % MAX_BODY_BYTES
         assert feed_all(parser, head + bytes(MAX_BODY_BYTES)) is None
         assert len(parser.ready[0].body) == MAX_BODY_BYTES
 
-    def test_each_accepted_answer_lets_the_count_begin_anew(self):
+    def test_counts_bytes_anew_after_each_accepted_response(self):
         parser = ResponseParser()
-        answer = RESPONSE_START + b"Content-Length: 1000000\r\n\r\n" + bytes(1_000_000)
+        response = RESPONSE_START + b"Content-Length: 1000000\r\n\r\n" + bytes(1_000_000)
         for _ in range(20):
-            assert feed_all(parser, answer) is None
+            assert feed_all(parser, response) is None
             assert len(parser.ready.pop().body) == 1_000_000
             parser.reset_byte_counts()
 
 
 class RecordingHandler:
-    """Notes when a task's call finished and its connection ended."""
+    """A handler that records when the call of a task has finished and its connection has closed."""
 
     def __init__(self) -> None:
         self.reusable = True
@@ -151,7 +165,7 @@
 
 
 def run_call(address: Address, header_names=HEADER_NAMES) -> tuple[Call, RecordingHandler]:
-    """Run one call at ``address`` that may last long, until it ends."""
+    """Run one call at ``address`` with a long timeout, and wait until it has finished."""
     clock, handler = SystemClock(), RecordingHandler()
     request = replace(make_request(), headers=((b"x-id", b"q1"),))
     deadline = Millis(clock.now() + LONG_TIMEOUT)
@@ -164,7 +178,7 @@
 
 class TestSearcherResponse:
     @pytest.mark.parametrize("name", ENDLESS)
-    def test_an_endless_answer_ends_the_call_and_the_connection(self, name):
+    def test_endless_response_ends_call_and_connection(self, name):
         with running_server(ENDLESS[name]) as server:
             call, handler = run_call(server.address)
             assert isinstance(call.outcome, Lost)
@@ -175,7 +189,7 @@
             assert server.closed.wait(MAX_WAIT_S)
             assert server.sent_bytes < MAX_SENT_BYTES
 
-    def test_the_own_answer_counts_behind_late_ones(self):
+    def test_accepts_response_after_100_late_responses_to_other_requests(self):
         late = b"HTTP/1.1 200 OK\r\nx-id: q0\r\nContent-Length: 3\r\n\r\nold"
         searcher = StandInSearcher(lambda head: 100 * late + reply_to(head, b"mine"))
         with running_gateway([make_route()], {"orders": [searcher]}) as gateway:
@@ -187,7 +201,7 @@
     @pytest.mark.parametrize(
         "response", [SLOW_BODY, SLOW_INTERIM_RESPONSES], ids=["body", "interim_responses"]
     )
-    def test_an_endless_trickle_is_cut_after_the_deadline(self, response):
+    def test_slow_endless_response_is_cancelled_after_deadline(self, response):
         with running_server(response, pause_s=0.005) as server:
             running = running_gateway([make_route(attempts=1)], {"orders": [server]})
             with running as gateway:
@@ -199,7 +213,7 @@
     @pytest.mark.parametrize(
         "response", [SLOW_BODY, SLOW_INTERIM_RESPONSES], ids=["body", "interim_responses"]
     )
-    def test_an_endless_trickle_is_cut_also_where_another_searcher_answered(self, response):
+    def test_slow_endless_response_is_cancelled_when_another_searcher_has_answered(self, response):
         with running_server(response, pause_s=0.005) as server:
             searchers = {"orders": [server, StandInSearcher(reply_to)]}
             with running_gateway([make_route()], searchers) as gateway:
@@ -212,7 +226,7 @@
 
 class TestPeerResponse:
     @pytest.mark.parametrize("name", ENDLESS)
-    def test_an_endless_answer_ends_a_query_that_was_handed_on(self, name):
+    def test_endless_response_ends_forwarded_query_and_connection(self, name):
         with running_server(ENDLESS[name]) as server:
             call, handler = run_call(server.address, peer_header_names(HEADER_NAMES))
             assert isinstance(call.outcome, Lost)
@@ -221,7 +235,7 @@
             assert handler.closed.wait(MAX_WAIT_S)
             assert server.closed.wait(MAX_WAIT_S)
 
-    def test_a_head_that_names_300_parts_is_taken(self):
+    def test_accepts_head_with_stamps_of_300_shards(self):
         stamps = ", ".join(f"{number:08x}.07.5a2.600.0.c9f2a4d1" for number in range(300))
         head = RESPONSE_START + b"x-gateway-stamps: %s\r\n" % stamps.encode()
         parser = ResponseParser()
@@ -230,7 +244,7 @@
 
 
 class AdvancingClock(ManualClock):
-    """Moves on by 10 ms whenever it is read."""
+    """A clock that advances by 10 ms whenever it is read."""
 
     def now(self) -> Millis:
         self.advance(Millis(10.0))
@@ -239,7 +253,7 @@
 
 class TestPlatformResponse:
     @pytest.mark.parametrize("name", ENDLESS_HEADS | ENDLESS_BODIES)
-    def test_an_endless_answer_ends_the_read_and_the_connection(self, name):
+    def test_endless_response_ends_read_and_connection(self, name):
         with running_server(ENDLESS[name]) as server:
             client = HttpClient(server.address, SystemClock())
             response = client.get("platform", "/", {}, GetTimeouts(LONG_TIMEOUT, LONG_TIMEOUT))
@@ -248,8 +262,9 @@
             assert server.closed.wait(MAX_WAIT_S)
             assert server.sent_bytes < MAX_SENT_BYTES
 
-    # While bytes came, each of them was waited for anew, also beyond the deadline.
-    def test_an_endless_body_does_not_outlast_the_deadline(self):
+    # Guards against a read that lasts as long as bytes arrive. Each receive had the full timeout
+    # again, also after the deadline of the read.
+    def test_read_of_endless_body_ends_at_deadline(self):
         with running_server(ENDLESS_BODIES["body_with_length"]) as server:
             client = HttpClient(server.address, clock := AdvancingClock())
             response = client.get("platform", "/", {}, GetTimeouts(LONG_TIMEOUT, SHORT_TIMEOUT))
@@ -257,9 +272,10 @@
             assert clock.current < 2 * SHORT_TIMEOUT
             assert server.closed.wait(MAX_WAIT_S)
 
-    # Answers that came in one receive with the first were dropped, and the connection was kept.
+    # Guards against a connection that stays open although more responses arrived in one receive
+    # with the first, which were dropped.
     @pytest.mark.parametrize("name", ENDLESS_SEQUENCES)
-    def test_answers_behind_the_first_end_the_connection(self, name):
+    def test_responses_after_the_first_end_connection(self, name):
         repeated = ENDLESS_SEQUENCES[name].repeated
         with running_server(EndlessResponse(2 * repeated, repeated), pause_s=1.0) as server:
             client = HttpClient(server.address, SystemClock())
--- a/tests/gateway/test_irregular_responses.py
+++ b/tests/gateway/test_irregular_responses.py
@@ -1,4 +1,4 @@
-"""What a connection tells of bytes that belong to none of its calls."""
+"""Tests of the records that connections make of bytes that belong to none of their calls."""
 
 import json
 import threading
@@ -24,7 +24,7 @@
 
 
 class RecordingHandler(TaskHandler):
-    """Keeps what a task notes, and the outcomes of its calls."""
+    """A handler that records the protocol violations of a task and the outcomes of its calls."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -40,7 +40,7 @@
 
 
 class RunningTask:
-    """A task that reads one connection, and the searcher's end of it."""
+    """A task that reads one connection, and the searcher's end of that connection."""
 
     def __init__(self) -> None:
         near, self.far = connect_pair()
@@ -79,7 +79,7 @@
 
 
 class TestViolations:
-    def test_an_answer_to_another_request_is_noted_and_skipped(self):
+    def test_response_to_another_request_is_recorded_and_skipped(self):
         running_task = RunningTask()
         running_task.run_call("q2", RESPONSE % b"q1" + RESPONSE % b"q2")
         assert running_task.handler.finished.acquire(timeout=5)
@@ -92,19 +92,19 @@
         assert receive_info == ReceiveInfo(ConnectionNumber(7), BodyFraming.LENGTH, 1)
         assert not receive_info.is_regular
 
-    def test_bytes_behind_an_answer_are_noted(self):
+    def test_bytes_after_response_are_recorded(self):
         running_task = RunningTask()
         running_task.run_call("q1", RESPONSE % b"q1" + b"more")
         running_task.close()
         assert running_task.handler.violations == [TrailingBytes("q1")]
 
-    def test_bytes_on_an_idle_connection_are_noted(self):
+    def test_bytes_on_idle_connection_are_recorded(self):
         running_task = RunningTask()
         running_task.far.sendall(b"nobody asked")
         running_task.close()
         assert running_task.handler.violations == [UnrequestedBytes(len(b"nobody asked"))]
 
-    def test_an_answer_tells_that_the_close_ended_it(self):
+    def test_answer_states_that_end_of_connection_ended_it(self):
         running_task = RunningTask()
         running_task.run_call("q1", RESPONSE_WITHOUT_LENGTH % b"q1")
         running_task.close()
@@ -112,7 +112,7 @@
 
 
 class TestFleetViolations:
-    def test_each_is_logged_with_its_connection_and_counted(self):
+    def test_each_is_logged_with_connection_number_and_counted(self):
         fleet = make_fleet()
         fleet.apply_listing(make_entry("s1"))
         fleet.log.queue.clear()
@@ -131,9 +131,9 @@
 
 
 class TestRequestLine:
-    def test_names_what_a_query_took_unusually(self):
-        unusual = ReceiveInfo(ConnectionNumber(3), BodyFraming.CLOSE, 0)
-        answer = Answered(SearcherId("s1"), 200, (), b"", "s", Millis(1.0), unusual)
+    def test_describes_irregular_receive_of_a_query(self):
+        irregular = ReceiveInfo(ConnectionNumber(3), BodyFraming.CLOSE, 0)
+        answer = Answered(SearcherId("s1"), 200, (), b"", "s", Millis(1.0), irregular)
         merged = Merged(("s",), 0, b"", (), (f"{answer.searcher}: {answer.receive_info}",))
         assert _describe_reply(merged) == (
             "whole",
@@ -142,8 +142,8 @@
 
 
 class TestFailingTask:
-    # Guards against a call without an outcome, and a connection that counts as busy for ever.
-    def test_an_error_ends_its_call_and_its_connection(self):
+    # Guards against a call without an outcome, and a connection that counts as in use for ever.
+    def test_error_ends_call_and_connection(self):
         near, far = connect_pair()
         handler = RecordingHandler()
         call = Call(
--- a/tests/gateway/test_truncated_responses.py
+++ b/tests/gateway/test_truncated_responses.py
@@ -1,4 +1,7 @@
-"""An answer that was cut short and is filled up with the bytes of the next one."""
+"""Tests of truncated responses that are followed by another response.
+
+The bytes of the second must not complete the first, so that a caller never gets a mix of both.
+"""
 
 import threading
 
@@ -19,7 +22,7 @@
 
 
 def run_call(data: bytes) -> list[object]:
-    """Return the outcomes of one call whose searcher sends ``data`` and hangs up."""
+    """Return the outcomes of one call whose searcher sends ``data`` and closes the connection."""
     near, far = connect_pair()
     handler = RecordingHandler()
     task = SearcherTask(
@@ -41,57 +44,58 @@
 
 
 class TestTruncatedBody:
-    # Guards against the head of a late second answer passed on as the end of the first one's body.
+    # Guards against a body that ends with the head of a second, late copy of the response.
     @pytest.mark.parametrize("missing", [1, 16, 17, 48, 63])
-    def test_is_no_success_when_the_second_answer_fills_it_up(self, missing):
+    def test_has_no_bytes_of_second_copy(self, missing):
         (outcome,) = run_call(RESPONSE[:-missing] + RESPONSE)
         assert not isinstance(outcome, Answered) or outcome.body == RECORDS
 
-    # Guards against a cut answer that is filled up with the bytes of another request's answer.
-    def test_is_no_success_when_another_requests_answer_fills_it_up(self):
+    # Guards against a body that ends with the bytes of the response to another request.
+    def test_has_no_bytes_of_response_to_another_request(self):
         (outcome,) = run_call(RESPONSE[:-16] + RESPONSE.replace(b"q1", b"q0"))
         assert not isinstance(outcome, Answered) or outcome.body == RECORDS
 
 
 class TestTruncatedHead:
-    # Guards against a success whose stamp ends with the status line of the next answer.
-    def test_bears_no_stamp_with_foreign_bytes(self):
+    # Guards against a success whose stamp ends with the status line of the next response.
+    def test_stamp_has_no_bytes_of_next_response(self):
         (outcome,) = run_call(b"HTTP/1.1 200 OK\r\nx-id: q1\r\nx-stamp: s" + RESPONSE)
         assert not isinstance(outcome, Answered) or outcome.stamp == "s"
         assert not isinstance(outcome, Answered) or len(outcome.headers) == 3
 
-    # Guards against a searcher's failure passed on under the status of an earlier request's answer.
-    def test_lends_no_status_to_the_failure_behind_it(self):
+    # Guards against a failure of a searcher that is returned with the status of another, truncated
+    # response to an earlier request.
+    def test_status_is_not_used_for_failure_that_follows(self):
         failure = RESPONSE.replace(b"200 OK", b"500 No")
         (outcome,) = run_call(b"HTTP/1.1 200 OK\r\nx-id: q0\r\nx-stamp: s" + failure)
         assert not isinstance(outcome, Answered) or outcome.status == 500
 
 
 class TestResponseWithoutLength:
-    # Guards against a late second answer of an earlier request as part of a body without a length.
-    def test_is_no_success_when_an_earlier_requests_answer_comes_within_it(self):
+    # Guards against a body without a length that contains a late response to an earlier request.
+    def test_body_has_no_bytes_of_response_to_earlier_request(self):
         without_length = RESPONSE.replace(b"Content-Length: 64\r\n", b"")
         late_response = RESPONSE.replace(b"q1", b"q0")
         (outcome,) = run_call(without_length + late_response)
         assert not isinstance(outcome, Answered) or outcome.body == RECORDS
 
-    # Guards against a second copy of the same answer as part of a body without a length.
-    def test_is_no_success_when_its_own_copy_comes_within_it(self):
+    # Guards against a body without a length that contains a second copy of the same response.
+    def test_body_has_no_bytes_of_second_copy(self):
         without_length = RESPONSE.replace(b"Content-Length: 64\r\n", b"")
         (outcome,) = run_call(without_length + without_length)
         assert not isinstance(outcome, Answered) or outcome.body == RECORDS
 
 
 def truncated_then_complete(head: bytes) -> bytes:
-    """Return an answer that lacks its last 16 bytes, and the same answer once more."""
+    """Return a response without its last 16 bytes, followed by the complete response."""
     response = reply_to(head, RECORDS)
     return response[:-16] + response
 
 
 class TestCallerOfTruncatedResponse:
-    # Guards against a caller that gets the head of a late second answer in its body.
+    # Guards against a reply whose body contains the head of a second copy of the response.
     @pytest.mark.parametrize("target", [ORDERS, Shards((ServiceId("orders"),), 4, 1.0)])
-    def test_gets_no_success_with_foreign_bytes(self, target):
+    def test_gets_error_or_exactly_the_records(self, target):
         searcher = StandInSearcher(truncated_then_complete)
         route = make_route(target, attempts=1)
         with running_gateway([route], {"orders": [searcher]}) as gateway:
