--- a/bench/connection/__init__.py
+++ b/bench/connection/__init__.py
@@ -8,10 +8,10 @@
 from ._message_costs import HITS as HITS
 from ._message_costs import SIZES as SIZES
 from ._message_costs import ask as ask
-from ._message_costs import belief as belief
 from ._message_costs import digest_heartbeat as digest_heartbeat
 from ._message_costs import exchange_call as exchange_call
 from ._message_costs import heartbeat as heartbeat
+from ._message_costs import member_entry as member_entry
 from ._message_costs import pressure as pressure
 from ._message_costs import reply as reply
 from ._message_costs import wire_bytes as wire_bytes
--- a/bench/connection/_connection_memory.py
+++ b/bench/connection/_connection_memory.py
@@ -28,7 +28,7 @@
     return next(float(line.split()[1]) * 1024 for line in lines if line.startswith("VmRSS"))
 
 
-def grow(add: Callable[[], None]) -> list[float]:
+def measure_growth(add: Callable[[], None]) -> list[float]:
     """Return the resident memory at each of :data:`COUNTS` calls of ``add``."""
     sizes = []
     done = 0
@@ -63,7 +63,7 @@
             for frames in pair:
                 frames.send(heartbeat(5))
 
-    sizes = grow(add)
+    sizes = measure_growth(add)
     for frames in ends:
         frames.close()
     tasks.shutdown()
@@ -87,19 +87,19 @@
         lambda *_: None,
     )
     tasks = ThreadPoolExecutor(max(COUNTS))
-    calls: list[HttpConnection] = []
+    connections: list[HttpConnection] = []
 
     def serve() -> None:
-        call = HttpConnection(address)
-        calls.append(call)
-        call.get("/", CALL_TIMEOUT)
+        connection = HttpConnection(address)
+        connections.append(connection)
+        connection.get("/", CALL_TIMEOUT)
         pool.wait_for_work(searcher)
 
-    sizes = grow(lambda: tasks.submit(serve) and None)
+    sizes = measure_growth(lambda: tasks.submit(serve) and None)
     pool.stop()
     tasks.shutdown()
-    for call in calls:
-        call.close()
+    for connection in connections:
+        connection.close()
     return sizes
 
 
--- a/bench/connection/_message_costs.py
+++ b/bench/connection/_message_costs.py
@@ -23,7 +23,7 @@
 
 SIZES = [1, 5, 20]
 HITS = 10
-LENGTH_BYTES = 4
+LENGTH_PREFIX_BYTES = 4
 QUERY = QueryId("host-0001-0123456789abcdef")
 VERSIONS = Versions(Revision(1000), SnapshotVersion(1000))
 
@@ -54,9 +54,9 @@
     )
 
 
-def heartbeat(beliefs: int) -> Message:
+def heartbeat(members: int) -> Message:
     """Return a heartbeat that tells ``beliefs`` changed beliefs."""
-    return Heartbeat(1000, VERSIONS, tuple(belief(n) for n in range(beliefs)))
+    return Heartbeat(1000, VERSIONS, tuple(member_entry(n) for n in range(members)))
 
 
 def digest_heartbeat() -> Message:
@@ -72,7 +72,7 @@
     )
 
 
-def belief(number: int) -> Member:
+def member_entry(number: int) -> Member:
     """Return one belief about one host."""
     return Member(
         HostId(f"host-{number:04}"),
@@ -85,7 +85,7 @@
 
 def wire_bytes(message: Message) -> float:
     """Return the bytes that a message takes on the wire."""
-    return float(len(encode_message(message)) + LENGTH_BYTES)
+    return float(len(encode_message(message)) + LENGTH_PREFIX_BYTES)
 
 
 def exchange_call(message: Message) -> Callable[[], object]:
--- a/bench/process/_comparison.py
+++ b/bench/process/_comparison.py
@@ -25,27 +25,29 @@
 
 def compare(trials: list[Trial]) -> list[Row]:
     """Return a row for each deployment, scenario and rank."""
-    found = {(t.deployment, t.scenario, t.routing): t for t in trials}
+    trials_by_key = {(t.deployment, t.scenario, t.routing): t for t in trials}
     rows: list[Row] = []
     for deployment, scenario in dict.fromkeys((t.deployment, t.scenario) for t in trials):
-        new = found.get((deployment, scenario, "owner"))
-        naive = found.get((deployment, scenario, "naive"))
+        new = trials_by_key.get((deployment, scenario, "owner"))
+        naive = trials_by_key.get((deployment, scenario, "naive"))
         for figures in (new or naive).ranks:
             rows.append(
                 Row(
                     deployment,
                     scenario,
                     figures.rank,
-                    *_each(new, naive, figures.rank, "capped_p99"),
-                    *_each(new, naive, figures.rank, "whole"),
-                    _kept(found, new),
-                    _kept(found, naive),
+                    *_both_routings(new, naive, figures.rank, "capped_p99"),
+                    *_both_routings(new, naive, figures.rank, "whole"),
+                    _work_kept(trials_by_key, new),
+                    _work_kept(trials_by_key, naive),
                 )
             )
     return rows
 
 
-def _each(new: Trial | None, naive: Trial | None, rank: str, name: str) -> list[float | None]:
+def _both_routings(
+    new: Trial | None, naive: Trial | None, rank: str, name: str
+) -> list[float | None]:
     return [_figure(new, rank, name), _figure(naive, rank, name)]
 
 
@@ -55,8 +57,10 @@
     return float(next(getattr(figures, name) for figures in trial.ranks if figures.rank == rank))
 
 
-def _kept(found: dict[tuple[str, str, str], Trial], trial: Trial | None) -> float | None:
+def _work_kept(
+    trials_by_key: dict[tuple[str, str, str], Trial], trial: Trial | None
+) -> float | None:
     if trial is None or not trial.flooded:
         return None
-    saturated = found.get((trial.deployment, SATURATED, trial.routing))
+    saturated = trials_by_key.get((trial.deployment, SATURATED, trial.routing))
     return trial.finished_rate / saturated.finished_rate if saturated else None
--- a/bench/process/_control_fleet.py
+++ b/bench/process/_control_fleet.py
@@ -12,7 +12,7 @@
 from bench.version import DEPLOYMENTS, SEARCHER_KNOBS
 
 from ._load import Load
-from .counted_host import WORK
+from .counted_host import REQUEST_MESSAGES
 
 FLEET_SIZES = [3, 7, 15, 30]
 IDLE_SECONDS = 8.0
@@ -51,23 +51,23 @@
         return [json.loads(path.read_text()) for path in paths]
 
 
-def idle_use(hosts: int) -> HostUse:
+def measure_idle_fleet(hosts: int) -> HostUse:
     """Run a small fleet without requests."""
     with CountedFleet(SMALL, hosts) as fleet:
         time.sleep(SETTLE_SECONDS)
         before = fleet.counts()
         time.sleep(IDLE_SECONDS)
-        return _use(before, fleet.counts())
+        return _mean_use(before, fleet.counts())
 
 
-def kerala_use(*, busy: bool) -> HostUse:
+def measure_kerala_fleet(*, busy: bool) -> HostUse:
     """Run today's larger deployment, 7 hosts and 108 searchers, idle or under load."""
     deployment = DEPLOYMENTS["kerala"]
     with CountedFleet(
         deployment.text, deployment.hosts, searcher_processes=2, knobs=SEARCHER_KNOBS
     ) as fleet:
         time.sleep(SETTLE_SECONDS)
-        load = Load(fleet, [deployment.wide], BUSY_RATES, 2 * IDLE_SECONDS)
+        load = Load(fleet, [deployment.wide_service], BUSY_RATES, 2 * IDLE_SECONDS)
         if busy:
             load.start()
             time.sleep(SETTLE_SECONDS)
@@ -75,19 +75,19 @@
         time.sleep(IDLE_SECONDS)
         after = fleet.counts()
         load.stop()
-        return _use(before, after)
+        return _mean_use(before, after)
 
 
-def _use(before: list[dict[str, Any]], after: list[dict[str, Any]]) -> HostUse:
+def _mean_use(before: list[dict[str, Any]], after: list[dict[str, Any]]) -> HostUse:
     pairs = list(zip(before, after, strict=True))
-    by_kind = _rates(pairs, "seconds")
-    sent = _rates(pairs, "sent")
+    by_kind = _mean_rates(pairs, "seconds")
+    sent = _mean_rates(pairs, "sent")
     return HostUse(
         hosts=len(pairs),
-        control_cpu=sum(rate for kind, rate in by_kind.items() if kind not in WORK),
+        control_cpu=sum(rate for kind, rate in by_kind.items() if kind not in REQUEST_MESSAGES),
         all_cpu=_mean((b["cpu"] - a["cpu"]) / (b["at"] - a["at"]) for a, b in pairs),
-        control_sent=sum(rate for kind, rate in sent.items() if kind not in WORK),
-        work_sent=sum(rate for kind, rate in sent.items() if kind in WORK),
+        control_sent=sum(rate for kind, rate in sent.items() if kind not in REQUEST_MESSAGES),
+        work_sent=sum(rate for kind, rate in sent.items() if kind in REQUEST_MESSAGES),
         resident=_mean(b["resident"] for _, b in pairs),
         threads=_mean(b["threads"] for _, b in pairs),
         by_kind=by_kind,
@@ -95,7 +95,7 @@
     )
 
 
-def _rates(pairs: list, field: str) -> dict[str, float]:
+def _mean_rates(pairs: list, field: str) -> dict[str, float]:
     kinds = sorted({kind for _, after in pairs for kind in after[field]})
     return {
         kind: _mean(
@@ -106,5 +106,5 @@
 
 
 def _mean(values: Any) -> float:
-    listed = list(values)
-    return sum(listed) / len(listed)
+    collected = list(values)
+    return sum(collected) / len(collected)
--- a/bench/process/_demo_run.py
+++ b/bench/process/_demo_run.py
@@ -7,7 +7,7 @@
 import click
 from tests.standins.fleet import Fleet
 
-from bench.request import Searched, audit_answer
+from bench.request import LoggedSearch, audit_answer
 from bench.version import Deployment
 
 from ._events import Depart, EventRunner, LoseSearcher
@@ -35,73 +35,76 @@
         click.echo("  -- one searcher is lost")
         events.run(LoseSearcher())
         self.search_each_rank()
-        click.echo(f"  -- the text is edited: {self.deployment.leaving} leaves")
+        click.echo(f"  -- the text is edited: {self.deployment.leaving_department} leaves")
         events.run(Depart())
-        self.await_in_force()
+        self.wait_until_in_force()
         self.search_each_rank()
-        self.search_what_left(events)
+        self.search_departed(events)
         return self.problems
 
     def search_each_rank(self) -> None:
         """Search with each rank, each through another host."""
-        self.search(0, "urgent", self.deployment.wide)
-        self.search(1, "standard", self.deployment.history)
-        self.search(2, "bulk", self.deployment.history)
+        self.search(0, "urgent", self.deployment.wide_service)
+        self.search(1, "standard", self.deployment.history_service)
+        self.search(2, "bulk", self.deployment.history_service)
 
     def search(self, host: int, rank: str, service: str) -> None:
         """Search once, print the answer and audit it."""
         begin = time.monotonic()
         reply = self.fleet.search(host, [service], rank=rank, remaining_ms=DEADLINE_MS)
         latency = (time.monotonic() - begin) * MS_PER_SECOND
-        head = f"  {rank:8} {service:15} via h{host + 1} {latency:6.1f} ms  "
+        prefix = f"  {rank:8} {service:15} via h{host + 1} {latency:6.1f} ms  "
         if reply.body["outcome"] != "ran":
-            click.echo(head + describe_refusal(reply.body))
-            self.note(rank, [f"not answered: {reply.body['outcome']}"])
+            click.echo(prefix + describe_refusal(reply.body))
+            self.report_problems(rank, [f"not answered: {reply.body['outcome']}"])
             return
-        click.echo(head + describe_answer(reply.body))
-        self.note(rank, audit_answer(reply.body, self.needed(service), self.searched()))
+        click.echo(prefix + describe_answer(reply.body))
+        self.report_problems(
+            rank, audit_answer(reply.body, self.needed_shards(service), self.logged_searches())
+        )
 
-    def search_what_left(self, events: EventRunner) -> None:
+    def search_departed(self, events: EventRunner) -> None:
         """Search the department that left: it must be refused, and must truly not run."""
-        before = events.count("received", self.deployment.leaving)
-        reply = self.fleet.search(0, [self.deployment.leaving], remaining_ms=DEADLINE_MS)
+        before = events.count("received", self.deployment.leaving_department)
+        reply = self.fleet.search(0, [self.deployment.leaving_department], remaining_ms=DEADLINE_MS)
         click.echo(
-            f"  standard {self.deployment.leaving:15} via h1  {describe_refusal(reply.body)}"
+            f"  standard {self.deployment.leaving_department:15} via h1  "
+            f"{describe_refusal(reply.body)}"
         )
         if reply.body["outcome"] != "not_run":
-            self.note("departure", ["a department that left was searched"])
-        if events.count("received", self.deployment.leaving) != before:
-            self.note("departure", ["a department that left received new work"])
+            self.report_problems("departure", ["a department that left was searched"])
+        if events.count("received", self.deployment.leaving_department) != before:
+            self.report_problems("departure", ["a department that left received new work"])
 
     def book_once(self) -> None:
         """Book with one ticket, and retry through another host: it must run once."""
-        service = self.deployment.bookings
+        service = self.deployment.booking_service
         ticket = self.fleet.mint(0)
         for host in (0, 1):
             begin = time.monotonic()
             reply = self.fleet.book(host, ticket, service, rank="urgent")
             latency = (time.monotonic() - begin) * MS_PER_SECOND
-            said = "first try" if host == 0 else "retry of the same ticket"
+            label = "first try" if host == 0 else "retry of the same ticket"
             click.echo(
-                f"  booking  {service:15} via h{host + 1} {latency:6.1f} ms  {said}: "
+                f"  booking  {service:15} via h{host + 1} {latency:6.1f} ms  {label}: "
                 + (describe_booking(reply.body))
             )
             if reply.body["outcome"] != "ran":
-                self.note("booking", [f"{said} answered {reply.body['outcome']}"])
+                self.report_problems("booking", [f"{label} answered {reply.body['outcome']}"])
         ran = [b for s in self.fleet.searchers().values() for b in s["bookings"]]
         if [booking["ticket"] for booking in ran] != [ticket]:
-            self.note("booking", [f"the booking ran {len(ran)} times"])
+            self.report_problems("booking", [f"the booking ran {len(ran)} times"])
 
-    def await_in_force(self) -> None:
+    def wait_until_in_force(self) -> None:
         """Wait until every host knows that the department leaves."""
-        left = self.deployment.leaving
+        department = self.deployment.leaving_department
         self.fleet.wait_until(
-            lambda: all(left in self.fleet.status(n)["leaving"] for n in range(HOSTS)),
+            lambda: all(department in self.fleet.status(n)["leaving"] for n in range(HOSTS)),
             IN_FORCE_SECONDS,
             "the edited text is not in force on every host",
         )
 
-    def needed(self, service: str) -> dict[str, float]:
+    def needed_shards(self, service: str) -> dict[str, float]:
         """Return the weight of each shard that a search of ``service`` needs."""
         services = self.fleet.configuration.services
         shards: dict[str, dict[str, float]] = self.fleet.snapshots[0]["shards"]
@@ -112,18 +115,18 @@
             pending.extend(new)
         return {shard: weight for name in seen for shard, weight in shards.get(name, {}).items()}
 
-    def searched(self) -> list[Searched]:
+    def logged_searches(self) -> list[LoggedSearch]:
         """Return all that the searchers say they searched."""
         return [
-            Searched(entry["query"], entry["snapshot"], tuple(entry["shards"]))
+            LoggedSearch(entry["query"], entry["snapshot"], tuple(entry["shards"]))
             for searcher in self.fleet.searchers().values()
             for entry in searcher["log"]
         ]
 
-    def note(self, what: str, problems: list[str]) -> None:
+    def report_problems(self, step: str, problems: list[str]) -> None:
         """Keep and print what was untrue."""
         for problem in problems:
-            self.problems.append(f"{what}: {problem}")
+            self.problems.append(f"{step}: {problem}")
             click.echo(f"    UNTRUE: {problem}")
 
 
--- a/bench/process/_events.py
+++ b/bench/process/_events.py
@@ -57,7 +57,7 @@
     fleet: Fleet
     deployment: Deployment
     work_after_leaving: int | None = None
-    started_when_left: int = field(default=0)
+    started_at_departure: int = field(default=0)
 
     def run(self, event: Event) -> None:
         """Make ``event`` happen; it returns when the event is over."""
@@ -78,18 +78,20 @@
             case Depart():
                 fleet.put_text(self.deployment.text_without)
                 time.sleep(LEAVING_SECONDS)
-                self.started_when_left = self.count("started", self.deployment.leaving)
+                self.started_at_departure = self.count(
+                    "started", self.deployment.leaving_department
+                )
 
     def finish(self, event: Event) -> None:
         """Measure, after the load, what ``event`` left behind."""
         if isinstance(event, Depart):
-            started = self.count("started", self.deployment.leaving)
-            self.work_after_leaving = started - self.started_when_left
+            started = self.count("started", self.deployment.leaving_department)
+            self.work_after_leaving = started - self.started_at_departure
 
-    def count(self, what: str, group: str) -> int:
+    def count(self, counter: str, group: str) -> int:
         """Return a count over all searchers of the services whose names begin with ``group``."""
         return sum(
-            searcher["counts"].get(what, 0)
+            searcher["counts"].get(counter, 0)
             for searcher in self.fleet.searchers(logs=False).values()
             if searcher["service"].startswith(group)
         )
@@ -108,7 +110,7 @@
             searcher.id
             for service in services
             for searcher in service.searchers
-            if service.id.startswith(self.deployment.wide)
+            if service.id.startswith(self.deployment.wide_service)
         )
 
     def _last_host(self) -> str:
--- a/bench/process/_figures.py
+++ b/bench/process/_figures.py
@@ -8,13 +8,13 @@
 
 from bench.request import Result
 
-LONGEST_US = 10_000_000
+MAX_LATENCY_US = 10_000_000
 SIGNIFICANT_FIGURES = 3
 PERCENTILES = (50.0, 99.0, 99.9)
 US_PER_MS = 1000
 RAN = "ran"
 NOT_RUN = "not_run"
-LEFT = {"department_left"}
+DEPARTED_REASONS = {"department_left"}
 
 
 @dataclass(frozen=True)
@@ -43,15 +43,15 @@
 
 def percentiles_ms(latencies: Iterable[float]) -> list[float]:
     """Return the p50, p99 and p99.9 of ``latencies``."""
-    histogram = HdrHistogram(1, LONGEST_US, SIGNIFICANT_FIGURES)
+    histogram = HdrHistogram(1, MAX_LATENCY_US, SIGNIFICANT_FIGURES)
     for latency in latencies:
-        histogram.record_value(min(LONGEST_US, max(1, int(latency * US_PER_MS))))
+        histogram.record_value(min(MAX_LATENCY_US, max(1, int(latency * US_PER_MS))))
     return [round(histogram.get_value_at_percentile(share) / US_PER_MS, 1) for share in PERCENTILES]
 
 
 def is_whole(result: Result) -> bool:
     """Tell whether an answer lacks nothing but what departments took with them."""
-    return result.whole or (result.outcome == RAN and set(result.missing) == LEFT)
+    return result.whole or (result.outcome == RAN and set(result.missing) == DEPARTED_REASONS)
 
 
 def rank_figures(
@@ -61,10 +61,10 @@
     count = max(1, len(results))
     ran = [r for r in results if r.outcome == RAN]
     whole = [r for r in ran if is_whole(r) and r.latency_ms <= deadline_ms]
-    counted = {id(r) for r in whole}
-    capped = [r.latency_ms if id(r) in counted else deadline_ms for r in results]
+    in_time = {id(r) for r in whole}
+    capped = [r.latency_ms if id(r) in in_time else deadline_ms for r in results]
     p50, p99, p999 = percentiles_ms(r.latency_ms for r in ran)
-    covered = sum(r.coverage for r in ran)
+    total_coverage = sum(r.coverage for r in ran)
     return RankFigures(
         rank=rank,
         offered=round(len(results) / seconds, 1),
@@ -73,12 +73,12 @@
         p999=p999,
         capped_p99=percentiles_ms(capped)[1],
         whole=len(whole) / count,
-        coverage=covered / count,
+        coverage=total_coverage / count,
         refused=sum(r.outcome == NOT_RUN for r in results) / count,
         lost=sum(r.outcome not in (RAN, NOT_RUN) for r in results) / count,
         late=sum(r.latency_ms > deadline_ms for r in ran) / count,
         whole_rate=round(len(whole) / seconds, 1),
-        finished_rate=round(covered / seconds, 1),
+        finished_rate=round(total_coverage / seconds, 1),
         reasons=dict(
             Counter(reason for r in results for reason in (r.reason, *r.missing) if reason)
         ),
--- a/bench/process/_host_costs.py
+++ b/bench/process/_host_costs.py
@@ -5,8 +5,8 @@
 
 from tests.standins.fleet import own_network
 
-from bench.connection import belief
-from bench.version import COPIES, accepted, flat_text, scaled_text
+from bench.connection import member_entry
+from bench.version import COPIES, accept_configuration, flat_text, scaled_text
 from masticgate import (
     Address,
     FailureDomainId,
@@ -56,7 +56,10 @@
     host = idle_host(flat_text(FAN_OUTS))
     catalogue = {
         "versions": [
-            {"version": 1, "shards": {s: {f"{s}/0": 1.0} for s in host.versions.accepted.services}}
+            {
+                "version": 1,
+                "shards": {s: {f"{s}/0": 1.0} for s in host.versions.accepted.services},
+            }
         ]
     }
     assert host.versions.offer_catalogue(str(catalogue).replace("'", '"'))
@@ -77,19 +80,19 @@
     return call
 
 
-def beat_calls() -> list[Callable[[], object]]:
+def heartbeat_calls() -> list[Callable[[], object]]:
     """Return one call for each number of members that does a heartbeat's work but the sending."""
-    return [_beat_call(count, 1) for count in MEMBER_COUNTS]
+    return [_heartbeat_call(count, 1) for count in MEMBER_COUNTS]
 
 
-def wide_beat_calls() -> list[Callable[[], object]]:
+def large_text_heartbeat_calls() -> list[Callable[[], object]]:
     """Return the same for each text, among few members."""
-    return [_beat_call(min(MEMBER_COUNTS), copies) for copies in COPIES]
+    return [_heartbeat_call(min(MEMBER_COUNTS), copies) for copies in COPIES]
 
 
-def _beat_call(count: int, copies: int) -> Callable[[], object]:
+def _heartbeat_call(count: int, copies: int) -> Callable[[], object]:
     host = idle_host(scaled_text(copies))
-    host.members.merge(belief(n) for n in range(count))
+    host.members.merge(member_entry(n) for n in range(count))
 
     def call() -> None:
         host.members.remove_expired()
@@ -107,13 +110,13 @@
 
 def _change_call(count: int) -> Callable[[], object]:
     host = idle_host(scaled_text(1))
-    host.members.merge(belief(n) for n in range(count))
+    host.members.merge(member_entry(n) for n in range(count))
     counter = 0
 
     def call() -> None:
         nonlocal counter
         counter += 1
-        known = belief(0)
+        known = member_entry(0)
         state = (MemberState.ALIVE, MemberState.DEAD)[counter % 2]
         host.members.merge(
             [
@@ -139,7 +142,7 @@
 def _member_memory(count: int) -> float:
     host = idle_host(scaled_text(1))
     tracemalloc.start()
-    host.members.merge(belief(n) for n in range(count))
+    host.members.merge(member_entry(n) for n in range(count))
     host.runtime.owner_table = {}
     held = tracemalloc.get_traced_memory()[0]
     tracemalloc.stop()
@@ -153,7 +156,7 @@
 
 def _pool_memory(count: int) -> float:
     clock = SystemClock()
-    configuration = accepted(scaled_text(1))
+    configuration = accept_configuration(scaled_text(1))
     tracemalloc.start()
     pools = [
         ServicePool(
--- a/bench/process/_load.py
+++ b/bench/process/_load.py
@@ -13,10 +13,10 @@
 
 LOAD_PROCESSES = 2
 DEADLINE_MS = 230.0
-LEAD_SECONDS = 1.0
+START_LEAD_SECONDS = 1.0
 """Time for the load processes to start before their first arrival."""
 
-GRACE_SECONDS = 15.0
+FINISH_GRACE_SECONDS = 15.0
 
 
 @dataclass
@@ -32,7 +32,7 @@
 
     def start(self) -> float:
         """Start the load processes; return the monotonic time of the first arrival."""
-        started_at = time.monotonic() + LEAD_SECONDS
+        started_at = time.monotonic() + START_LEAD_SECONDS
         for number in range(LOAD_PROCESSES):
             plan = {
                 "addresses": self.fleet.callers,
@@ -54,7 +54,7 @@
         """Wait for the load to end and return what came of each arrival."""
         results: list[Result] = []
         for number, process in enumerate(self.processes):
-            if process.wait(self.seconds + GRACE_SECONDS) != 0:
+            if process.wait(self.seconds + FINISH_GRACE_SECONDS) != 0:
                 raise RuntimeError("a load process failed")
             rows = json.loads(self._results(number).read_text())
             results += [Result(**row) for row in rows]
--- a/bench/process/_path_costs.py
+++ b/bench/process/_path_costs.py
@@ -15,7 +15,7 @@
 
 QUERIES = 240
 CALLERS = 4
-TRIES = 240
+EXCHANGES = 240
 
 
 @dataclass(frozen=True)
@@ -36,11 +36,13 @@
     with Fleet(flat_text(FAN_OUTS), 2, knobs={"service_ms": 1.0}) as fleet:
         rows = [_search(fleet, size) for size in FAN_OUTS]
         sizes = [float(size) for size in FAN_OUTS]
-        halves = [size / 2 for size in sizes]
+        owned_sizes = [size / 2 for size in sizes]
         return PathCosts(
             Slope("query at its entry", "us", "sub-query", sizes, [row[0] for row in rows]),
-            Slope("sub-query at its owner", "us", "sub-query", halves, [row[1] for row in rows]),
-            _exchange(fleet),
+            Slope(
+                "sub-query at its owner", "us", "sub-query", owned_sizes, [row[1] for row in rows]
+            ),
+            _exchange_micros(fleet),
         )
 
 
@@ -48,7 +50,7 @@
     services = [f"d{size}/{n}" for n in range(size)]
     fleet.search(0, services)
     time.sleep(0.5)
-    before = _cpu(fleet)
+    before = _cpu_seconds_of_hosts(fleet)
 
     def run(_: int) -> None:
         reply = fleet.search(0, services, remaining_ms=5000.0)
@@ -58,18 +60,18 @@
         list(callers.map(run, range(QUERIES)))
     first, second = (
         (after - start) / QUERIES * MICROS_PER_SECOND
-        for start, after in zip(before, _cpu(fleet), strict=True)
+        for start, after in zip(before, _cpu_seconds_of_hosts(fleet), strict=True)
     )
     return first - second, second
 
 
-def _exchange(fleet: Fleet) -> float:
+def _exchange_micros(fleet: Fleet) -> float:
     """Return the processor microseconds of a caller's exchange that does next to nothing."""
-    before = _cpu(fleet)
-    for _ in range(TRIES):
+    before = _cpu_seconds_of_hosts(fleet)
+    for _ in range(EXCHANGES):
         fleet.mint(0)
-    return (_cpu(fleet)[0] - before[0]) / TRIES * MICROS_PER_SECOND
+    return (_cpu_seconds_of_hosts(fleet)[0] - before[0]) / EXCHANGES * MICROS_PER_SECOND
 
 
-def _cpu(fleet: Fleet) -> list[float]:
+def _cpu_seconds_of_hosts(fleet: Fleet) -> list[float]:
     return [cpu_seconds(fleet.processes[host["host"]].pid) for host in fleet.hosts]
--- a/bench/process/_table.py
+++ b/bench/process/_table.py
@@ -14,9 +14,9 @@
 )
 
 
-def lines_of(trial: Trial) -> list[str]:
+def trial_lines(trial: Trial) -> list[str]:
     """Return one line for each rank, and one that says how busy the machine was."""
-    return [*(_line_of(trial, index) for index in range(len(trial.ranks))), _machine_line(trial)]
+    return [*(_rank_line(trial, index) for index in range(len(trial.ranks))), _machine_line(trial)]
 
 
 def comparison_lines(rows: list[Row]) -> list[str]:
@@ -29,7 +29,7 @@
     ]
 
 
-def _line_of(trial: Trial, index: int) -> str:
+def _rank_line(trial: Trial, index: int) -> str:
     rank = trial.ranks[index]
     of_spare = f"{trial.flooded_of_spare:6.1%}" if rank.rank == trial.flooded else " " * 6
     return (
@@ -43,11 +43,11 @@
 
 def _machine_line(trial: Trial) -> str:
     cores = ", ".join(f"{kind} {used:.2f}" for kind, used in trial.cores.items())
-    left = trial.work_after_leaving
+    started = trial.work_after_leaving
     return (
         f"  saturation {trial.saturation}/s, finished {trial.finished_rate}/s, "
         f"spare {trial.spare}/s; busiest process in cores: {cores}"
-        + ("" if left is None else f"; searches started after leaving: {left}")
+        + ("" if started is None else f"; searches started after leaving: {started}")
     )
 
 
--- a/bench/process/_target.py
+++ b/bench/process/_target.py
@@ -6,7 +6,7 @@
 
 from tests.standins.fleet import ROOT
 
-from bench.version import DEPLOYMENTS, accepted
+from bench.version import DEPLOYMENTS, accept_configuration
 from masticgate.process._member_rules import FOREIGN_NEIGHBOURS, NEAR_NEIGHBOURS
 from masticgate.process._members import RETRANSMIT_FACTOR
 from masticgate.version import WATCHERS_PER_DOMAIN
@@ -32,7 +32,7 @@
 SECONDS_A_DAY = 86_400.0
 HITS_A_REPLY = 10
 
-TODAY = accepted(DEPLOYMENTS["kerala"].text)
+TODAY = accept_configuration(DEPLOYMENTS["kerala"].text)
 TODAY_SEARCHERS = sum(len(service.searchers) for service in TODAY.services.values())
 SEARCHERS_A_SERVICE = 2
 SERVICES = SEARCHERS // SEARCHERS_A_SERVICE
--- a/bench/process/_trial.py
+++ b/bench/process/_trial.py
@@ -83,10 +83,10 @@
 def observe(fleet: Fleet, deployment: Deployment, scenario: Scenario, seconds: float) -> Observed:
     """Load a running fleet and make the scenario's event happen."""
     rates = {rank: share * deployment.saturation for rank, share in scenario.rates.items()}
-    services = [deployment.history if scenario.departs else deployment.wide]
+    services = [deployment.history_service if scenario.departs else deployment.wide_service]
     load = Load(fleet, services, rates, WARM_UP_SECONDS + seconds)
     events = EventRunner(fleet, deployment)
-    started = events.count("started", deployment.wide)
+    started = events.count("started", deployment.wide_service)
     begin = load.start()
     try:
         sleep_until(begin)
@@ -101,7 +101,7 @@
         load.stop()
     if scenario.event is not None:
         events.finish(scenario.event)
-    started = events.count("started", deployment.wide) - started
+    started = events.count("started", deployment.wide_service) - started
     return Observed(results, started, events.work_after_leaving, cores)
 
 
--- a/bench/process/_watch_costs.py
+++ b/bench/process/_watch_costs.py
@@ -23,12 +23,12 @@
         address = Address(fleet.platform_address)
         reader = PlatformReader(address, address)
         try:
-            return _value(fleet, reader), *_host_list(fleet, reader)
+            return _value_slope(fleet, reader), *_host_list_slopes(fleet, reader)
         finally:
             reader.close()
 
 
-def _value(fleet: Fleet, reader: PlatformReader) -> Slope:
+def _value_slope(fleet: Fleet, reader: PlatformReader) -> Slope:
     sizes, values = [], []
     for copies in COPIES:
         text, key = scaled_text(copies), f"slopes/{copies}"
@@ -42,11 +42,11 @@
     return Slope("watch answered", "us", "kB of value", sizes, values)
 
 
-def _host_list(fleet: Fleet, reader: PlatformReader) -> tuple[Slope, Slope]:
+def _host_list_slopes(fleet: Fleet, reader: PlatformReader) -> tuple[Slope, Slope]:
     host = idle_host(SMALL)
     values, lengths = [], []
     for count in HOST_COUNTS:
-        hosts = [_listed(number) for number in range(count)]
+        hosts = [_listed_host(number) for number in range(count)]
         fleet.list_hosts(hosts)
 
         def read() -> None:
@@ -64,7 +64,7 @@
     )
 
 
-def _listed(number: int) -> dict[str, str]:
+def _listed_host(number: int) -> dict[str, str]:
     return {
         "host": f"host-{number:04}",
         "address": f"127.0.0.1:{7000 + number}",
--- a/bench/process/bench.py
+++ b/bench/process/bench.py
@@ -13,7 +13,7 @@
 from ._comparison import compare
 from ._plots import draw
 from ._scenario import QUICK, SCENARIOS
-from ._table import COMPARISON_HEAD, HEAD, comparison_lines, lines_of
+from ._table import COMPARISON_HEAD, HEAD, comparison_lines, trial_lines
 from ._trial import Trial, run_trial
 
 OUT = ROOT / "out" / "bench"
@@ -56,7 +56,7 @@
                 time.sleep(rest)
                 trial = run_trial(DEPLOYMENTS[deployment], SCENARIOS[scenario], routing, seconds)
                 trials.append(trial)
-                click.echo("\n".join(lines_of(trial)))
+                click.echo("\n".join(trial_lines(trial)))
                 write_json(OUT / "bench.json", trials)
     rows = compare(trials)
     click.echo("\n".join(["", COMPARISON_HEAD, *comparison_lines(rows)]))
--- a/bench/process/capacity.py
+++ b/bench/process/capacity.py
@@ -15,13 +15,13 @@
     """Write the page, or check it."""
     contents = tables(Slopes())
     page = PAGE.read_text(encoding="utf-8")
-    wanted = fill(page, contents)
+    filled_page = fill(page, contents)
     if not check:
-        PAGE.write_text(wanted, encoding="utf-8")
+        PAGE.write_text(filled_page, encoding="utf-8")
         return
     for name, table in contents.items():
         click.echo(f"{name}\n\n{table}\n")
-    if page != wanted:
+    if page != filled_page:
         raise click.ClickException("docs/CAPACITY.md differs; run python -m bench.process.capacity")
 
 
--- a/bench/process/counted_host.py
+++ b/bench/process/counted_host.py
@@ -26,8 +26,8 @@
 from masticgate.process.server import Host
 
 WRITE_SECONDS = 0.5
-WORK = {"Ask", "Reply", "Cancel", "Book", "BookReply", "Forward", "ForwardReply"}
-LENGTH_BYTES = 4
+REQUEST_MESSAGES = {"Ask", "Reply", "Cancel", "Book", "BookReply", "Forward", "ForwardReply"}
+LENGTH_PREFIX_BYTES = 4
 
 
 class Counts:
@@ -39,7 +39,7 @@
         self.sent: Counter[str] = Counter()
         self.local = threading.local()
 
-    def timed(self, kind: str, run: Callable[[], Any]) -> Any:
+    def run_timed(self, kind: str, run: Callable[[], Any]) -> Any:
         """Run ``run`` and add its processor time to ``kind`` unless inside another section."""
         if getattr(self.local, "inside", False):
             return run()
@@ -68,7 +68,7 @@
             }
 
 
-def install(counts: Counts) -> None:
+def install_counters(counts: Counts) -> None:
     """Put counters around the functions that do control work."""
     send, decode, handle_message = (
         FrameSocket.send,
@@ -77,11 +77,11 @@
     )
 
     def counted_send(self: FrameSocket, message: Any) -> bool:
-        return counts.timed(type(message).__name__, lambda: send(self, message))
+        return counts.run_timed(type(message).__name__, lambda: send(self, message))
 
     def counted_encode(message: Any) -> bytes:
         data = encode_message(message)
-        counts.add_sent(type(message).__name__, len(data) + LENGTH_BYTES)
+        counts.add_sent(type(message).__name__, len(data) + LENGTH_PREFIX_BYTES)
         return data
 
     def counted_decode(data: bytes) -> Any:
@@ -92,7 +92,7 @@
         return message
 
     def counted_handle_message(self: PeerService, peer: Any, message: Any, send_reply: Any) -> None:
-        counts.timed(
+        counts.run_timed(
             type(message).__name__, lambda: handle_message(self, peer, message, send_reply)
         )
 
@@ -107,19 +107,19 @@
         (HostListWatch, "read_once"),
         (Host, "after_heartbeat"),
     ):
-        _count_method(counts, owner, name)
+        _time_method(counts, owner, name)
 
 
-def _count_method(counts: Counts, owner: type, name: str) -> None:
+def _time_method(counts: Counts, owner: type, name: str) -> None:
     original = getattr(owner, name)
 
     def counted(self: Any, *arguments: Any) -> Any:
-        return counts.timed(f"{owner.__name__}.{name}", lambda: original(self, *arguments))
+        return counts.run_timed(f"{owner.__name__}.{name}", lambda: original(self, *arguments))
 
     setattr(owner, name, counted)
 
 
-def write(counts: Counts, path: Path, stopping: Event) -> None:
+def write_counts(counts: Counts, path: Path, stopping: Event) -> None:
     """Write the counts until ``stopping``."""
     while not stopping.wait(WRITE_SECONDS):
         part = path.with_suffix(".part")
@@ -132,11 +132,11 @@
     settings = read_settings(Path(settings_path))
     assert isinstance(settings, Settings), settings
     counts, stopping = Counts(), Event()
-    install(counts)
+    install_counters(counts)
     signal.signal(signal.SIGTERM, lambda *_: stopping.set())
     host = Host(settings)
     host.start()
-    write(counts, Path(counts_path), stopping)
+    write_counts(counts, Path(counts_path), stopping)
     host.stop()
 
 
--- a/bench/process/load.py
+++ b/bench/process/load.py
@@ -15,7 +15,7 @@
 from bench.connection import Caller
 from bench.request import Arrival, Result, draw_arrivals
 
-CONNECTIONS_EACH_HOST = 100
+CONNECTIONS_PER_HOST = 100
 """Of each load process; fewer than a host accepts in sum."""
 
 
@@ -42,10 +42,12 @@
     for index in range(len(addresses)):
         drawn = draw_arrivals(rates, plan["seconds"], f"{plan['seed']}/{index}")
         arrivals = SharedArrivals(drawn)
-        near_first = addresses[index:] + addresses[:index]
+        own_host_first = addresses[index:] + addresses[:index]
         callers += [
-            Caller(near_first, plan["services"], plan["deadline_ms"], arrivals, plan["started_at"])
-            for _ in range(CONNECTIONS_EACH_HOST)
+            Caller(
+                own_host_first, plan["services"], plan["deadline_ms"], arrivals, plan["started_at"]
+            )
+            for _ in range(CONNECTIONS_PER_HOST)
         ]
     return callers
 
@@ -58,5 +60,5 @@
 
 
 if __name__ == "__main__":
-    wanted = json.loads(Path(sys.argv[1]).read_text())
-    Path(wanted["results"]).write_text(json.dumps([asdict(result) for result in run(wanted)]))
+    plan = json.loads(Path(sys.argv[1]).read_text())
+    Path(plan["results"]).write_text(json.dumps([asdict(result) for result in run(plan)]))
--- a/bench/process/slopes.py
+++ b/bench/process/slopes.py
@@ -21,26 +21,28 @@
 import bench.version as version
 
 from . import _host_costs as host_costs
-from ._control_fleet import FLEET_SIZES, HostUse, idle_use, kerala_use
+from ._control_fleet import FLEET_SIZES, HostUse, measure_idle_fleet, measure_kerala_fleet
 from ._path_costs import measure_path
 from ._slope import Slope
 from ._stopwatch import cpu_micros
 from ._watch_costs import measure_watch
 
 RESULTS = ROOT / "docs" / "slopes.json"
-RESIDENT = "from bench.connection import resident_bytes as r; print(r())"
-BARE = "print(next(x.split()[1] for x in open('/proc/self/status') if x.startswith('VmRSS')))"
+PRINT_RESIDENT_BYTES = "from bench.connection import resident_bytes as r; print(r())"
+PRINT_RESIDENT_KB = (
+    "print(next(x.split()[1] for x in open('/proc/self/status') if x.startswith('VmRSS')))"
+)
 
 Calls = list[Callable[[], object]]
 
 
-def timed(name: str, per: str, sizes: Iterable[float], calls: Calls, repeats: int) -> Slope:
+def cpu_slope(name: str, per: str, sizes: Iterable[float], calls: Calls, repeats: int) -> Slope:
     """Measure each call's processor time."""
     values = [cpu_micros(call, repeats) for call in calls]
     return Slope(name, "us", per, list(map(float, sizes)), values)
 
 
-def held(name: str, per: str, sizes: Iterable[float], values: list[float]) -> Slope:
+def bytes_slope(name: str, per: str, sizes: Iterable[float], values: list[float]) -> Slope:
     """Return bytes of memory or of the wire as a slope."""
     return Slope(name, "bytes", per, list(map(float, sizes)), values)
 
@@ -49,23 +51,23 @@
     """Measure what lives for a version."""
     searchers = version.text_sizes()
     return {
-        "accept": timed("text accepted", "searcher", searchers, version.accept_calls(), 2),
-        "adopt": timed("delta adopted", "searcher", searchers, version.adopt_calls(), 2),
-        "delta": timed("delta made", "searcher", searchers, version.delta_calls(), 10),
-        "table": timed("owner table", "host", version.HOST_COUNTS, version.table_calls(), 1),
-        "wide_table": timed(
+        "accept": cpu_slope("text accepted", "searcher", searchers, version.accept_calls(), 2),
+        "adopt": cpu_slope("delta adopted", "searcher", searchers, version.apply_calls(), 2),
+        "delta": cpu_slope("delta made", "searcher", searchers, version.delta_calls(), 10),
+        "table": cpu_slope("owner table", "host", version.HOST_COUNTS, version.table_calls(), 1),
+        "wide_table": cpu_slope(
             "owner table, 3,300 hosts",
             "department",
             version.department_counts(),
             version.wide_table_calls(),
             1,
         ),
-        "table_memory": held(
+        "table_memory": bytes_slope(
             "owner table in memory", "service", version.service_counts(), version.table_memory()
         ),
-        "text_bytes": held("text", "searcher", searchers, version.text_bytes()),
-        "delta_bytes": held("delta", "searcher", searchers, version.delta_bytes()),
-        "text_memory": held("text in memory", "searcher", searchers, version.text_memory()),
+        "text_bytes": bytes_slope("text", "searcher", searchers, version.text_bytes()),
+        "delta_bytes": bytes_slope("delta", "searcher", searchers, version.delta_bytes()),
+        "text_memory": bytes_slope("text in memory", "searcher", searchers, version.text_memory()),
     }
 
 
@@ -82,8 +84,8 @@
         messages = [kind(size) for size in connection.SIZES]
         calls = [connection.exchange_call(message) for message in messages]
         lengths = [connection.wire_bytes(message) for message in messages]
-        slopes[name] = timed(f"{name}, both ends", per, connection.SIZES, calls, 60)
-        slopes[f"{name}_bytes"] = held(name, per, connection.SIZES, lengths)
+        slopes[name] = cpu_slope(f"{name}, both ends", per, connection.SIZES, calls, 60)
+        slopes[f"{name}_bytes"] = bytes_slope(name, per, connection.SIZES, lengths)
     return slopes
 
 
@@ -92,18 +94,22 @@
     members = host_costs.MEMBER_COUNTS
     fan_outs = host_costs.FAN_OUTS
     return {
-        "refused": timed("refused query", "service", fan_outs, host_costs.refused_calls(), 20),
-        "beat": timed("heartbeat, own work", "member", members, host_costs.beat_calls(), 3),
-        "wide_beat": timed(
+        "refused": cpu_slope("refused query", "service", fan_outs, host_costs.refused_calls(), 20),
+        "beat": cpu_slope(
+            "heartbeat, own work", "member", members, host_costs.heartbeat_calls(), 3
+        ),
+        "wide_beat": cpu_slope(
             "heartbeat, text",
             "service",
             version.service_counts(),
-            host_costs.wide_beat_calls(),
+            host_costs.large_text_heartbeat_calls(),
             5,
         ),
-        "change": timed("member change", "member", members, host_costs.change_calls(), 2),
-        "member_memory": held("belief", "member", members, host_costs.member_memory()),
-        "pool_memory": held("pool", "pool", host_costs.POOL_COUNTS, host_costs.pool_memory()),
+        "change": cpu_slope("member change", "member", members, host_costs.change_calls(), 2),
+        "member_memory": bytes_slope("belief", "member", members, host_costs.member_memory()),
+        "pool_memory": bytes_slope(
+            "pool", "pool", host_costs.POOL_COUNTS, host_costs.pool_memory()
+        ),
     }
 
 
@@ -111,13 +117,13 @@
     """Measure the memory of connections, each kind in a process of its own."""
     context = multiprocessing.get_context("spawn")
     slopes = {}
-    for name, per, grow in (
+    for name, per, measure_memory in (
         ("link_memory", "link with both ends", connection.link_memory),
         ("searcher_memory", "connection", connection.searcher_connection_memory),
     ):
         with ProcessPoolExecutor(1, mp_context=context) as process:
-            values = process.submit(grow).result()
-        slopes[name] = held(name.replace("_", " "), per, connection.COUNTS, values)
+            values = process.submit(measure_memory).result()
+        slopes[name] = bytes_slope(name.replace("_", " "), per, connection.COUNTS, values)
     return slopes
 
 
@@ -135,7 +141,7 @@
     return slopes, path.exchange_micros
 
 
-def resident_of(code: str) -> float:
+def run_and_read_bytes(code: str) -> float:
     """Return the resident bytes that a small program prints of itself."""
     environment = {**os.environ, "PYTHONPATH": os.pathsep.join([str(ROOT / "src"), str(ROOT)])}
     command = [sys.executable, "-c", code]
@@ -152,7 +158,7 @@
     }
 
 
-def measure() -> dict[str, Any]:
+def measure_all() -> dict[str, Any]:
     """Measure everything; the file's contents."""
     start = conditions()
     slopes = version_slopes() | message_slopes() | host_slopes() | connection_slopes()
@@ -160,22 +166,24 @@
     slopes |= paths
     for slope in slopes.values():
         print(slope.describe(), flush=True)
-    fleets = {f"idle {size}": fleet(idle_use(size)) for size in FLEET_SIZES}
-    fleets |= {"kerala idle": fleet(kerala_use(busy=False))}
-    fleets |= {"kerala busy": fleet(kerala_use(busy=True))}
+    fleets = {f"idle {size}": report_fleet_use(measure_idle_fleet(size)) for size in FLEET_SIZES}
+    fleets |= {"kerala idle": report_fleet_use(measure_kerala_fleet(busy=False))}
+    fleets |= {"kerala busy": report_fleet_use(measure_kerala_fleet(busy=True))}
     return {
         "conditions": start | {"load_average_at_end": round(os.getloadavg()[0], 1)},
         "slopes": {name: slope.fields() for name, slope in slopes.items()},
         "exchange_us": exchange,
         "digest_bytes": connection.wire_bytes(connection.digest_heartbeat()),
         "empty_heartbeat_bytes": connection.wire_bytes(connection.heartbeat(0)),
-        "bare_python_bytes": resident_of(BARE) * 1024,
-        "imports_bytes": resident_of(f"import masticgate.process.server; {RESIDENT}"),
+        "bare_python_bytes": run_and_read_bytes(PRINT_RESIDENT_KB) * 1024,
+        "imports_bytes": run_and_read_bytes(
+            f"import masticgate.process.server; {PRINT_RESIDENT_BYTES}"
+        ),
         "fleets": fleets,
     }
 
 
-def fleet(use: HostUse) -> dict[str, Any]:
+def report_fleet_use(use: HostUse) -> dict[str, Any]:
     """Print what a host of one fleet used, and return it."""
     print(
         f"{use.hosts} hosts: control {use.control_cpu:.2%} of a core, "
@@ -188,7 +196,7 @@
 
 def main() -> None:
     """Measure, print and write the figures."""
-    figures = json.loads(json.dumps(measure()), parse_float=lambda text: _rounded(float(text)))
+    figures = json.loads(json.dumps(measure_all()), parse_float=lambda text: _rounded(float(text)))
     RESULTS.write_text(json.dumps(figures, indent=1) + "\n")
 
 
--- a/bench/request/_audit.py
+++ b/bench/request/_audit.py
@@ -9,7 +9,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Searched:
+class LoggedSearch:
     """Shards that a searcher says it searched, for one query, at one snapshot."""
 
     query: str
@@ -18,7 +18,7 @@
 
 
 def audit_answer(
-    answer: Mapping[str, Any], needed: Mapping[str, float], searched: Iterable[Searched]
+    answer: Mapping[str, Any], needed: Mapping[str, float], searched: Iterable[LoggedSearch]
 ) -> list[str]:
     """Return what is untrue in ``answer``, empty where it is honest.
 
@@ -42,10 +42,10 @@
 def _check_coverage(
     answer: Mapping[str, Any], needed: Mapping[str, float], covered: set[str]
 ) -> str:
-    true = sum(needed[shard] for shard in covered) / sum(needed.values())
+    actual = sum(needed[shard] for shard in covered) / sum(needed.values())
     stated = answer["coverage"]
-    if abs(true - stated) > COVERAGE_TOLERANCE:
-        return f"coverage {stated} is stated, {true} is true"
+    if abs(actual - stated) > COVERAGE_TOLERANCE:
+        return f"coverage {stated} is stated, {actual} is true"
     if answer["whole"] != (covered == set(needed)):
         return "the answer is wrong about being whole"
     return ""
@@ -62,16 +62,16 @@
 
 
 def _check_searched(
-    answer: Mapping[str, Any], covered: set[str], searched: Iterable[Searched]
+    answer: Mapping[str, Any], covered: set[str], searched: Iterable[LoggedSearch]
 ) -> str:
-    truly = {
+    logged_shards = {
         shard
         for search in searched
         if search.query.startswith(f"{answer['query']}.") and search.snapshot == answer["snapshot"]
         for shard in search.shards
     }
-    invented = covered - truly
-    return f"no searcher searched {sorted(invented)}" if invented else ""
+    not_searched = covered - logged_shards
+    return f"no searcher searched {sorted(not_searched)}" if not_searched else ""
 
 
 def _check_hits(answer: Mapping[str, Any], covered: set[str]) -> str:
--- a/bench/version/__init__.py
+++ b/bench/version/__init__.py
@@ -4,13 +4,13 @@
 from ._deployment import SEARCHER_KNOBS as SEARCHER_KNOBS
 from ._deployment import Deployment as Deployment
 from ._deployment import mark_leaving as mark_leaving
-from ._scaled_text import accepted as accepted
+from ._scaled_text import accept_configuration as accept_configuration
 from ._scaled_text import flat_text as flat_text
 from ._scaled_text import scaled_text as scaled_text
 from ._version_costs import COPIES as COPIES
 from ._version_costs import HOST_COUNTS as HOST_COUNTS
 from ._version_costs import accept_calls as accept_calls
-from ._version_costs import adopt_calls as adopt_calls
+from ._version_costs import apply_calls as apply_calls
 from ._version_costs import delta_bytes as delta_bytes
 from ._version_costs import delta_calls as delta_calls
 from ._version_costs import department_counts as department_counts
--- a/bench/version/_deployment.py
+++ b/bench/version/_deployment.py
@@ -19,15 +19,15 @@
 
     name: str
     hosts: int
-    wide: str
+    wide_service: str
     fan_out: int
     searchers: int
     slots: int
-    history: str
+    history_service: str
     """A service that depends on the wide group and on the department that leaves."""
 
-    leaving: str
-    bookings: str
+    leaving_department: str
+    booking_service: str
     """A service that takes bookings."""
 
     @property
@@ -38,7 +38,7 @@
     @property
     def text_without(self) -> str:
         """The text after an operator marked one department as leaving."""
-        return mark_leaving(self.text, self.leaving)
+        return mark_leaving(self.text, self.leaving_department)
 
     @property
     def saturation(self) -> float:
--- a/bench/version/_scaled_text.py
+++ b/bench/version/_scaled_text.py
@@ -37,7 +37,7 @@
         searcher["id"] = f"{prefix}-{searcher['id']}"
 
 
-def accepted(text: str, revision: int = 1) -> Configuration:
+def accept_configuration(text: str, revision: int = 1) -> Configuration:
     """Return the configuration in ``text``."""
     result = accept_text(text, Revision(revision))
     assert isinstance(result, Accepted), result
--- a/bench/version/_version_costs.py
+++ b/bench/version/_version_costs.py
@@ -6,7 +6,7 @@
 from masticgate.connection import encode_message
 from masticgate.version import owner_table, split_sections
 
-from ._scaled_text import accepted, scaled_text
+from ._scaled_text import accept_configuration, scaled_text
 
 COPIES = [1, 2, 4]
 HOST_COUNTS = [7, 70, 700, 3300]
@@ -18,7 +18,7 @@
 
 
 def count_searchers(copies: int) -> int:
-    configuration = accepted(scaled_text(copies))
+    configuration = accept_configuration(scaled_text(copies))
     return sum(len(service.searchers) for service in configuration.services.values())
 
 
@@ -30,7 +30,7 @@
 def accept_calls() -> list:
     """Return one call for each size that accepts a whole text and cuts it into sections."""
     texts = [scaled_text(copies) for copies in COPIES]
-    return [lambda text=text: split_sections(accepted(text)).digest for text in texts]
+    return [lambda text=text: split_sections(accept_configuration(text)).digest for text in texts]
 
 
 def delta_calls() -> list:
@@ -44,62 +44,68 @@
 
 
 def _delta(copies: int):
-    before = split_sections(accepted(scaled_text(copies)))
-    after = split_sections(accepted(scaled_text(copies, edited=True)))
+    before = split_sections(accept_configuration(scaled_text(copies)))
+    after = split_sections(accept_configuration(scaled_text(copies, edited=True)))
     known = before.digests
     after.digests  # noqa: B018  The digests are worked out once a revision.
     return lambda: after.changes_since(Revision(1), known, Revision(2))
 
 
-def adopt_calls() -> list:
+def apply_calls() -> list:
     """Return one call for each size that applies one edit to the whole text and accepts it."""
     calls = []
     for copies in COPIES:
         push = _delta(copies)()
-        before = split_sections(accepted(scaled_text(copies)))
-        calls.append(lambda push=push, before=before: _adopt(before, push))
+        before = split_sections(accept_configuration(scaled_text(copies)))
+        calls.append(lambda push=push, before=before: _apply_and_accept(before, push))
     return calls
 
 
-def _adopt(before, push) -> None:
+def _apply_and_accept(before, push) -> None:
     sections = before.apply(push)
     assert sections is not None
     text = sections.to_text()
     assert text is not None
-    split_sections(accepted(text, 2)).digest  # noqa: B018
+    split_sections(accept_configuration(text, 2)).digest  # noqa: B018
 
 
 def table_calls() -> list:
     """Return one call for each number of hosts that works out who owns what."""
-    configuration = accepted(scaled_text(1))
+    configuration = accept_configuration(scaled_text(1))
     hosts = [[HostId(f"host-{n:04}") for n in range(count)] for count in HOST_COUNTS]
-    return [lambda listed=listed: owner_table(configuration, listed) for listed in hosts]
+    return [
+        lambda table_hosts=table_hosts: owner_table(configuration, table_hosts)
+        for table_hosts in hosts
+    ]
 
 
 def department_counts() -> list[float]:
     """Return the departments in each text."""
-    return [float(len(accepted(scaled_text(copies)).departments)) for copies in COPIES]
+    return [float(len(accept_configuration(scaled_text(copies)).departments)) for copies in COPIES]
 
 
 def wide_table_calls() -> list:
     """Return one call for each text that works out who of the most hosts owns what."""
     hosts = [HostId(f"host-{n:04}") for n in range(max(HOST_COUNTS))]
-    configurations = [accepted(scaled_text(copies)) for copies in COPIES]
-    return [lambda listed=listed: owner_table(listed, hosts) for listed in configurations]
+    configurations = [accept_configuration(scaled_text(copies)) for copies in COPIES]
+    return [
+        lambda configuration=configuration: owner_table(configuration, hosts)
+        for configuration in configurations
+    ]
 
 
 def service_counts() -> list[float]:
     """Return the services in each text."""
-    return [float(len(accepted(scaled_text(copies)).services)) for copies in COPIES]
+    return [float(len(accept_configuration(scaled_text(copies)).services)) for copies in COPIES]
 
 
 def table_memory() -> list[float]:
     """Return the bytes that each text's owner table holds on to."""
-    return [_table_held(copies) for copies in COPIES]
+    return [_table_held_bytes(copies) for copies in COPIES]
 
 
-def _table_held(copies: int) -> float:
-    configuration = accepted(scaled_text(copies))
+def _table_held_bytes(copies: int) -> float:
+    configuration = accept_configuration(scaled_text(copies))
     hosts = [HostId(f"host-{n:04}") for n in range(max(HOST_COUNTS))]
     tracemalloc.start()
     table = owner_table(configuration, hosts)
@@ -111,13 +117,13 @@
 
 def text_memory() -> list[float]:
     """Return the bytes that each text holds on to once accepted, its sections included."""
-    return [_held(copies) for copies in COPIES]
+    return [_text_held_bytes(copies) for copies in COPIES]
 
 
-def _held(copies: int) -> float:
+def _text_held_bytes(copies: int) -> float:
     text = scaled_text(copies)
     tracemalloc.start()
-    configuration = accepted(text)
+    configuration = accept_configuration(text)
     sections = split_sections(configuration)
     held = tracemalloc.get_traced_memory()[0]
     tracemalloc.stop()
--- a/tests/request/test_bench_audit.py
+++ b/tests/request/test_bench_audit.py
@@ -1,10 +1,10 @@
 """The demo's audit of answers reports every kind of incorrect answer."""
 
 import pytest
-from bench.request import Searched, audit_answer
+from bench.request import LoggedSearch, audit_answer
 
 NEEDED = {"a/s0": 1.0, "a/s1": 1.0, "b/s0": 2.0}
-LOG = [Searched("q.1", 1, ("a/s0", "a/s1")), Searched("other.1", 1, ("b/s0",))]
+LOG = [LoggedSearch("q.1", 1, ("a/s0", "a/s1")), LoggedSearch("other.1", 1, ("b/s0",))]
 CORRECT_ANSWER = {
     "query": "q",
     "snapshot": 1,
