--- a/src/masticgate/process/_caller_service.py
+++ b/src/masticgate/process/_caller_service.py
@@ -27,7 +27,7 @@
 from ._policy import AdmitAll, AdmitByCapacity
 from ._status import status_fields
 from ._tickets import TicketTable, parse_ticket
-from ._timeline import TimeLine
+from ._timeline import Timeline
 from ._timeline_merge import event_fields
 from ._watch_role import WatchRole
 
@@ -43,7 +43,7 @@
         host: HostId,
         runtime: HostRuntime,
         tickets: TicketTable,
-        timeline: TimeLine,
+        timeline: Timeline,
         clock: Clock,
         role: WatchRole,
         metrics: Metrics,
--- a/src/masticgate/process/_detector.py
+++ b/src/masticgate/process/_detector.py
@@ -6,7 +6,7 @@
 from .._ids import HostId, Millis
 from ._members import Members
 from ._messages import Member, MemberState
-from ._timeline import EventKind, TimeLine
+from ._timeline import EventKind, Timeline
 
 SUSPECT_INTERVALS = 3
 """A watched host is declared suspect after this many heartbeat intervals of silence."""
@@ -40,7 +40,7 @@
         members: Members,
         last_received: Callable[[HostId], Millis | None],
         clock: Clock,
-        timeline: TimeLine,
+        timeline: Timeline,
     ) -> None:
         self.members = members
         self.last_received = last_received
--- a/src/masticgate/process/_distribution.py
+++ b/src/masticgate/process/_distribution.py
@@ -26,7 +26,7 @@
 from ._messages import Heartbeat, Hello
 from ._settings import Settings
 from ._startup import STARTUP_TIMEOUT, Startup
-from ._timeline import EventKind, TimeLine
+from ._timeline import EventKind, Timeline
 from ._versions import OfferResult, VersionStore
 from ._watch import HostListWatch, KeyWatch
 from ._watch_role import WatchRole
@@ -51,7 +51,7 @@
         versions: VersionStore,
         members: Members,
         links: Links,
-        timeline: TimeLine,
+        timeline: Timeline,
         clock: Clock,
     ) -> None:
         self.settings = settings
--- a/src/masticgate/process/_heartbeats.py
+++ b/src/masticgate/process/_heartbeats.py
@@ -13,7 +13,7 @@
 from ._member_rules import choose_neighbours, is_usable
 from ._members import Members
 from ._messages import Heartbeat, Member, MemberState
-from ._timeline import TimeLine
+from ._timeline import Timeline
 from ._versions import VersionStore
 
 SHORT_INTERVAL = Millis(500.0)
@@ -50,7 +50,7 @@
         versions: VersionStore,
         detector: FailureDetector,
         seeds: list[Member],
-        timeline: TimeLine,
+        timeline: Timeline,
         on_heartbeat: Callable[[], None],
     ) -> None:
         self.members = members
--- a/src/masticgate/process/_host_runtime.py
+++ b/src/masticgate/process/_host_runtime.py
@@ -79,11 +79,11 @@
         """Return the configuration in force."""
         return self.versions.configuration
 
-    def pin_snapshot(
+    def choose_snapshot(
         self, services: Sequence[ServiceId], tried: frozenset[SnapshotVersion]
     ) -> Snapshot | None:
         """Return the snapshot in which to search ``services``, other than those in ``tried``."""
-        return self.versions.pin(services, tried)
+        return self.versions.choose_snapshot(services, tried)
 
     def record_version_gone(
         self, service: ServiceId, snapshot: SnapshotVersion, held: Sequence[SnapshotVersion]
@@ -91,7 +91,7 @@
         """Record that ``service`` holds the snapshots ``held``, and ``snapshot`` no longer."""
         self.versions.record_version_gone(service, snapshot, held)
 
-    def admit(self, rank: Rank, number: float, scope: Scope) -> NotRun | None:
+    def admit(self, rank: Rank, admission_number: float, scope: Scope) -> NotRun | None:
         """Return a refusal if this host is stopping or the services couldn't finish the query."""
         if self.owner.stopping:
             return NotRun(Reason.SHUTTING_DOWN, Step.ADMISSION, peer=self.own_host)
@@ -99,7 +99,7 @@
             case AdmitAll():
                 return None
             case AdmitByCapacity():
-                return self.admission.admit(rank, number, scope.remaining)
+                return self.admission.admit(rank, admission_number, scope.remaining)
 
     def owners(self, service: ServiceId) -> Sequence[HostId]:
         """Return the reachable hosts that may serve ``service``, the owner first."""
@@ -180,7 +180,7 @@
         ranked = self.owner_table.get(service, [])
         self._open_links(ranked[:LINKED_OWNERS_PER_SERVICE])
         reachable = [host for host in ranked if self._is_reachable(host)]
-        return sorted(reachable, key=self.is_silent) or self._any_reachable(service)
+        return sorted(reachable, key=self.is_silent) or self._rank_reachable_hosts(service)
 
     def _open_links(self, hosts: Sequence[HostId]) -> None:
         for host in hosts:
@@ -191,7 +191,7 @@
     def _is_reachable(self, host: HostId) -> bool:
         return host == self.own_host or self.links.is_open(host)
 
-    def _any_reachable(self, service: ServiceId) -> list[HostId]:
+    def _rank_reachable_hosts(self, service: ServiceId) -> list[HostId]:
         hosts = [host for host in self.members.list_usable() if self._is_reachable(host)]
         ranked = rank_hosts(f"service:{service}", hosts)
         if ranked or self.owner.stopping:
--- a/src/masticgate/process/_members.py
+++ b/src/masticgate/process/_members.py
@@ -20,7 +20,7 @@
     supersedes,
 )
 from ._messages import Member, MemberState
-from ._timeline import EventKind, TimeLine
+from ._timeline import EventKind, Timeline
 
 RETRANSMIT_FACTOR = 3
 """An update is sent this many times ceil(log2(n + 1)) for ``n`` known hosts, then no more."""
@@ -51,7 +51,7 @@
         self,
         own_member: Member,
         clock: Clock,
-        timeline: TimeLine,
+        timeline: Timeline,
         on_change: Callable[[Sequence[Member]], None],
     ) -> None:
         self.own_member = own_member
--- a/src/masticgate/process/_peer_service.py
+++ b/src/masticgate/process/_peer_service.py
@@ -21,7 +21,7 @@
 from ._owner import Owner
 from ._pressure import PressureReporter
 from ._reply_router import ReplyRouter
-from ._timeline import EventKind, TimeLine
+from ._timeline import EventKind, Timeline
 from ._versions import VersionStore
 
 ForwardRunner = Callable[[Forward, Callable[[ForwardReply], object]], None]
@@ -40,7 +40,7 @@
         own_hello: Hello,
         members: Members,
         versions: VersionStore,
-        timeline: TimeLine,
+        timeline: Timeline,
         reply_router: ReplyRouter,
     ) -> None:
         self.own_hello = own_hello
--- a/src/masticgate/process/_pools.py
+++ b/src/masticgate/process/_pools.py
@@ -14,7 +14,7 @@
 from ._policy import Policy
 from ._searcher_health import SearcherState
 from ._service_pool import ServicePool
-from ._timeline import EventKind, TimeLine
+from ._timeline import EventKind, Timeline
 
 POOL_IDLE_TIMEOUT = Millis(10_000.0)
 """A pool of a service that this host does not own is closed after this long without work."""
@@ -34,7 +34,7 @@
         self,
         policy: Policy,
         clock: Clock,
-        timeline: TimeLine,
+        timeline: Timeline,
         start_connection: ConnectionStarter,
     ) -> None:
         self.policy = policy
--- a/src/masticgate/process/_pressure.py
+++ b/src/masticgate/process/_pressure.py
@@ -15,7 +15,7 @@
 from ._messages import Demand, Pressure, ServicePressure
 from ._pools import ServicePools
 from ._service_pool import ServicePool
-from ._timeline import EventKind, TimeLine
+from ._timeline import EventKind, Timeline
 
 PRESSURE_INTERVAL = Millis(200.0)
 """The time between two exchanges."""
@@ -35,7 +35,7 @@
         own_host: HostId,
         pools: ServicePools,
         admission: AdmissionControl,
-        timeline: TimeLine,
+        timeline: Timeline,
         clock: Clock,
     ) -> None:
         self.own_host = own_host
--- a/src/masticgate/process/_server.py
+++ b/src/masticgate/process/_server.py
@@ -36,7 +36,7 @@
 from ._service_pool import ServicePool
 from ._settings import Settings
 from ._tickets import TicketTable
-from ._timeline import EventKind, TimeLine
+from ._timeline import EventKind, Timeline
 from ._versions import VersionStore
 
 OLDEST_PROTOCOL = 1
@@ -65,7 +65,7 @@
         self.incarnation = Incarnation(time.time_ns())
         self.stopping = Event()
         self.tasks = ThreadPoolExecutor(MAX_TASKS, thread_name_prefix="task")
-        self.timeline = TimeLine(self.id, self.clock, log_event)
+        self.timeline = Timeline(self.id, self.clock, log_event)
         self.metrics = Metrics(settings)
         self.tickets = TicketTable(self.id, self.incarnation, self.clock)
         self.reply_router = ReplyRouter(self.tickets.record_late_outcome)
--- a/src/masticgate/process/_timeline.py
+++ b/src/masticgate/process/_timeline.py
@@ -56,7 +56,7 @@
     seen: Mapping[HostId, int] = field(default_factory=dict)
 
 
-class TimeLine:
+class Timeline:
     """Keeps the latest events of this process; ``on_event`` is called with each new one."""
 
     def __init__(
--- a/src/masticgate/process/_versions.py
+++ b/src/masticgate/process/_versions.py
@@ -22,7 +22,7 @@
     read_catalogue,
     split_sections,
 )
-from ._timeline import EventKind, TimeLine
+from ._timeline import EventKind, Timeline
 
 MAX_DIGEST_REVISIONS = 64
 """The number of revisions whose digests are kept.
@@ -66,7 +66,7 @@
 
     def __init__(
         self,
-        timeline: TimeLine,
+        timeline: Timeline,
         on_configuration: Callable[[Configuration], None],
         starting: bool = False,
     ) -> None:
@@ -153,7 +153,7 @@
             self.timeline.add(EventKind.CATALOGUE_CHANGED, f"snapshot {catalogue.newest}")
         return True
 
-    def pin(
+    def choose_snapshot(
         self, services: Sequence[ServiceId], tried: frozenset[SnapshotVersion]
     ) -> Snapshot | None:
         """Return the snapshot in which to search ``services``, other than those in ``tried``."""
--- a/src/masticgate/process/_watch.py
+++ b/src/masticgate/process/_watch.py
@@ -13,7 +13,7 @@
 from ..connection import ListedHost, PlatformReader, Unchanged, Value
 from ..version import WATCHERS_PER_DOMAIN
 from ._backoff import MAX_RETRY_DELAY, MIN_JITTER, Backoff
-from ._timeline import EventKind, TimeLine
+from ._timeline import EventKind, Timeline
 from ._watch_role import WatchRole
 
 WATCH_TIMEOUT = Millis(20_000.0)
@@ -66,7 +66,7 @@
         self,
         key: str,
         reader: PlatformReader,
-        timeline: TimeLine,
+        timeline: Timeline,
         on_value: Callable[[Value], None],
         role: WatchRole,
         clock: Clock,
--- a/src/masticgate/process/_watch_role.py
+++ b/src/masticgate/process/_watch_role.py
@@ -5,7 +5,7 @@
 
 from .._clock import MILLIS_PER_SECOND
 from .._ids import Millis
-from ._timeline import EventKind, TimeLine
+from ._timeline import EventKind, Timeline
 
 ROLE_CHECK_INTERVAL = Millis(60_000.0)
 """The longest single wait of a task for the role; a change of the role ends the wait at once."""
@@ -14,7 +14,7 @@
 class WatchRole:
     """Whether this host is a watcher; the watch tasks wait here while other hosts are watchers."""
 
-    def __init__(self, timeline: TimeLine) -> None:
+    def __init__(self, timeline: Timeline) -> None:
         self.timeline = timeline
         self.condition = Condition()
         self.watching = False
--- a/src/masticgate/request/_runtime.py
+++ b/src/masticgate/request/_runtime.py
@@ -38,7 +38,7 @@
         """Return the configuration in force, or ``None`` before the first one is applied."""
         ...
 
-    def pin_snapshot(
+    def choose_snapshot(
         self, services: Sequence[ServiceId], tried: frozenset[SnapshotVersion]
     ) -> Snapshot | None:
         """Return the snapshot of the index in which to search ``services``.
--- a/src/masticgate/request/_search.py
+++ b/src/masticgate/request/_search.py
@@ -87,7 +87,7 @@
     tried: frozenset[SnapshotVersion] = frozenset()
     best: Answer | None = None
     while True:
-        snapshot = runtime.pin_snapshot(needed, tried)
+        snapshot = runtime.choose_snapshot(needed, tried)
         if snapshot is None:
             return best or NotRun(Reason.NO_SNAPSHOT, Step.PIN)
         tried |= {snapshot.version}
@@ -103,9 +103,9 @@
 class _SnapshotSearch:
     """One run of a query over one snapshot.
 
-    ``pinned`` holds every snapshot that was tried for the query, this one included. ``tried``
-    lists the owners that were tried for each service, in order, and ``unanswered`` holds those
-    that have not replied.
+    ``tried_snapshots`` holds every snapshot that was tried for the query, this one included.
+    ``tried`` lists the owners that were tried for each service, in order, and ``unanswered`` holds
+    those that have not replied.
     """
 
     def __init__(
@@ -113,12 +113,12 @@
         query: Query,
         scope: Scope,
         snapshot: Snapshot,
-        pinned: frozenset[SnapshotVersion],
+        tried_snapshots: frozenset[SnapshotVersion],
         runtime: Runtime,
     ) -> None:
         self.query = query
-        self.pinned = pinned
-        self.id = QueryId(f"{query.id}.{len(pinned)}")
+        self.tried_snapshots = tried_snapshots
+        self.id = QueryId(f"{query.id}.{len(tried_snapshots)}")
         self.runtime = runtime
         self.snapshot = snapshot
         self.merge = Merge(scope, snapshot)
@@ -214,7 +214,7 @@
         if self.runtime.clock.now() > self.query.deadline - MIN_RESTART_TIME:
             return False
         needed = [service.id for service in self.merge.scope.remaining]
-        return self.runtime.pin_snapshot(needed, self.pinned) is not None
+        return self.runtime.choose_snapshot(needed, self.tried_snapshots) is not None
 
     def _handle_failure(self, service: ServiceId, failure: Failure, source: HostId) -> None:
         """Try another owner after a failure of the owner ``source``, or record the failure."""
--- a/tests/process/test_fetches.py
+++ b/tests/process/test_fetches.py
@@ -14,7 +14,7 @@
 from masticgate.process._distribution import FETCH_TIMEOUT, Distribution
 from masticgate.process._members import Members
 from masticgate.process._peer_service import member_from_hello
-from masticgate.process._timeline import TimeLine
+from masticgate.process._timeline import Timeline
 from masticgate.process._versions import VersionStore
 from masticgate.version import CataloguePush, FetchVersions, SectionsPush, TextPush, Versions
 from tests.texts import SMALL
@@ -49,7 +49,7 @@
             platform={"configuration": NOWHERE, "hosts": NOWHERE},
         )
         self.clock = ManualClock()
-        timeline = TimeLine(HostId(name), self.clock)
+        timeline = Timeline(HostId(name), self.clock)
         self.versions = VersionStore(timeline, lambda configuration: None)
         self.links = RecordingLinks()
         self.hello = Hello(
--- a/tests/process/test_members.py
+++ b/tests/process/test_members.py
@@ -11,22 +11,22 @@
 from masticgate.process._host_list import MAX_HOST_LIST_LAG, HostList
 from masticgate.process._member_rules import choose_neighbours, digest_of, is_usable, supersedes
 from masticgate.process._members import DEPARTED_MEMBER_TTL, Members
-from masticgate.process._timeline import EventKind, TimeLine
+from masticgate.process._timeline import EventKind, Timeline
 
 INTERVAL = Millis(500.0)
 
 
 def member(name, state=MemberState.ALIVE, incarnation=1, counter=0, domain="north"):
     address = Address("127.0.0.1:7001")
-    place = FailureDomainId(domain)
-    return Member(HostId(name), address, place, Incarnation(incarnation), state, counter)
+    failure_domain = FailureDomainId(domain)
+    return Member(HostId(name), address, failure_domain, Incarnation(incarnation), state, counter)
 
 
 def members_of(name, clock=None, count=0):
     """Return the membership table of the host ``name``, which knows ``count`` other hosts."""
     clock = clock or ManualClock()
     own_member = member(name)
-    view = Members(own_member, clock, TimeLine(own_member.host, clock), lambda changed: None)
+    view = Members(own_member, clock, Timeline(own_member.host, clock), lambda changed: None)
     view.merge([member(f"h{n}") for n in range(count)])
     return view
 
@@ -94,7 +94,7 @@
 
 
 class TestExpiry:
-    def test_removed_host_does_not_return_by_an_old_update(self):
+    def test_old_update_does_not_restore_removed_host(self):
         clock = ManualClock()
         view = members_of("a", clock)
         view.merge([member("x", MemberState.DEAD, counter=2)])
@@ -130,7 +130,7 @@
         self.clock = ManualClock()
         self.view = members_of("a", self.clock, 2)
         self.last_received = {HostId("h0"): Millis(0.0), HostId("h1"): Millis(0.0)}
-        self.timeline = TimeLine(HostId("a"), self.clock)
+        self.timeline = Timeline(HostId("a"), self.clock)
         self.detector = FailureDetector(
             self.view, self.last_received.get, self.clock, self.timeline
         )
@@ -169,7 +169,7 @@
         self.run_intervals(3, ["h0"])
         assert self.state("h1") is MemberState.ALIVE
 
-    def test_silence_of_all_hosts_is_counted_anew_after_a_pause(self):
+    def test_silence_is_counted_from_the_end_of_a_pause(self):
         self.run_intervals(2, ["h0", "h1"])
         self.clock.advance(Millis(60_000.0))
         self.run_intervals(1)
@@ -182,12 +182,12 @@
 class TestHostList:
     def setup_method(self):
         self.view = members_of("a", count=1)
-        self.list = HostList(self.view.get)
+        self.host_list = HostList(self.view.get)
 
     def read(self, leaving, at):
         """Merge a host list read at ``at``, and return the state of its only host."""
         listed = ListedHost(HostId("h0"), Address("127.0.0.1:7001"), FailureDomainId("n"), leaving)
-        self.view.merge(self.list.to_members([listed], Millis(at)))
+        self.view.merge(self.host_list.to_members([listed], Millis(at)))
         return self.view.get("h0").state
 
     def test_host_marked_as_leaving_stays_leaving(self):
--- a/tests/process/test_owner_bookings.py
+++ b/tests/process/test_owner_bookings.py
@@ -18,7 +18,7 @@
 from masticgate.process._owner import Owner
 from masticgate.process._pools import ServicePools
 from masticgate.process._reply_router import ReplyRouter
-from masticgate.process._timeline import TimeLine
+from masticgate.process._timeline import Timeline
 from masticgate.process._versions import VersionStore
 from masticgate.request import Book, BookReply, Cancel, Ran
 from tests.process.fake_connections import add_idle_connection
@@ -30,7 +30,7 @@
 
     def __init__(self):
         self.clock = ManualClock()
-        timeline = TimeLine(HostId("h1"), self.clock)
+        timeline = Timeline(HostId("h1"), self.clock)
         versions = VersionStore(timeline, lambda configuration: None)
         versions.offer_text(SMALL, Revision(1))
         self.hosts = 3
--- a/tests/process/test_owner_faults.py
+++ b/tests/process/test_owner_faults.py
@@ -23,17 +23,17 @@
         self.hosts = hosts
         self.stopping = Event()
         self.replies = []
-        self.tasks = ThreadPoolExecutor(tasks)
+        self.executor = ThreadPoolExecutor(tasks)
         self.task_count = tasks
 
     def __enter__(self):
-        for task in range(self.task_count):
-            self.tasks.submit(self.run, task)
+        for index in range(self.task_count):
+            self.executor.submit(self.run, index)
         return self
 
     def __exit__(self, *_):
         self.stopping.set()
-        self.tasks.shutdown()
+        self.executor.shutdown()
 
     def run(self, index):
         while not self.stopping.is_set():
--- a/tests/process/test_timeline.py
+++ b/tests/process/test_timeline.py
@@ -4,12 +4,12 @@
 from hypothesis import strategies as st
 
 from masticgate import HostId, ManualClock, Millis
-from masticgate.process._timeline import MAX_EVENTS, EventKind, TimeLine
+from masticgate.process._timeline import MAX_EVENTS, EventKind, Timeline
 from masticgate.process._timeline_merge import merge_events
 
 
-def line(host: str, start: float = 0.0) -> TimeLine:
-    return TimeLine(HostId(host), ManualClock(Millis(start)))
+def line(host: str, start: float = 0.0) -> Timeline:
+    return Timeline(HostId(host), ManualClock(Millis(start)))
 
 
 class TestTimeLine:
--- a/tests/process/test_versions.py
+++ b/tests/process/test_versions.py
@@ -22,7 +22,7 @@
 from masticgate.connection import PlatformReader, Unchanged, Value
 from masticgate.process._backoff import MAX_RETRY_DELAY, Backoff
 from masticgate.process._startup import StartState, Startup
-from masticgate.process._timeline import EventKind, TimeLine
+from masticgate.process._timeline import EventKind, Timeline
 from masticgate.process._versions import MAX_DIGEST_REVISIONS, OfferResult, VersionStore
 from masticgate.process._watch import (
     MIN_READ_INTERVAL,
@@ -49,7 +49,7 @@
 
 
 def new_store(on_configuration=lambda configuration: None, starting=False) -> VersionStore:
-    return VersionStore(TimeLine(HostId("h1"), ManualClock()), on_configuration, starting)
+    return VersionStore(Timeline(HostId("h1"), ManualClock()), on_configuration, starting)
 
 
 def kinds(store: VersionStore) -> list[EventKind]:
@@ -245,7 +245,7 @@
     def watch(self, *results) -> tuple[KeyWatch, list[int]]:
         """Return a watch that reads ``results`` in turn, and the revisions that it passes on."""
         received: list[int] = []
-        timeline = TimeLine(HostId("h1"), ManualClock())
+        timeline = Timeline(HostId("h1"), ManualClock())
         role = WatchRole(timeline)
         role.update(True)
         reader = StaleReader(*results)
@@ -277,7 +277,7 @@
 
 class TestWatchRole:
     def test_aborted_reader_may_read_again_once_the_host_watches_but_not_after_a_stop(self):
-        role = WatchRole(TimeLine(HostId("h1"), ManualClock()))
+        role = WatchRole(Timeline(HostId("h1"), ManualClock()))
         reader = PlatformReader(Address("127.0.0.1:9"), Address("127.0.0.1:9"))
         reader.abort()
         assert role.update(True) and not role.update(True)
--- a/tests/request/scripted_runtime.py
+++ b/tests/request/scripted_runtime.py
@@ -78,7 +78,7 @@
     def configuration(self):
         return self.accepted_configuration
 
-    def pin_snapshot(self, services, tried):
+    def choose_snapshot(self, services, tried):
         return self.catalogue.choose_snapshot(services, self.gone, tried)
 
     def record_version_gone(self, service, snapshot, held):
--- a/tests/request/test_booking.py
+++ b/tests/request/test_booking.py
@@ -55,7 +55,7 @@
         assert [harness.run("q1"), harness.run("q2")] == [OWNER_LOST, OWNER_LOST]
         assert len(harness.sent("Book")) == 1
 
-    def test_sends_again_after_outcome_not_run(self):
+    def test_sends_again_after_not_run_outcome(self):
         harness = BookingHarness(reply_with(CANCELLED))
         assert harness.run("q1") == CANCELLED
         harness.runtime.respond = reply_with(Ran("1"))
@@ -105,14 +105,14 @@
         harness.table.record_late_outcome(QueryId("q1"), CANCELLED)
         assert harness.run("q3") == Ran("1")
 
-    def test_retry_runs_after_late_outcome_not_run(self):
+    def test_retry_runs_after_late_not_run_outcome(self):
         harness = BookingHarness()
         harness.run("q1")
         harness.table.record_late_outcome(QueryId("q1"), CANCELLED)
         harness.runtime.respond = reply_with(Ran("2"))
         assert harness.run("q2") == Ran("2")
 
-    def test_keeps_late_outcome_that_arrives_before_outcome_of_attempt(self):
+    def test_outcome_of_attempt_does_not_replace_earlier_late_outcome(self):
         harness = BookingHarness()
         attempt = harness.table.begin(harness.booking("q1"))
         harness.table.record_late_outcome(QueryId("q1"), Ran("1"))
@@ -127,7 +127,7 @@
         harness.table.record_late_outcome(QueryId("q1"), CANCELLED)
         assert harness.run("q3") == OWNER_LOST
 
-    def test_duplicate_request_does_not_run_after_outcome_not_run(self):
+    def test_duplicate_request_does_not_run_after_not_run_outcome(self):
         harness = BookingHarness(reply_with(CANCELLED))
         assert harness.run("q1") == CANCELLED
         harness.runtime.respond = reply_with(Ran("1"))
@@ -143,7 +143,7 @@
         assert joined.result(timeout=0) == CANCELLED
         assert harness.table.begin(harness.booking("q2")).result(timeout=0) == CANCELLED
 
-    def test_refuses_ticket_of_other_booking_expired_and_unknown_ticket(self):
+    def test_refuses_ticket_that_is_in_use_expired_or_unknown(self):
         harness = BookingHarness(reply_with(CANCELLED))
         harness.run("q1")
         assert harness.run("q2", payload='{"other": 1}').reason is Reason.TICKET_IN_USE
--- a/tests/request/test_booking_faults.py
+++ b/tests/request/test_booking_faults.py
@@ -26,7 +26,7 @@
 from masticgate.process._owner import Owner
 from masticgate.process._pools import ServicePools
 from masticgate.process._tickets import TicketTable
-from masticgate.process._timeline import TimeLine
+from masticgate.process._timeline import Timeline
 from masticgate.process._versions import VersionStore
 from masticgate.request import Book, Booking, Cancel, Ran, run_booking
 from tests.process.fake_connections import add_idle_connection
@@ -67,7 +67,7 @@
         self.runtime = runtime
         self.runs = runs
         self.alive = True
-        timeline = TimeLine(HostId("owner"), runtime.clock)
+        timeline = Timeline(HostId("owner"), runtime.clock)
         versions = VersionStore(timeline, lambda configuration: None)
         versions.offer_text(SMALL, Revision(1))
         self.pools = ServicePools(
--- a/tests/request/test_search_faults.py
+++ b/tests/request/test_search_faults.py
@@ -61,7 +61,7 @@
         self.searchers = ReferenceSearchers()
         self.runtime = ScriptedRuntime(SMALL, self.respond)
         self.faults = {service: [] for service in SERVICES}
-        self.numbers = itertools.count()
+        self.query_numbers = itertools.count()
 
     @initialize()
     def publish_first(self):
@@ -86,10 +86,12 @@
         versions = [s.version for s in self.runtime.catalogue.snapshots]
         self.searchers.held[service].discard(data.draw(st.sampled_from(versions)))
 
-    @rule(service=st.sampled_from(SERVICES), fault=st.sampled_from(FAULTS), other=st.booleans())
-    def set_faults(self, service, fault, other):
-        """Set one fault of a service, in addition to its latest one if ``other`` is set."""
-        self.faults[service] = [*self.faults[service][-1:], fault] if other else [fault]
+    @rule(
+        service=st.sampled_from(SERVICES), fault=st.sampled_from(FAULTS), keep_latest=st.booleans()
+    )
+    def set_faults(self, service, fault, keep_latest):
+        """Set one fault of a service, in addition to its latest one if ``keep_latest`` is set."""
+        self.faults[service] = [*self.faults[service][-1:], fault] if keep_latest else [fault]
 
     @rule(host=st.sampled_from(["h0", "h1", "h2"]), kind=st.sampled_from(["unreachable", "silent"]))
     def lose_owner(self, host, kind):
@@ -104,14 +106,14 @@
 
     @rule(rank=st.sampled_from(list(Rank)))
     def search(self, rank):
-        name = QueryId(f"q{next(self.numbers)}")
-        end = Millis(self.runtime.clock.now() + TIMEOUT_MS)
-        query = Query(name, rank, end, 0.5, (SERVICES[0],), "lamp", 50)
+        query_id = QueryId(f"q{next(self.query_numbers)}")
+        deadline = Millis(self.runtime.clock.now() + TIMEOUT_MS)
+        query = Query(query_id, rank, deadline, 0.5, (SERVICES[0],), "lamp", 50)
         result = run_search(query, self.runtime)
-        assert self.runtime.clock.now() <= end
+        assert self.runtime.clock.now() <= deadline
         assert {m.query for _, m in self.runtime.sent} <= self.runtime.discarded_queries
         if isinstance(result, Answer):
-            self.check_answer(result, name)
+            self.check_answer(result, query_id)
         else:
             assert isinstance(result, NotRun)
 
@@ -144,7 +146,7 @@
         for copy in range(2 if "duplicate" in faults else 1):
             deliver(delay + 3 * copy, Reply(ask.query, part.service, result))
 
-    def check_answer(self, answer, name):
+    def check_answer(self, answer, query_id):
         (snapshot,) = (s for s in self.runtime.catalogue.snapshots if s.version == answer.snapshot)
         weights = {s: w for service in SERVICES for s, w in snapshot.shards_of(service).items()}
         hits_per_shard = Counter(hit.shard for hit in answer.hits)
@@ -156,19 +158,19 @@
             shard
             for query, version, _, shards in self.searchers.log
             for shard in shards
-            if query.startswith(f"{name}.") and version == answer.snapshot
+            if query.startswith(f"{query_id}.") and version == answer.snapshot
         }
         assert set(hits_per_shard) <= logged
         if answer.whole:
             assert answer.hits == self.search_naively(snapshot)
 
     def check_coverage(self, answer, snapshot, weights, hits_per_shard):
-        mapped = sum(bool(snapshot.shards_of(service)) for service in SERVICES)
-        share = mapped / len(SERVICES)
-        true = share * sum(weights[shard] for shard in hits_per_shard) / sum(weights.values())
-        assert abs(answer.coverage - true) < 1e-9
+        services_with_shards = sum(bool(snapshot.shards_of(service)) for service in SERVICES)
+        share = services_with_shards / len(SERVICES)
+        expected = share * sum(weights[shard] for shard in hits_per_shard) / sum(weights.values())
+        assert abs(answer.coverage - expected) < 1e-9
         assert {m.shard for m in answer.missing if m.shard} == set(weights) - set(hits_per_shard)
-        assert answer.whole == (true == 1.0)
+        assert answer.whole == (expected == 1.0)
 
     def search_naively(self, snapshot):
         """Return the sorted hits of all searchers, which are searched directly one by one."""
