--- a/src/masticgate/connection/_caller_app.py
+++ b/src/masticgate/connection/_caller_app.py
@@ -24,17 +24,17 @@
 from ..request import Answer, BookingOutcome, Ran
 
 MAX_REMAINING_MS = Millis(60_000.0)
-"""The longest time that a caller may state to wait for its answer."""
+"""The longest time for which a caller may ask to wait for its answer."""
 
 RETRY_AFTER_SECONDS = 1
-"""The value of the ``Retry-After`` header in responses that invite to send a request again."""
+"""The value of the ``Retry-After`` header in responses after which a caller may try again."""
 
 MAX_SERVICES = 1000
-"""The most services that one search may name."""
+"""The maximum number of services that one search may name."""
 
 MAX_TEXT_CHARACTERS = 4000
 MAX_LIMIT = 1000
-"""The most hits that one search may ask for."""
+"""The maximum number of hits that one search may ask for."""
 
 
 class _Body(BaseModel):
--- a/src/masticgate/connection/_caller_client.py
+++ b/src/masticgate/connection/_caller_client.py
@@ -1,6 +1,6 @@
-"""The client for the callers' HTTP interface of an entry host.
+"""A client for the HTTP interface that each host offers to callers.
 
-The entry host is the host that a caller sends its request to.
+The entry host is the host to which a caller sends its request.
 """
 
 import json
@@ -11,10 +11,10 @@
 from ._http_connection import HttpConnection, HttpFailure, HttpReply
 
 RESPONSE_MARGIN = Millis(500.0)
-"""How long the client waits for the response after the remaining time of the request is over."""
+"""How much longer than ``remaining_ms`` of its request the client waits for a response."""
 
 DEFAULT_TIMEOUT = Millis(5000.0)
-"""The time limit of a request that states no remaining time."""
+"""The timeout of a request that has no ``remaining_ms``."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -28,7 +28,7 @@
 class CallerClient:
     """Sends requests to one entry host over one connection.
 
-    A request without a complete response returns :class:`HttpFailure`.
+    A method returns :class:`HttpFailure` if it gets no complete response with a JSON object.
     """
 
     def __init__(self, address: Address) -> None:
@@ -36,27 +36,27 @@
         self.connection = HttpConnection(address)
 
     def search(self, body: dict[str, Any]) -> CallerReply | HttpFailure:
-        """Run a search, which may be repeated since it changes nothing."""
+        """Run a search; it may be repeated, because it changes no data."""
         timeout = Millis(float(body["remaining_ms"]) + RESPONSE_MARGIN)
         return _decode_reply(self.connection.post("/v1/search", json.dumps(body).encode(), timeout))
 
     def mint_ticket(self) -> CallerReply | HttpFailure:
-        """Return a response with a ticket, which allows one booking."""
+        """Request a ticket, which allows one booking."""
         return _decode_reply(self.connection.post("/v1/tickets", b"", DEFAULT_TIMEOUT))
 
     def book(self, body: dict[str, Any]) -> CallerReply | HttpFailure:
-        """Submit a booking; with the same ticket it may be submitted again through any host."""
+        """Submit a booking; it may be submitted again with the same ticket, through any host."""
         timeout = Millis(float(body["remaining_ms"]) + RESPONSE_MARGIN)
         return _decode_reply(
             self.connection.post("/v1/bookings", json.dumps(body).encode(), timeout)
         )
 
     def status(self) -> CallerReply | HttpFailure:
-        """Return a response with the status of the host."""
+        """Request the status of the host."""
         return _decode_reply(self.connection.get("/v1/status", DEFAULT_TIMEOUT))
 
     def events(self) -> CallerReply | HttpFailure:
-        """Return a response with the events of the host's timeline."""
+        """Request the events of the host's timeline."""
         return _decode_reply(self.connection.get("/v1/events", DEFAULT_TIMEOUT))
 
     def close(self) -> None:
--- a/src/masticgate/connection/_caller_server.py
+++ b/src/masticgate/connection/_caller_server.py
@@ -18,7 +18,7 @@
 from ._caller_app import CallerApp, failure_response
 
 MAX_DISCARDED_BYTES = 1_000_000
-"""The most bytes of a refused body that are read before the connection is closed."""
+"""The maximum number of bytes of a refused body that are read before the connection is closed."""
 
 
 class CallerConnection(BaseHTTPRequestHandler):
--- a/src/masticgate/connection/_peer.py
+++ b/src/masticgate/connection/_peer.py
@@ -1,8 +1,9 @@
-"""The links between hosts: those that a host opens and those that it accepts.
+"""The links between hosts: those that this host opens and those that it accepts.
 
-A link is a TCP connection to another host of the deployment, the peer. Each link has a task of its
-own, which reads the messages that arrive. Each host opens links of its own for its requests, and
-sends heartbeats over them to detect that a peer is unresponsive.
+A link is a TCP connection to another host of the deployment, the peer. For each link, one task
+reads the messages that arrive. A host opens a link to each peer that it sends requests to, and gets
+the replies over the same link. It also sends heartbeats over this link, to detect that the peer is
+unresponsive.
 """
 
 import socket
@@ -24,11 +25,14 @@
 READ_TIMEOUT = Millis(3000.0)
 """A link is closed if no complete message arrives within this time.
 
-Heartbeats arrive more often on a link that works.
+While the peer responds, heartbeats arrive more often than this.
 """
 
 MIN_RECONNECT_DELAY = Millis(100.0)
-"""The pause before the first attempt to open a link again; it doubles with each failure."""
+"""The pause before a closed link is opened again.
+
+The pause doubles with each failed attempt, up to ``MAX_RECONNECT_DELAY``.
+"""
 
 MAX_RECONNECT_DELAY = Millis(2000.0)
 
@@ -49,7 +53,7 @@
         ...
 
     def probe_heartbeat(self) -> Heartbeat:
-        """Return a heartbeat whose only purpose is to get a reply."""
+        """Return a heartbeat to check whether a peer replies."""
         ...
 
     def handle_message(
@@ -59,11 +63,11 @@
         ...
 
     def handle_link_opened(self, peer: Hello) -> None:
-        """Handle that the link to ``peer`` was opened."""
+        """Handle the opening of the link to ``peer``."""
         ...
 
     def handle_link_lost(self, host: HostId) -> None:
-        """Handle that the link to ``host`` was closed, so that no reply will arrive over it."""
+        """Handle the closing of the link to ``host``, over which no more replies will arrive."""
         ...
 
 
@@ -78,7 +82,9 @@
     """The link that this host opens to one peer, to send requests and receive their replies.
 
     ``incarnation`` identifies the run of the peer's process that accepted the link.
-    ``unanswered_since`` is when the first heartbeat was sent after the last message arrived.
+    ``last_received`` is when the last message arrived, and ``last_used`` when the last request was
+    sent. ``unanswered_since`` is when the first heartbeat after the last received message was sent,
+    or ``None`` if none was sent since.
     """
 
     def __init__(self, host: HostId, address: Address, handler: PeerHandler, clock: Clock) -> None:
@@ -104,7 +110,7 @@
             delay = min(MAX_RECONNECT_DELAY, Millis(delay * 2))
 
     def send(self, message: Message) -> bool:
-        """Send ``message``; return ``False`` if the peer did not receive the whole of it."""
+        """Send ``message``; return ``False`` if the peer cannot have received all of it."""
         frame_socket = self.frame_socket
         if self.state is not LinkState.OPEN or frame_socket is None:
             return False
@@ -165,7 +171,7 @@
 
 
 class PeerServer:
-    """Accepts the links of other hosts and serves each in a task of its own."""
+    """Accepts the links that other hosts open, and handles each in a separate task."""
 
     def __init__(self, address: Address, handler: PeerHandler, tasks: Executor) -> None:
         self.listener = listen_on(address)
--- a/src/masticgate/connection/gateway/_caller.py
+++ b/src/masticgate/connection/gateway/_caller.py
@@ -180,7 +180,7 @@
             return self.buffer[:0]
 
     def _parse(self, data: memoryview) -> bool:
-        """Parse received bytes; return ``False`` if nothing can be sent to the caller any more.
+        """Parse received bytes; return ``False`` if nothing more can be sent to the caller.
 
         An error is kept in ``parse_error``, because the complete requests before the invalid bytes
         are served first.
--- a/src/masticgate/connection/gateway/_parser.py
+++ b/src/masticgate/connection/gateway/_parser.py
@@ -27,7 +27,7 @@
 """
 
 MAX_NUMBER_DIGITS = 18
-"""The most digits that a number in a header may have, so that it fits in 63 bits."""
+"""The maximum number of digits that a number in a header may have, so that it fits in 63 bits."""
 
 
 @dataclass(slots=True)
--- a/src/masticgate/connection/gateway/_response_parser.py
+++ b/src/masticgate/connection/gateway/_response_parser.py
@@ -13,13 +13,13 @@
 from ._parser import Malformed
 
 MAX_HEAD_BYTES = 65_536
-"""The most bytes of all response heads received for one request.
+"""The maximum number of bytes of all response heads received for one request.
 
 It is several times the size of the largest head that one gateway sends to another.
 """
 
 MAX_BODY_BYTES = 8_000_000
-"""The most bytes of all response bodies received for one request."""
+"""The maximum number of bytes of all response bodies received for one request."""
 
 STATUS_LINE = re.compile(rb"HTTP/\d\.\d \d{3}")
 """The beginning of a response; within a head it shows that an earlier response is incomplete."""
@@ -37,7 +37,10 @@
 """The bytes that another response's head may have beyond twice the size of this one's headers."""
 
 MAX_CHUNK_OVERHEAD = 0.5
-"""The most bytes of chunk framing for each byte of content; a chunk of 16 bytes needs 6."""
+"""The maximum number of bytes of chunk framing for each byte of content.
+
+A chunk of 16 bytes needs 6 bytes of framing.
+"""
 
 
 @dataclass(slots=True)
--- a/src/masticgate/connection/gateway/_searcher_task.py
+++ b/src/masticgate/connection/gateway/_searcher_task.py
@@ -75,7 +75,7 @@
     """Handles the events of the connections to searchers, from any of their tasks."""
 
     def handle_open(self, task: "SearcherTask") -> None:
-        """Handle that a connection was opened without a call and is idle."""
+        """Handle the opening of a connection that has no call yet and is idle."""
         ...
 
     def handle_outcome(
@@ -88,7 +88,7 @@
         ...
 
     def handle_close(self, task: "SearcherTask", *, connected: bool) -> None:
-        """Handle that the task has ended; ``connected`` is whether its connection was opened."""
+        """Handle the end of the task; ``connected`` is whether its connection was opened."""
         ...
 
     def record_violation(self, task: "SearcherTask", violation: ProtocolViolation) -> None:
--- a/src/masticgate/process/_booking_log.py
+++ b/src/masticgate/process/_booking_log.py
@@ -1,6 +1,7 @@
-"""The booking attempts that this host received as the owner of their service.
+"""The booking attempts that this host received as the owner of the service.
 
-A booking is identified by its ticket and may be attempted again after an attempt did not run.
+The owner of a service is the host that queues its work. A booking is identified by its ticket. If
+an attempt did not run, the booking may be attempted again under the next attempt number.
 """
 
 from itertools import islice
@@ -10,20 +11,20 @@
 from .._ids import Millis, TicketId
 
 ATTEMPT_TTL = Millis(300_000.0)
-"""The time for which an attempt is kept, longer than the outcome of its ticket is kept."""
+"""How long an attempt is kept; the outcome of a ticket is kept for a shorter time."""
 
 MAX_ATTEMPTS = 100_000
-"""The number of attempts from which on the oldest are removed, whatever their age."""
+"""If this many attempts are kept, the oldest are removed before they expire."""
 
 MAX_REMOVED_AT_ONCE = 2
-"""The most attempts that are removed each time that one is recorded."""
+"""The maximum number of old attempts that are removed when a new one is recorded."""
 
 
 class BookingLog:
     """Accepts each attempt once, even if the pool of its service is closed and opened again.
 
-    An attempt is recorded before anything is decided about it, so that a second copy of its
-    message can never run after the first one was refused as "not run".
+    An attempt is recorded before it is queued or refused. Otherwise a second copy of its message
+    could run after the first copy was refused and reported as "not run".
     """
 
     def __init__(self, clock: Clock) -> None:
--- a/src/masticgate/process/_delivery_lock.py
+++ b/src/masticgate/process/_delivery_lock.py
@@ -1,7 +1,7 @@
-"""The lock of a service pool, which delivers results after it is released.
+"""The lock of a service pool, and the delivery of results after the lock is released.
 
-Delivering a result may send it to another host, which would hold up all users of the pool if the
-lock were held meanwhile.
+A delivery may send the result to another host. If the lock were held during that time, all tasks
+that use the pool would have to wait.
 """
 
 from threading import Lock
@@ -10,9 +10,9 @@
 
 
 class DeliveryLock:
-    """A context manager that holds ``lock``, releases it and then delivers the settled results.
+    """A context manager that holds ``lock``, and delivers results after it has released it.
 
-    Code that holds the lock appends each settled entry and its result to ``undelivered``.
+    Code that holds the lock appends each finished queue entry and its result to ``undelivered``.
     """
 
     def __init__(self) -> None:
--- a/src/masticgate/process/_dispatcher.py
+++ b/src/masticgate/process/_dispatcher.py
@@ -18,7 +18,7 @@
 from ._work import BookingWork, QueueEntry, SearcherAttempt, WorkState
 
 EXPIRY_INTERVAL = Millis(100.0)
-"""The shortest time between two scans of the whole queue for work past its deadline."""
+"""The minimum time between two scans of the whole queue for work past its deadline."""
 
 
 class Dispatcher:
--- a/src/masticgate/process/_hedge_budget.py
+++ b/src/masticgate/process/_hedge_budget.py
@@ -1,7 +1,7 @@
-"""The common budget of a service's hedges and retries, and the delay before a hedge.
+"""The budget that the hedges and retries of a service share, and the delay before a hedge.
 
-A hedge is a second attempt of a search at another searcher while a slow first attempt is in
-flight. A retry is another attempt after one failed.
+A hedge sends a search to a second searcher while a slow first attempt is in flight. A retry is
+another attempt after one failed.
 """
 
 from .._ids import Millis
@@ -9,33 +9,35 @@
 from ._policy import Hedge, Hedging, NoHedge
 
 RETRY_RESERVE = 4.0
-"""The tokens that hedges leave for retries.
+"""The number of tokens that only retries may spend.
 
-Without a retry, the shards of a failed attempt are missing from the answer for certain.
+If a failed attempt is not retried, its shards are certainly missing from the answer, whereas a slow
+attempt without a hedge may still succeed.
 """
 
 MAX_TOKENS = RETRY_RESERVE + 8.0
-"""The most tokens that the budget saves up."""
+"""The maximum number of tokens in the budget."""
 
 INITIAL_DELAY = Millis(50.0)
-"""The hedge delay until enough latencies are known."""
+"""The hedge delay until enough latencies are recorded."""
 
 HEDGE_PERCENTILE = 90.0
 """The percentile of latencies that sets the hedge delay.
 
-It is low enough that slow outliers do not change the delay.
+It is low enough that a few very slow attempts do not change the delay.
 """
 
 DELAY_FACTOR_FULL = 1.2
 DELAY_FACTOR_EMPTY = 1.6
-"""The hedge delay as a multiple of that percentile, with a full and with an empty budget.
+"""The hedge delay as a multiple of the percentile, with a full and with an empty budget.
 
-Between the two, the delay settles where hedges spend what the budget earns.
+The budget counts as empty when only the reserve for retries is left. As hedges spend tokens, the
+delay rises and hedges become rarer, until they spend as many tokens as the budget earns.
 """
 
 
 class HedgeBudget:
-    """Limits hedges and retries to a share of the first attempts of a service.
+    """Limits hedges and retries to a fraction of the number of first attempts of a service.
 
     Each first attempt earns a fraction of a token, and each hedge or retry spends one. Callers
     hold the lock of the service pool.
@@ -48,7 +50,7 @@
         self.window = LatencyWindow()
 
     def earn(self) -> None:
-        """Add what one first attempt earns."""
+        """Add the tokens that one first attempt earns; without hedging, empty the budget."""
         match self.hedging:
             case Hedge(budget=budget):
                 self.tokens = min(MAX_TOKENS, self.tokens + budget)
@@ -77,7 +79,7 @@
         self.percentile_latency = self.window.percentile(HEDGE_PERCENTILE)
 
     def hedge_delay(self) -> Millis | None:
-        """Return the age at which an attempt is hedged, ``None`` if hedging is disabled."""
+        """Return how long after its start an attempt is hedged, ``None`` if hedging is disabled."""
         match self.hedging:
             case NoHedge():
                 return None
--- a/src/masticgate/process/_latency_window.py
+++ b/src/masticgate/process/_latency_window.py
@@ -7,7 +7,7 @@
 from .._ids import Millis
 
 MAX_SAMPLES = 256
-"""The most latencies that are kept."""
+"""The maximum number of latencies that are kept."""
 
 MAX_AGE = Millis(5000.0)
 """The age at which a latency is discarded, unless only :data:`MIN_SAMPLES` are left."""
--- a/src/masticgate/process/_rank_queue.py
+++ b/src/masticgate/process/_rank_queue.py
@@ -14,7 +14,7 @@
 from ._work import BookingWork, QueueEntry, SearchWork
 
 MAX_FLOOR_CREDIT = 2.0
-"""The most pieces of work that a rank's unused floor adds up to; credit beyond this expires."""
+"""The limit on the credit for a rank's unused floor, in pieces of work; more credit expires."""
 
 
 def _admission_number(entry: QueueEntry) -> float:
--- a/src/masticgate/process/_retry.py
+++ b/src/masticgate/process/_retry.py
@@ -6,7 +6,7 @@
 from ._work import QueueEntry, Result, SearchWork
 
 MAX_RETRIES = 2
-"""The most retries of one piece of work."""
+"""The maximum number of retries of one piece of work."""
 
 FREE_RETRY_REASONS = frozenset({Reason.SEARCHER_DRAINING, Reason.SEARCHER_REFUSED})
 """The failures that cost the searcher no work, so that a retry adds no load."""
--- a/src/masticgate/process/_searcher_health.py
+++ b/src/masticgate/process/_searcher_health.py
@@ -1,4 +1,4 @@
-"""What the owner of a service observed of one searcher, and how much work it may send there.
+"""What the owner of a service knows about one searcher, and how much work it may send there.
 
 The owner is the host that queues the service's work and holds the connections to its searchers.
 """
@@ -11,60 +11,72 @@
 from ..version import Searcher
 
 FAILURES_TO_EJECT = 3
-"""The failures in a row after which a searcher is ejected, that is, gets no work for a while."""
+"""The number of consecutive failures after which a searcher is ejected.
+
+An ejected searcher gets no work for a while.
+"""
 
 SLOW_FACTOR = 4.0
 """A searcher this many times slower than the fastest one of its service is ejected."""
 
 SLOW_MIN_SAMPLES = 20
-"""The successes before a searcher's latency is compared with the others'."""
+"""The number of successes before a searcher's latency is compared with that of the others."""
 
 INITIAL_EJECTION = Millis(500.0)
 MAX_EJECTION = Millis(8000.0)
-"""The durations of the first ejection and of the longest; each is twice the one before."""
+"""The first and the longest duration of an ejection.
+
+The duration doubles with each ejection, until the searcher has warmed up again.
+"""
 
 INITIAL_BACKOFF = Millis(20.0)
 MAX_BACKOFF = Millis(500.0)
-"""The pauses after a first refusal and the longest one; each is twice the one before."""
+"""The first and the longest pause after a refusal.
+
+The pause doubles with each refusal, until a request succeeds.
+"""
 
 WARM_UP_STEP = 4
-"""Successes after which a warming searcher may have one more request in flight."""
+"""The number of successes that raise the warm-up limit by one request in flight."""
 
 LATENCY_WEIGHT = 0.1
 """The weight of the latest latency in a searcher's average."""
 
 LATENCY_STEP = 1.25
-"""Latencies within about this factor count as equal in the choice of a searcher."""
+"""Latencies are rounded to powers of this factor when a searcher is chosen.
+
+Small differences in latency then do not affect the choice.
+"""
 
 LATENCY_TTL = Millis(3000.0)
 """The latency of an idle searcher is ignored once its last success is older than this."""
 
 LOAD_CHECK_INTERVAL = Millis(4000.0)
-"""The shortest time between two requests to one searcher for its load."""
+"""The minimum time between two requests that ask one searcher for its load."""
 
 
 class SearcherState(Enum):
-    """Which work a searcher gets."""
+    """How many requests a searcher gets at once."""
 
     WARMING = "warming"
-    """A few requests at once, and more as they succeed."""
+    """One or a few, and more as requests succeed."""
 
     ACTIVE = "active"
-    """As many requests at once as it has connections."""
+    """As many as this host has connections to it."""
 
     EJECTED = "ejected"
-    """None until the ejection ends, then one request as a probe."""
+    """None until the ejection ends, then one as a probe."""
 
     DRAINING = "draining"
-    """None, since it said that it is shutting down."""
+    """None, because it reported that it is shutting down."""
 
 
 @dataclass(frozen=True, slots=True)
 class LoadReport:
     """A searcher's report of its own load, which may be out of date or wrong.
 
-    ``incarnation`` tells a restarted searcher from its earlier run; it is empty if the searcher
-    states none.
+    ``incarnation`` identifies one run of the searcher, so that a restart is detected. It is empty
+    if the searcher states none.
     """
 
     load: int
@@ -75,12 +87,13 @@
 class SearcherHealth:
     """The state of one searcher; callers hold the lock of the service pool.
 
-    ``connections`` is this owner's share of the connections to the searcher. ``open`` counts the
-    connections that have not closed yet, ``closing`` those of them that were told to close.
+    ``connections`` is the number of connections that this host should have to the searcher.
+    ``open`` is the number that have not closed yet, and ``closing`` the number of these that have
+    been told to close.
 
     ``warm_up_limit`` is how many requests may be in flight while the searcher is warming up.
-    ``drained_incarnation`` is the run of the searcher that is shutting down, if known, and
-    ``lost_while_draining`` says that the searcher was unreachable since it began to drain.
+    ``drained_incarnation`` is the incarnation that is shutting down, empty if unknown, and
+    ``lost_while_draining`` is whether a request has failed since the searcher began to drain.
     """
 
     def __init__(self, searcher: Searcher) -> None:
@@ -109,7 +122,7 @@
         self.lost_while_draining = False
 
     def resize(self, searcher: Searcher, connections: int) -> int:
-        """Set the searcher's share of connections; return how many have to be opened."""
+        """Set how many connections there should be; return how many have to be opened."""
         self.searcher = searcher
         self.connections = connections
         missing = max(0, connections - self.open)
@@ -117,14 +130,14 @@
         return missing
 
     def should_close(self) -> bool:
-        """Return whether the idle connection that asks has to close, as one too many."""
+        """Return whether an idle connection has to close, and if so, count it as closing."""
         if self.open - self.closing <= self.connections:
             return False
         self.closing += 1
         return True
 
     def record_closed_connection(self) -> bool:
-        """Record that a connection closed; return whether it is wanted again by now."""
+        """Record that a connection closed; return whether it has to be opened again."""
         self.closing -= 1
         if self.open - self.closing <= self.connections:
             return True
@@ -185,9 +198,10 @@
         return self.failures >= FAILURES_TO_EJECT or self.state is SearcherState.EJECTED
 
     def record_refusal(self, now: Millis) -> None:
-        """Record that the searcher refused work since it is overloaded or not warm yet.
+        """Record that the searcher refused work because it is overloaded or not yet warm.
 
-        It gets no work for a pause and less work after it. A refusal doesn't count as a failure.
+        It gets no work during a pause, and fewer requests at once after it. A refusal doesn't count
+        as a failure.
         """
         if self.state is SearcherState.DRAINING:
             return
@@ -198,12 +212,12 @@
         self.next_backoff = min(MAX_BACKOFF, Millis(self.next_backoff * 2))
 
     def is_slow(self, fastest: Millis) -> bool:
-        """Return whether the searcher is too slow; ``fastest`` is its service's best latency."""
+        """Return whether the searcher is too slow compared with ``fastest``, the lowest latency."""
         comparable = self.samples >= SLOW_MIN_SAMPLES and fastest > 0
         return comparable and self.latency > SLOW_FACTOR * fastest
 
     def eject(self, now: Millis) -> None:
-        """Send no work until the ejection ends, then one request as a probe."""
+        """Mark the searcher as ejected, and set when the ejection ends."""
         self.state = SearcherState.EJECTED
         self.eligible_at = Millis(now + self.next_ejection)
         self.next_ejection = min(MAX_EJECTION, Millis(self.next_ejection * 2))
@@ -212,7 +226,7 @@
         self.samples = 0
 
     def drain(self) -> None:
-        """Send this incarnation of the searcher no new work any more."""
+        """Mark this incarnation of the searcher as draining, so that it gets no new work."""
         if self.state is not SearcherState.DRAINING:
             self.state = SearcherState.DRAINING
             self.drained_incarnation = self.incarnation
@@ -221,8 +235,8 @@
     def record_report(self, report: LoadReport) -> None:
         """Record a load report; reset a draining searcher that has restarted.
 
-        It has restarted when it reports another incarnation and no longer drains. A searcher that
-        states no incarnation counts as restarted after it could not be reached.
+        It has restarted when it reports another incarnation and no longer drains. If it states no
+        incarnation, it counts as restarted when a request to it has failed since it began to drain.
         """
         self.reported_load = report.load
         if self.state is SearcherState.DRAINING:
--- a/src/masticgate/process/_service_pool.py
+++ b/src/masticgate/process/_service_pool.py
@@ -32,7 +32,7 @@
 )
 
 MAX_PENDING = 2000
-"""The most queued pieces of work; work beyond this is refused as overload."""
+"""The maximum number of queued pieces of work; work beyond this is refused as overload."""
 
 MAX_IDLE_WAIT = Millis(4000.0)
 """The longest that an idle connection waits for work; it may then check the searcher's load."""
@@ -96,7 +96,7 @@
             return refusal
 
     def cancel(self, query: QueryId) -> None:
-        """Cancel a query that nobody waits for any more.
+        """Cancel a query whose result is no longer needed.
 
         A search is removed without a result, and its attempts in flight are aborted. A booking,
         which may run only once, is settled as not run while it is queued, and continues once it
--- a/src/masticgate/process/_tickets.py
+++ b/src/masticgate/process/_tickets.py
@@ -20,13 +20,13 @@
 """The time after it was issued in which a ticket may be used; its outcome is kept twice as long."""
 
 MAX_TICKETS = 50_000
-"""The most tickets that are kept; more are refused as overload."""
+"""The maximum number of tickets that are kept; more are refused as overload."""
 
 MAX_REMOVED_AT_ONCE = 16
-"""The most expired tickets that are removed each time that one is issued."""
+"""The maximum number of expired tickets that are removed when one is issued."""
 
 MAX_REQUESTS_PER_TICKET = 64
-"""The most requests for one ticket that may start an attempt or join a running one."""
+"""The maximum number of requests for one ticket that may start an attempt or join a running one."""
 
 SEPARATOR = "~"
 """Separates the parts of a ticket: host, incarnation, sequence number and a random part."""
--- a/src/masticgate/process/gateway/_gateway.py
+++ b/src/masticgate/process/gateway/_gateway.py
@@ -1,4 +1,4 @@
-"""The gateway process: its parts, its start, its reloads and its stop."""
+"""The gateway process: how it starts, reloads its settings and stops."""
 
 import os
 import threading
@@ -22,34 +22,40 @@
 from ._task_pool import TaskPool
 
 MAX_CALLER_CONNECTIONS = 1_500
-"""The limit on open connections of callers; each uses a task and three file descriptors."""
+"""The maximum number of open connections from callers, and likewise from other gateways.
+
+Each uses a task and three file descriptors.
+"""
 
 MAX_PAGE_CONNECTIONS = 32
-"""The limit on open connections to the readiness page, and to the metrics page."""
+"""The maximum number of open connections to the readiness page, and to the metrics page."""
 
 PEER_TRANSIT_TIME = Millis(6.0)
-"""The time that a query forwarded by another gateway spends on its way here and back."""
+"""A query that another gateway forwards counts as received this long before it arrived.
+
+This allows for the time that the query and its reply spend between the gateways.
+"""
 
 MAX_TASKS = 4_000
-"""The limit on the tasks of connections that run at the same time."""
+"""The maximum number of connection tasks that run at the same time, each on one thread."""
 
 STACK_BYTES = 256 * 1024
 """The stack size of each thread."""
 
 MAINTENANCE_INTERVAL = Millis(500.0)
-"""The interval of the regular maintenance."""
+"""The interval between two rounds of maintenance."""
 
 PAUSE_THRESHOLD = Millis(1_500.0)
-"""An interval between two ticks that is longer than this means that the process was paused."""
+"""If two rounds of maintenance start further apart than this, the process was paused."""
 
 ACCEPT_GRACE_SHARE = 0.45
-"""The part of the grace time for which a stopping gateway still accepts connections.
+"""The share of the grace time during which a stopping gateway still accepts connections.
 
 It is long enough for two failed readiness checks, after which no more callers connect.
 """
 
 FINISH_GRACE_SHARE = 0.8
-"""The part of the grace time after which requests in progress are no longer waited for."""
+"""The share of the grace time after which a gateway no longer waits for requests in progress."""
 
 STOP_POLL_INTERVAL_S = 0.05
 """The interval at which a stopping gateway checks for requests in progress."""
@@ -58,8 +64,8 @@
 class Gateway:
     """One gateway process.
 
-    A gateway accepts requests of callers and sends them to searchers, by the configuration that the
-    platform publishes.
+    A gateway accepts requests from callers and sends them to searchers, according to the
+    configuration that the platform publishes.
     """
 
     def __init__(
@@ -109,7 +115,7 @@
             self.listeners.append(self._listen(settings.metrics, header_names, self._metrics_page))
 
     def start(self) -> None:
-        """Start the tasks that run as long as the process."""
+        """Start the tasks that run until the process ends."""
         self.log.write(LogEvent.STARTED, domain=self.settings.domain, callers=self.settings.callers)
         tasks = [self.log.run, self.follower.run, self._run_maintenance]
         for run in (*tasks, *(listener.run for listener in self.listeners)):
@@ -125,8 +131,8 @@
     def stop(self) -> None:
         """Finish the requests in progress, then exit the process within the grace time.
 
-        Connections are accepted for a part of that time, while the readiness page already reports
-        that the gateway is not ready.
+        New connections are accepted for a part of that time, although the readiness page already
+        reports that the gateway is not ready.
         """
         started_at = self.clock.now()
         self.stopping.set()
@@ -209,8 +215,9 @@
     def _run_maintenance(self) -> None:
         """Do the regular maintenance until the process ends.
 
-        Choose who gathers queries, maintain the searchers, update the gauges, and log a change of
-        readiness or a pause of the process.
+        Choose whether this gateway or a peer gathers queries (sends each to all its shards and
+        merges the answers). Remove searchers that left, close expired connections, open those that
+        are needed, update the gauges, and log a change of readiness or a pause of the process.
         """
         last_run_at = self.clock.now()
         while not self.ended.wait(MAINTENANCE_INTERVAL / MILLIS_PER_SECOND):
--- a/src/masticgate/process/gateway/_peers.py
+++ b/src/masticgate/process/gateway/_peers.py
@@ -51,7 +51,7 @@
 """How long a starting gateway waits to learn of the others before it opens connections ahead."""
 
 MIN_MEMBERS_TO_RELAY = 13
-"""The number of gateways from which on the seeds read the platform's catalogue for the others.
+"""With at least this many gateways, the seeds read the platform's catalogue for the others.
 
 The catalogue is the configuration and the listings of the searchers.
 """
--- a/src/masticgate/request/_merge.py
+++ b/src/masticgate/request/_merge.py
@@ -1,4 +1,4 @@
-"""Merges the replies to one search and computes the coverage of the merged answer."""
+"""Merges the replies to one search into an answer, and computes the coverage of the answer."""
 
 from collections.abc import Iterable
 from dataclasses import dataclass
@@ -15,7 +15,7 @@
 class MissingShard:
     """A shard that an answer does not cover, and the failure that caused it.
 
-    ``shard`` is empty if the snapshot has no shards of ``service``.
+    ``shard`` is empty if the snapshot has no shards of ``service`` at all.
     """
 
     service: ServiceId
@@ -47,7 +47,7 @@
 
 
 class Merge:
-    """Collects the replies to one search of one snapshot, and merges each shard at most once.
+    """Collects the results of one search in one snapshot, and merges each shard at most once.
 
     ``pending`` holds the services that have neither replied nor failed yet.
     """
@@ -61,9 +61,10 @@
         self.pending = {s.id for s in scope.remaining if snapshot.shards_of(s.id)}
 
     def add_hits(self, service: ServiceId, hits: Hits) -> bool:
-        """Merge the ``hits`` of ``service`` and return whether they were merged.
+        """Merge the ``hits`` of ``service``; return ``False`` if they are ignored.
 
-        Hits are ignored if they are late, a duplicate, or of another version of the index.
+        Late and duplicate hits are ignored, as their service is no longer pending, and so are hits
+        from another version of the index.
         """
         if service not in self.pending or hits.snapshot != self.snapshot.version:
             return False
@@ -119,7 +120,7 @@
             )
 
     def _find_services_without_shards(self) -> list[ServiceId]:
-        """Return the needed services that the shard map lacks.
+        """Return the needed services that should have shards in the snapshot but have none.
 
         A service that runs bookings needs no shards.
         """
--- a/src/masticgate/version/_configuration.py
+++ b/src/masticgate/version/_configuration.py
@@ -1,4 +1,4 @@
-"""The configuration that results from an accepted text of the operators."""
+"""The configuration that is built from a valid text of the operators."""
 
 from collections.abc import Mapping
 from dataclasses import dataclass
@@ -12,8 +12,8 @@
 class Department:
     """A department of a customer.
 
-    A department that is leaving receives no new work. ``leaves_on`` is the date that the operators
-    gave for this, or an empty string; no decision depends on it.
+    A department that is leaving receives no new work. ``leaves_on`` is the date on which it leaves
+    according to the operators, or an empty string; no decision depends on it.
     """
 
     id: DepartmentId
@@ -23,7 +23,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Searcher:
-    """A searcher of a service, which is an upstream that runs searches or bookings.
+    """A searcher, an upstream server that runs the searches or bookings of a service.
 
     ``slots`` is the number of requests that it runs at once, and ``connections`` the number of
     connections that it accepts from all hosts together.
@@ -40,7 +40,7 @@
 class Service:
     """A service, the services that it depends on, and its searchers.
 
-    The searchers are replicas of one another. ``bookings`` is whether the service runs bookings.
+    The searchers are replicas of one another. ``bookings`` is ``True`` if they run bookings.
     """
 
     id: ServiceId
@@ -52,7 +52,7 @@
 
 @dataclass(frozen=True)
 class Configuration:
-    """The contents of an accepted text; ``revision`` is the platform's number of the text.
+    """The contents of a valid text; ``revision`` is the number that the platform gave the text.
 
     ``floors`` gives, for each rank, the share of a service's work that is reserved for this rank
     under overload.
--- a/src/masticgate/version/_graph.py
+++ b/src/masticgate/version/_graph.py
@@ -1,4 +1,4 @@
-"""Resolves the dependencies between services: what a search needs, and cycles."""
+"""Finds the services that a search depends on, and cycles among dependencies."""
 
 from collections.abc import Iterable, Mapping
 from dataclasses import dataclass
@@ -12,8 +12,8 @@
 class Scope:
     """The services of one search, including all direct and indirect dependencies.
 
-    ``needed`` lists the services that count in the coverage of the answer. ``leaving`` holds those
-    of them whose department is leaving.
+    ``needed`` lists the services that count in the coverage of the answer. ``leaving`` contains the
+    ids of the needed services whose department is leaving.
     """
 
     needed: tuple[Service, ...]
@@ -26,7 +26,7 @@
 
 
 def expand_services(configuration: Configuration, names: Iterable[ServiceId]) -> Scope | NotRun:
-    """Return the scope of a search of the services ``names``, or why the search cannot run.
+    """Return the scope of a search in the services ``names``, or why it cannot run.
 
     The scope contains every service that one of ``names`` depends on, directly or indirectly. A
     service without searchers only groups others and is not part of the scope.
--- a/tests/connection/test_accept_failures.py
+++ b/tests/connection/test_accept_failures.py
@@ -51,7 +51,7 @@
 
 
 class TestCallerServer:
-    # Guards against a host that accepts no caller any more after an accept failed for lack of a
+    # Guards against a host that no longer accepts callers after an accept failed for lack of a
     # file descriptor.
     def test_accepts_again_after_descriptors_ran_out(self, running):
         running.server.listener = ListenerFailingOnce(running.server.listener)
@@ -59,7 +59,7 @@
         get_status(running)
         assert get_status(running).startswith(b"HTTP/1.1 ")
 
-    # Guards against a host that accepts no caller any more after a thread could not be started.
+    # Guards against a host that no longer accepts callers after a thread could not be started.
     def test_accepts_again_after_thread_could_not_be_started(self, running):
         error = RuntimeError("can't start new thread")
         running.tasks.submit = FailingOnce(running.tasks.submit, error)
--- a/tests/connection/test_endless_responses.py
+++ b/tests/connection/test_endless_responses.py
@@ -1,4 +1,4 @@
-"""The memory and time that responses without an end cost a connection based on libcurl."""
+"""Tests that an ``HttpConnection`` limits the size and the duration of endless responses."""
 
 from time import monotonic
 
@@ -20,9 +20,9 @@
 SHORT_TIMEOUT = Millis(300.0)
 CLOSE_TIMEOUT_S = 5.0
 NOT_COUNTED_BY_LIBCURL = {"chunk_extension", "chunk_extensions"}
-"""libcurl discards these bytes uncounted, so that only the timeout ends the response.
+"""Endless responses that only the timeout ends, because libcurl does not count these bytes.
 
-Nothing of them is kept in memory.
+libcurl discards the bytes, so that they use no memory.
 """
 
 CLOSED_AT_SIZE_LIMIT = {
@@ -44,7 +44,7 @@
     ) -> EndlessServer:
         """Send a request to a server that responds with ``response``, and return the server.
 
-        The request fails and its connection is closed.
+        Assert that the request fails and that its connection is closed.
         """
         server = EndlessServer(response, pause_s)
         connection = HttpConnection(server.address)
--- a/tests/connection/test_frame_timeouts.py
+++ b/tests/connection/test_frame_timeouts.py
@@ -79,7 +79,7 @@
         assert SHORT_TIMEOUT / 1_000 <= monotonic() - started_at < MAX_WAIT_S
 
     # Guards against a timeout for each byte: a peer that sent a byte now and then kept a link open
-    # although it replied to nothing any more.
+    # although it no longer replied to anything.
     def test_times_out_on_message_that_arrives_too_slowly(self, connection_pair):
         far, frame_socket = connection_pair
         frame_socket.set_timeout(SHORT_TIMEOUT)
--- a/tests/gateway/test_relay.py
+++ b/tests/gateway/test_relay.py
@@ -100,7 +100,7 @@
 
 
 class FixedPlatform:
-    """A platform with one configuration and no listings; it counts the reads."""
+    """A platform that publishes one configuration and no searchers; it counts its reads."""
 
     def __init__(self) -> None:
         self.reads = 0
@@ -118,9 +118,9 @@
 
 
 def make_source(answer):
-    """Return a source with one relay that responds by ``answer``, its platform, and its relays.
+    """Return a source, the platform that it reads, and the list of its relays.
 
-    The test may change the list of relays.
+    The only relay responds to a request head with ``answer(head)``. The test may change the list.
     """
     server = StandInSearcher(answer)
     relays: list[Address] = [server.address]
--- a/tests/version/test_placement.py
+++ b/tests/version/test_placement.py
@@ -1,4 +1,4 @@
-"""The owners of services, and the connections that each owner may open."""
+"""Tests for the owners of services, and for the connections that each owner may open."""
 
 from collections import Counter
 
