--- a/tests/gateway/soak.py
+++ b/tests/gateway/soak.py
@@ -172,7 +172,7 @@
         self.extra_delay_s = 0.0
         self.runs: list[tuple[str, float]] = []
         self.lost_requests: list[str] = []
-        self.drained_at: float | None = None
+        self.drain_started_at: float | None = None
         super().__init__(lambda head: None)
         self.proxy = Proxy(self.address)
 
@@ -287,7 +287,7 @@
         self.items: dict[str, dict] = {}
         self.history: list[dict] = []
         self.revision = 1
-        self.oldest = 1
+        self.oldest_revision = 1
         self.server = StandInSearcher(self.respond)
         self.proxy = Proxy(self.server.address)
 
@@ -302,7 +302,7 @@
         """Drop the history, as the store does with old changes from time to time."""
         with self.changed:
             self.history.clear()
-            self.oldest = self.revision
+            self.oldest_revision = self.revision
 
     def _record_change(self, key: str, item: dict) -> None:
         with self.changed:
@@ -327,7 +327,7 @@
                 items = [self.items[key] for key in sorted(self.items)]
                 return self._make_response(200, {"items": items, "currentRev": self.revision})
             after = int(query["after"])
-            if after < self.oldest:
+            if after < self.oldest_revision:
                 return self._make_response(410, {})
             self.changed.wait_for(lambda: self.revision > after, int(query["waitMs"]) / 1000)
             events = [item for item in self.history if item["revision"] > after]
@@ -615,7 +615,7 @@
         for searcher in self.searchers:
             for request, at in searcher.runs:
                 runs[request].append(searcher.identity)
-                drain_started_at = searcher.drained_at
+                drain_started_at = searcher.drain_started_at
                 if (
                     drain_started_at is not None
                     and at > drain_started_at + DRAIN_S
@@ -722,9 +722,9 @@
 
     The service of bookings has few searchers, so they are chosen more often.
     """
-    used = [searcher for searcher in soak.searchers if searcher.drained_at is None]
-    orders = [searcher for searcher in used if searcher.service == "orders"]
-    return soak.rng.choice(orders if soak.rng.random() < 0.4 else used)
+    not_draining = [searcher for searcher in soak.searchers if searcher.drain_started_at is None]
+    orders = [searcher for searcher in not_draining if searcher.service == "orders"]
+    return soak.rng.choice(orders if soak.rng.random() < 0.4 else not_draining)
 
 
 def apply_proxy_fault(proxy: Proxy, soak: Soak) -> None:
@@ -746,10 +746,10 @@
 
 def replace_searcher(soak: Soak) -> None:
     """List a new searcher, drain an old one of the same service, and remove the old one."""
-    old = soak.rng.choice([s for s in soak.searchers if s.drained_at is None])
+    old = soak.rng.choice([s for s in soak.searchers if s.drain_started_at is None])
     soak.add_searcher(old.service, f"{old.service}-{len(soak.searchers)}")
     soak.list_searcher(old, "draining")
-    old.drained_at = time.monotonic()
+    old.drain_started_at = time.monotonic()
     time.sleep(1.0)
     soak.store.remove(f"servers/{old.identity}")
 
--- a/tests/gateway/test_response_matching.py
+++ b/tests/gateway/test_response_matching.py
@@ -57,7 +57,7 @@
 )
 from .test_buffers import UnreadInbox, connect_pair
 
-EXAMPLES = 400
+EXAMPLE_COUNT = 400
 MIN_STATUS_LINE_BYTES = 9
 """The length of ``HTTP/1.1`` and a space, the least from which a new response is recognized."""
 
@@ -111,7 +111,7 @@
         lines = [
             b"" if self.identity is None else b"x-id: %s\r\n" % self.identity.encode(),
             b"" if self.is_refusal else b"x-stamp: %s\r\n" % self.stamp.encode(),
-            self._framing(),
+            self._framing_header(),
             b"Server: stand-in\r\n",
             b"x-not-run: 1\r\n" if self.not_run else b"",
         ]
@@ -123,10 +123,10 @@
             return self.head + self.body
         half = len(self.body) // 2
         chunks = [part for part in (self.body[:half], self.body[half:]) if part]
-        sized = b"".join(b"%x\r\n%s\r\n" % (len(part), part) for part in chunks)
-        return self.head + sized + b"0\r\n\r\n"
+        encoded_chunks = b"".join(b"%x\r\n%s\r\n" % (len(part), part) for part in chunks)
+        return self.head + encoded_chunks + b"0\r\n\r\n"
 
-    def _framing(self) -> bytes:
+    def _framing_header(self) -> bytes:
         match self.framing:
             case Framing.LENGTH:
                 return b"Content-Length: %d\r\n" % len(self.body)
@@ -588,12 +588,12 @@
 class TestResponsesOfOneConnection:
     """Connections on which responses are truncated only when the connection ends."""
 
-    @settings(max_examples=EXAMPLES, deadline=None, derandomize=True)
+    @settings(max_examples=EXAMPLE_COUNT, deadline=None, derandomize=True)
     @given(exchange_lists(truncates_open=False))
     def test_each_call_gets_own_complete_response_or_none(self, planned_exchanges):
         run_and_check(*planned_exchanges)
 
-    @settings(max_examples=EXAMPLES // 4, deadline=None, derandomize=True)
+    @settings(max_examples=EXAMPLE_COUNT // 4, deadline=None, derandomize=True)
     @given(st.lists(responses("q"), min_size=1, max_size=4), st.sampled_from(DispatchTime))
     def test_each_call_gets_its_response_when_all_are_complete(
         self, drawn_responses, dispatch_time
@@ -623,7 +623,7 @@
 class TestTruncatedResponsesOnOpenConnections:
     """Searchers that stop within a response, keep the connection open and send another response."""
 
-    @settings(max_examples=EXAMPLES, deadline=None, derandomize=True)
+    @settings(max_examples=EXAMPLE_COUNT, deadline=None, derandomize=True)
     @given(exchange_lists(truncates_open=True))
     def test_each_call_gets_own_complete_response_or_none(self, planned_exchanges):
         run_and_check(*planned_exchanges)
@@ -854,7 +854,7 @@
 class TestQueries:
     """Queries whose responses come over connections that also carry other responses."""
 
-    @settings(max_examples=EXAMPLES // 2, deadline=None, derandomize=True)
+    @settings(max_examples=EXAMPLE_COUNT // 2, deadline=None, derandomize=True)
     @given(queries())
     def test_merged_reply_has_top_records_of_shards_that_it_names(self, plans):
         target = Shards(tuple(ServiceId(name) for name in plans), TOP_K, MIN_SHARD_RATIO)
