--- a/tests/gateway/soak.py
+++ b/tests/gateway/soak.py
@@ -29,7 +29,11 @@
 REPLICAS = 2
 CALLERS = 9
 DRAIN_S = 3.0
+"""How long a draining searcher may still be sent requests."""
+
 GRACE_S = 6.0
+"""The time from the request to stop a gateway until its process is killed."""
+
 SETTLE_S = 4.0
 """The time after the last fault at a gateway from which time limits apply to it again."""
 
@@ -54,8 +58,8 @@
 class ProxyMode(Enum):
     """What a proxy does to its connections.
 
-    It copies bytes in both directions, does so with a delay, resets the connections, stops copying
-    the bytes from the server, or stops copying in both directions.
+    It copies bytes in both directions, does so with a delay, resets the open connections, holds the
+    bytes from the server back, or holds the bytes of both directions back.
     """
 
     PASS = "pass"
@@ -66,7 +70,7 @@
 
 
 class Proxy:
-    """A loopback proxy for one server, which can delay, stop or reset its connections."""
+    """A loopback proxy for one server, which can delay, hold back or reset its connections."""
 
     def __init__(self, target: str) -> None:
         host, _, port = target.rpartition(":")
@@ -160,8 +164,8 @@
 
     ``fault_rate`` is the rate of faults beyond the base rates, and ``extra_delay_s`` the delay of
     each run in addition to 2 ms. ``runs`` has the id and the time of each request that was run, and
-    ``lost_requests`` the ids of those whose response was lost. ``drained_at`` is when the searcher
-    was listed as draining, if it was.
+    ``lost_requests`` the ids of those whose response was lost. ``drain_started_at`` is when the
+    searcher was listed as draining, if it was.
     """
 
     def __init__(self, identity: str, service: str, rng: random.Random) -> None:
@@ -195,6 +199,7 @@
                 late_bytes = planned.late_bytes
 
     def record_lost(self, request: str) -> None:
+        """Record that the response to a request that was run is lost."""
         if request not in self.lost_requests:
             self.lost_requests.append(request)
 
@@ -471,6 +476,7 @@
         self.check_replies()
 
     def add_searcher(self, service: str, identity: str) -> None:
+        """Start a searcher and list it as ready."""
         searcher = Searcher(identity, service, random.Random(f"{self.seed} {identity}"))
         self.searchers.append(searcher)
         self.list_searcher(searcher, "ready")
@@ -513,11 +519,15 @@
         self.version += 3
 
     def wait_ready(self) -> None:
+        """Wait until all gateways are ready, for at most 15 s.
+
+        :raises AssertionError: a gateway is not ready by then.
+        """
         deadline = time.monotonic() + 15
         for gateway in self.gateways:
             while not self.is_ready(gateway):
                 if time.monotonic() > deadline:
-                    raise AssertionError(f"{gateway.ip} is not ready")
+                    raise AssertionError(f"gateway {gateway.ip} is not ready")
                 time.sleep(0.05)
 
     def is_ready(self, gateway: GatewayProcess) -> bool:
@@ -666,7 +676,7 @@
             self.problems.append(f"{reply.request} is not the merge of the shards that it names")
 
     def was_disturbed(self, at: float) -> bool:
-        """Return whether a fault affected a gateway shortly before ``at``.
+        """Return whether the last fault of a gateway occurred shortly before ``at``, or later.
 
         Such a gateway may not know yet that a searcher is draining.
         """
@@ -698,7 +708,7 @@
 
 
 def break_store_link(soak: Soak) -> None:
-    """Disturb the connections of one gateway, or of all, to the store."""
+    """Apply a fault to the connections of one gateway, or of all, to the store."""
     proxy = soak.rng.choice([soak.store.proxy, *(g.store_proxy for g in soak.gateways)])
     for gateway in soak.gateways:
         gateway.disturbed_at = time.monotonic()
@@ -713,7 +723,7 @@
 
 
 def break_searcher_link(soak: Soak) -> None:
-    """Disturb the connections to one searcher."""
+    """Apply a fault to the connections to one searcher."""
     apply_proxy_fault(choose_searcher(soak).proxy, soak)
 
 
--- a/tests/gateway/test_response_matching.py
+++ b/tests/gateway/test_response_matching.py
@@ -58,8 +58,10 @@
 from .test_buffers import UnreadInbox, connect_pair
 
 EXAMPLE_COUNT = 400
+"""The number of drawn examples of the longest tests; the others use a part of it."""
+
 MIN_STATUS_LINE_BYTES = 9
-"""The length of ``HTTP/1.1`` and a space, the least from which a new response is recognized."""
+"""The length of ``HTTP/1.1`` and a space, the fewest bytes that show a new response."""
 
 
 class Framing(Enum):
