--- a/bench/connection/__init__.py
+++ b/bench/connection/__init__.py
@@ -1,4 +1,4 @@
-"""What lives for one connection: a caller's, and what links and messages cost."""
+"""Code for one connection: a caller's connection, and the costs of links and messages."""
 
 from ._caller import Caller as Caller
 from ._connection_memory import COUNTS as COUNTS
--- a/bench/connection/_caller.py
+++ b/bench/connection/_caller.py
@@ -1,4 +1,4 @@
-"""One caller's kept-alive connection, run as one task."""
+"""A caller that sends searches over one persistent connection, run as one task."""
 
 import http.client
 import json
@@ -11,13 +11,14 @@
 from bench.request import LOST, Arrival, Result
 
 TIMEOUT_SECONDS = 1.0
-"""A caller gives up on a silent host after this."""
+"""The time after which a caller gives up on a silent host."""
 
 SMALLEST_REMAINING_MS = 1.0
+"""The smallest caller timeout that is sent, also if the deadline has passed already."""
 
 
 def is_closed(connection: socket.socket) -> bool:
-    """Tell whether the host has closed an idle connection."""
+    """Return whether the host has closed an idle connection."""
     poller = select.poll()
     poller.register(connection, select.POLLIN)
     return bool(poller.poll(0))
@@ -25,10 +26,11 @@
 
 @dataclass
 class Caller:
-    """Sends each arrival that it takes from ``arrivals`` and notes what came of it.
+    """Sends each search that it draws from ``arrivals`` and records the result.
 
-    ``addresses`` starts with the caller's own host; the others stand in for the balancer's next
-    choice where that host refuses connections.
+    An arrival says when to send a search, in seconds after ``started_at``, and with which rank.
+    ``addresses`` begins with the caller's own host. The others stand for the next choices of a load
+    balancer if that host refuses connections.
     """
 
     addresses: list[str]
@@ -42,7 +44,7 @@
         self.results: list[Result] = []
 
     def run(self) -> list[Result]:
-        """Send until no arrival is left."""
+        """Send every arrival at its time and return the results."""
         for arrival in self.arrivals:
             due = self.started_at + arrival.at
             time.sleep(max(0.0, due - time.monotonic()))
@@ -52,7 +54,10 @@
         return self.results
 
     def send(self, arrival: Arrival, due: float) -> Result:
-        """Run one search; its latency counts from ``due``."""
+        """Send one search and return its result, with the latency counted from ``due``.
+
+        The deadline counts from ``due`` too, so a late start leaves less time for the search.
+        """
         lag_ms = (time.monotonic() - due) * 1000
         try:
             status, body = self._exchange(arrival.rank, self.deadline_ms - lag_ms)
--- a/bench/connection/_connection_memory.py
+++ b/bench/connection/_connection_memory.py
@@ -1,4 +1,7 @@
-"""Resident memory of connections and their tasks; each function wants a fresh process."""
+"""Measures the resident memory of connections and their tasks.
+
+Each measurement needs a new process, since a process keeps memory that it used before.
+"""
 
 import socket
 import threading
@@ -16,20 +19,26 @@
 from ._message_costs import heartbeat
 
 COUNTS = [50, 100, 200]
+"""Numbers of connections at which the memory is measured."""
+
 SETTLE_SECONDS = 0.5
+"""The wait before each measurement, in which the new tasks start."""
+
 MESSAGES = 5
+"""The number of messages that each end of a link sends."""
+
 CALL_TIMEOUT = Millis(5000.0)
 RESPONSE = b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n{}"
 
 
 def resident_bytes(pid: str = "self") -> float:
-    """Return the resident memory of a process."""
+    """Return the resident memory of a process in bytes."""
     lines = Path(f"/proc/{pid}/status").read_text().splitlines()
     return next(float(line.split()[1]) * 1024 for line in lines if line.startswith("VmRSS"))
 
 
 def measure_growth(add: Callable[[], None]) -> list[float]:
-    """Return the resident memory at each of :data:`COUNTS` calls of ``add``."""
+    """Return the resident memory of this process after each of :data:`COUNTS` calls of ``add``."""
     sizes = []
     done = 0
     for count in COUNTS:
@@ -42,7 +51,10 @@
 
 
 def link_memory() -> list[float]:
-    """Grow by peer connections with a reading task at each of the two ends."""
+    """Measure the memory at growing numbers of links between hosts.
+
+    Each link has a reading task at both of its ends, which are both in this process.
+    """
     tasks = ThreadPoolExecutor(2 * max(COUNTS))
     listener = socket.create_server(("127.0.0.1", 0))
     ends: list[FrameSocket] = []
@@ -71,7 +83,10 @@
 
 
 def searcher_connection_memory() -> list[float]:
-    """Grow by connections to a searcher, each used once, with a task that waits for work."""
+    """Measure the memory at growing numbers of connections to a searcher.
+
+    Each connection is used once, and then its task waits for work.
+    """
     listener = socket.create_server(("127.0.0.1", 0), backlog=256)
     address = Address(f"127.0.0.1:{listener.getsockname()[1]}")
     accepted: list[socket.socket] = []
--- a/bench/connection/_message_costs.py
+++ b/bench/connection/_message_costs.py
@@ -1,4 +1,4 @@
-"""What a message between two hosts costs: bytes on the wire and processor time at both ends."""
+"""Measures messages between two hosts: bytes on the wire and processor time at both ends."""
 
 import socket
 from collections.abc import Callable
@@ -22,14 +22,18 @@
 from masticgate.version import Versions
 
 SIZES = [1, 5, 20]
+"""Numbers of items in a message."""
+
 HITS = 10
 LENGTH_PREFIX_BYTES = 4
+"""The bytes before each message that give its length."""
+
 QUERY = QueryId("host-0001-0123456789abcdef")
 VERSIONS = Versions(Revision(1000), SnapshotVersion(1000))
 
 
 def ask(parts: int) -> Message:
-    """Return an ask for ``parts`` services."""
+    """Return an ask, the request to an owner, for ``parts`` services."""
     return Ask(
         QUERY,
         Rank.STANDARD,
@@ -45,7 +49,7 @@
 
 
 def reply(hits: int) -> Message:
-    """Return one searcher's reply of ``hits`` hits."""
+    """Return the reply of one service with ``hits`` hits."""
     found = tuple(Hit(f"document-{n}", 0.5, ShardId("s0"), '{"title":"lamp"}') for n in range(hits))
     return Reply(
         QUERY,
@@ -55,17 +59,17 @@
 
 
 def heartbeat(members: int) -> Message:
-    """Return a heartbeat that tells ``beliefs`` changed beliefs."""
+    """Return a heartbeat that carries updates about ``members`` hosts."""
     return Heartbeat(1000, VERSIONS, tuple(member_entry(n) for n in range(members)))
 
 
 def digest_heartbeat() -> Message:
-    """Return a heartbeat that tells nothing but a digest."""
+    """Return a heartbeat that carries only a digest of the membership table."""
     return Heartbeat(1000, VERSIONS, (), tuple(range(2**31, 2**31 + 64)))
 
 
 def pressure(services: int) -> Message:
-    """Return an owner's pressure on ``services`` services."""
+    """Return an owner's report of the pressure on ``services`` services."""
     shares = (1.0, 0.5, 0.1)
     return Pressure(
         tuple(ServicePressure(ServiceId(f"safety-desk/{n}"), shares) for n in range(services))
@@ -73,7 +77,7 @@
 
 
 def member_entry(number: int) -> Member:
-    """Return one belief about one host."""
+    """Return the entry of one host in the membership table."""
     return Member(
         HostId(f"host-{number:04}"),
         Address(f"127.0.0.1:{7000 + number}"),
@@ -84,7 +88,7 @@
 
 
 def wire_bytes(message: Message) -> float:
-    """Return the bytes that a message takes on the wire."""
+    """Return the number of bytes that a message takes on the wire."""
     return float(len(encode_message(message)) + LENGTH_PREFIX_BYTES)
 
 
--- a/bench/process/__init__.py
+++ b/bench/process/__init__.py
@@ -1,1 +1,1 @@
-"""What lives for a process: the load processes, the bench and the demo."""
+"""Programs that run as processes of their own: the load generator, the bench and the demo."""
--- a/bench/process/_capacity_page.py
+++ b/bench/process/_capacity_page.py
@@ -1,4 +1,4 @@
-"""The tables of ``docs/CAPACITY.md`` and their places in the page."""
+"""The tables of ``docs/CAPACITY.md``, and the code that inserts them into the page."""
 
 import re
 
@@ -19,10 +19,11 @@
 
 PAGE = ROOT / "docs" / "CAPACITY.md"
 TABLE = re.compile(r"<!-- table: (?P<name>[a-z -]+) -->\n.*?<!-- end -->", re.DOTALL)
+"""Matches the place of one table in the page, with the table that is there now."""
 
 
 def tables(slopes: Slopes) -> dict[str, str]:
-    """Return every table by its name in the page."""
+    """Return every table as Markdown, by its name in the page."""
     roles = {f"role {name}": role_table(rows) for name, rows in all_rows(slopes).items()}
     return roles | {
         "derived": derived_table(),
@@ -38,9 +39,9 @@
 
 
 def fill(page: str, contents: dict[str, str]) -> str:
-    """Return ``page`` with each table in its place.
+    """Return ``page`` with each table replaced by the one of its name in ``contents``.
 
-    :raises KeyError: the page names a table that there is not.
+    :raises KeyError: ``contents`` has no table of a name that the page uses.
     """
 
     def place(match: re.Match[str]) -> str:
@@ -51,7 +52,7 @@
 
 
 def slope_table(slopes: Slopes) -> str:
-    """Return every slope with its fit."""
+    """Return the table of the measured costs, each with its straight line and how well it fits."""
     rows = []
     for line in slopes.figures["slopes"].values():
         unit = {"us": "µs", "bytes": "B"}[line["unit"]]
@@ -67,7 +68,7 @@
 
 
 def today_table(slopes: Slopes) -> str:
-    """Return what a host costs today, measured in fleets."""
+    """Return the table of what a host of each measured fleet used on average."""
     rows = []
     for name, use in slopes.figures["fleets"].items():
         rows.append(
--- a/bench/process/_comparison.py
+++ b/bench/process/_comparison.py
@@ -1,4 +1,7 @@
-"""What the two routings did in one run, side by side, and their work against saturation."""
+"""Compares the results of the two routings in one run of the bench.
+
+The routings are ``owner``, called new here, and the baseline ``naive``.
+"""
 
 from dataclasses import dataclass
 
@@ -8,7 +11,10 @@
 
 @dataclass(frozen=True)
 class Row:
-    """One scenario on one deployment: new beside naive; ``None`` where not run."""
+    """The figures of one rank in one scenario on one deployment, for both routings.
+
+    A figure is ``None`` if that routing was not run.
+    """
 
     deployment: str
     scenario: str
@@ -18,13 +24,16 @@
     whole_new: float | None
     whole_naive: float | None
     kept_new: float | None
-    """Work finished over the work finished at saturation, of the same routing; for floods."""
+    """In a flood, the finished work divided by what the same routing finished at saturation.
+
+    It is ``None`` in other scenarios, and if the scenario at saturation was not run.
+    """
 
     kept_naive: float | None
 
 
 def compare(trials: list[Trial]) -> list[Row]:
-    """Return a row for each deployment, scenario and rank."""
+    """Return one row for each deployment, scenario and rank in ``trials``."""
     trials_by_key = {(t.deployment, t.scenario, t.routing): t for t in trials}
     rows: list[Row] = []
     for deployment, scenario in dict.fromkeys((t.deployment, t.scenario) for t in trials):
--- a/bench/process/_control_fleet.py
+++ b/bench/process/_control_fleet.py
@@ -1,4 +1,7 @@
-"""Fleets whose hosts count their control work, idle and under load."""
+"""Measures what hosts use for control work, in idle fleets and under load.
+
+Control work is all that a host does besides requests: membership, configuration, pressure.
+"""
 
 import json
 import sys
@@ -15,15 +18,26 @@
 from .counted_host import REQUEST_MESSAGES
 
 FLEET_SIZES = [3, 7, 15, 30]
+"""Numbers of hosts of the idle fleets."""
+
 IDLE_SECONDS = 8.0
+"""The length of the window in which the use is measured."""
+
 SETTLE_SECONDS = 5.0
+"""The wait before the window, in which the hosts start and connect."""
+
 BUSY_RATES = {"urgent": 2.0, "standard": 14.0, "bulk": 4.0}
-"""Wide queries a second over the whole fleet, each to 20 services."""
+"""Queries a second to the whole fleet by rank; each fans out to 20 services."""
 
 
 @dataclass(frozen=True)
 class HostUse:
-    """What one host used a second, on the average of its fleet."""
+    """What one host used per second, averaged over its fleet.
+
+    CPU is in seconds per second, that is in cores, and ``control_sent``, ``work_sent`` and
+    ``sent_by_kind`` in bytes per second. ``resident`` is the memory in bytes and ``threads`` the
+    number of threads at the end. ``by_kind`` gives the CPU by kind of message or task.
+    """
 
     hosts: int
     control_cpu: float
@@ -37,7 +51,7 @@
 
 
 class CountedFleet(Fleet):
-    """A fleet of hosts that write down what their control work costs."""
+    """A fleet whose hosts run as :mod:`.counted_host` and write what their work costs to files."""
 
     def _spawn(self, name: str, command: list[str]) -> None:
         if "serve" in command:
@@ -46,13 +60,13 @@
         super()._spawn(name, command)
 
     def counts(self) -> list[dict[str, Any]]:
-        """Return what each host last wrote."""
+        """Return the counts that each host wrote last."""
         paths = [self.folder / f"{host['host']}.counts" for host in self.hosts]
         return [json.loads(path.read_text()) for path in paths]
 
 
 def measure_idle_fleet(hosts: int) -> HostUse:
-    """Run a small fleet without requests."""
+    """Return what a host uses in a fleet of ``hosts`` hosts with a small text and no requests."""
     with CountedFleet(SMALL, hosts) as fleet:
         time.sleep(SETTLE_SECONDS)
         before = fleet.counts()
@@ -61,7 +75,10 @@
 
 
 def measure_kerala_fleet(*, busy: bool) -> HostUse:
-    """Run today's larger deployment, 7 hosts and 108 searchers, idle or under load."""
+    """Return what a host uses in the deployment kerala, idle or under load.
+
+    This is the larger of today's deployments, with 7 hosts and 108 searchers.
+    """
     deployment = DEPLOYMENTS["kerala"]
     with CountedFleet(
         deployment.text, deployment.hosts, searcher_processes=2, knobs=SEARCHER_KNOBS
--- a/bench/process/_control_roles.py
+++ b/bench/process/_control_roles.py
@@ -1,21 +1,29 @@
-"""What the roles of control hold, send and compute at the target: watcher, relay, member."""
+"""Forecasts what the control roles of a host hold, send and compute at the target size.
+
+A watcher reads the platform, a relay passes configurations on to peers, and a member maintains the
+membership of the hosts. Each role is a list of rows whose factors come from the target and from the
+measured slopes.
+"""
 
 from . import _target as target
 from ._rows import Factor, Row, State, Unit
 
 SECONDS_PER_MICRO = 1e-6
 HOST_LIST_READS_A_SECOND = 0.5
-"""Reads a second of the host list by a watcher."""
+"""The rate at which a watcher reads the host list."""
 
 KEY_READS_A_SECOND = 0.1
-"""Reads a second of both keys by a watcher where nothing changes."""
+"""The rate at which a watcher reads its two watched keys together if nothing changes."""
 
 HEARTBEATS_A_SECOND = 1.0
+"""The rate of heartbeats to each neighbour in a large fleet."""
+
 DIGESTS_A_SECOND = 0.25
+"""The rate of digests of the usable hosts, each to one neighbour in turn."""
 
 
 def watcher_rows(slopes: target.Slopes) -> list[Row]:
-    """Return what a watcher of the platform does beyond a member."""
+    """Return the costs of a watcher of the platform, besides those of every host."""
     changes = Factor(target.CHANGES_A_SECOND, "changes/s")
     text = slopes.text_bytes()
     lists = Factor(HOST_LIST_READS_A_SECOND, "reads/s")
@@ -92,7 +100,7 @@
 
 
 def relay_rows(slopes: target.Slopes) -> list[Row]:
-    """Return what every host does with a configuration that peers pass on."""
+    """Return the costs of every host for a configuration that its peers relay."""
     changes = Factor(target.CHANGES_A_SECOND, "changes/s")
     links = Factor(2 * target.PEERS_A_HOST, "messages")
     return [
@@ -154,7 +162,7 @@
 
 
 def member_rows(slopes: target.Slopes) -> list[Row]:
-    """Return what every host does to know the others."""
+    """Return the costs of every host for the membership table."""
     messages = Factor(2 * target.NEIGHBOURS * HEARTBEATS_A_SECOND, "heartbeats and replies/s")
     updates = Factor(
         target.MEMBER_UPDATES_A_DAY / target.SECONDS_A_DAY * target.SENDS_PER_UPDATE, "beliefs/s"
--- a/bench/process/_cpu.py
+++ b/bench/process/_cpu.py
@@ -1,4 +1,4 @@
-"""Processor time of running processes, to see when the machine is the limit."""
+"""Processor time of running processes, which shows when the machine limits a trial."""
 
 import os
 from pathlib import Path
@@ -10,20 +10,25 @@
 MACHINE = "machine"
 STOLEN = "stolen"
 TICKS_A_SECOND = os.sysconf("SC_CLK_TCK")
+"""The unit of the figures in ``/proc``."""
+
 USER_TICKS, SYSTEM_TICKS = 11, 12
-"""Places in ``/proc/PID/stat`` after the command's closing bracket."""
+"""Indices of fields in ``/proc/PID/stat``, counted after the bracket that closes the command."""
 
 IDLE_TICKS = slice(3, 5)
 STOLEN_TICKS = 7
 ALL_TICKS = 8
-"""Places in the first line of ``/proc/stat``; guests' ticks after them are counted twice there."""
+"""Indices of fields in the first line of ``/proc/stat``; ``ALL_TICKS`` is the end of the sum.
+
+The fields after it are the ticks of guests, which the fields before it already include.
+"""
 
 KINDS = {"host": "h", "searchers": "searchers", "platform": "platform", "load": "load"}
-"""Kinds of processes, by the beginning of their names."""
+"""The prefix of the names of processes, for each kind of process."""
 
 
 def cpu_seconds(pid: int) -> float:
-    """Return the processor seconds that a process has used, 0 where it has ended."""
+    """Return the processor seconds that a process has used, or 0 if it has ended."""
     try:
         stat = Path(f"/proc/{pid}/stat").read_text()
     except OSError:
@@ -33,9 +38,9 @@
 
 
 def machine_seconds() -> dict[str, float]:
-    """Return the core seconds that the machine was busy, and those that it asked for in vain.
+    """Return the core seconds that this machine was busy, and those that were stolen from it.
 
-    The latter went to other virtual machines of the same computer.
+    Stolen time is what this virtual machine was ready to use while the computer ran others.
     """
     ticks = [int(value) for value in Path("/proc/stat").read_text().splitlines()[0].split()[1:]]
     stolen = ticks[STOLEN_TICKS]
@@ -44,7 +49,7 @@
 
 
 def cpu_by_process(fleet: Fleet, load: Load) -> dict[str, float]:
-    """Return the processor seconds of each process so far, and of the whole machine."""
+    """Return the processor seconds so far of each process of a trial, and of the whole machine."""
     used = machine_seconds()
     used |= {name: cpu_seconds(process.pid) for name, process in fleet.processes.items()}
     for number, process in enumerate(load.processes):
@@ -53,10 +58,11 @@
 
 
 def busiest(before: dict[str, float], after: dict[str, float], seconds: float) -> dict[str, float]:
-    """Return the largest use of each kind of process, and what the rest used, in cores.
+    """Return the use of the busiest process of each kind, and the totals, in cores.
 
-    Where all together need more than the machine's cores, or cores are stolen, the machine is the
-    limit.
+    ``before`` and ``after`` are results of :func:`cpu_by_process`, taken ``seconds`` apart. If the
+    totals reach the number of the machine's cores, or cores were stolen, the machine limited the
+    trial.
     """
 
     def use(name: str) -> float:
--- a/bench/process/_demo_run.py
+++ b/bench/process/_demo_run.py
@@ -1,4 +1,7 @@
-"""One deployment's part of the demo: requests, a departure, a lost searcher, all audited."""
+"""The demo on one deployment: requests, a lost searcher and a leaving department.
+
+Each answer is printed and checked against the searchers' own logs.
+"""
 
 import time
 from dataclasses import dataclass, field
@@ -15,20 +18,23 @@
 HOSTS = 3
 DEADLINE_MS = 230.0
 IN_FORCE_SECONDS = 5.0
+"""The timeout for an edited text to come into force on every host."""
+
 MS_PER_SECOND = 1000
 SHOWN_SERVICES = 2
+"""The number of missing services that a line names; more are only counted."""
 
 
 @dataclass
 class DemoRun:
-    """Runs requests against one fleet, prints each answer and keeps what was untrue."""
+    """Runs requests against one fleet, prints each answer and collects what was wrong with them."""
 
     fleet: Fleet
     deployment: Deployment
     problems: list[str] = field(default_factory=list)
 
     def run(self) -> list[str]:
-        """Run all steps; return what was untrue."""
+        """Run all steps and return the problems that were found."""
         events = EventRunner(self.fleet, self.deployment)
         self.search_each_rank()
         self.book_once()
@@ -43,13 +49,13 @@
         return self.problems
 
     def search_each_rank(self) -> None:
-        """Search with each rank, each through another host."""
+        """Search once with each rank, each through another host."""
         self.search(0, "urgent", self.deployment.wide_service)
         self.search(1, "standard", self.deployment.history_service)
         self.search(2, "bulk", self.deployment.history_service)
 
     def search(self, host: int, rank: str, service: str) -> None:
-        """Search once, print the answer and audit it."""
+        """Search once, print the answer and check it."""
         begin = time.monotonic()
         reply = self.fleet.search(host, [service], rank=rank, remaining_ms=DEADLINE_MS)
         latency = (time.monotonic() - begin) * MS_PER_SECOND
@@ -64,7 +70,7 @@
         )
 
     def search_departed(self, events: EventRunner) -> None:
-        """Search the department that left: it must be refused, and must truly not run."""
+        """Check that a search of the department that left is refused and reaches no searcher."""
         before = events.count("received", self.deployment.leaving_department)
         reply = self.fleet.search(0, [self.deployment.leaving_department], remaining_ms=DEADLINE_MS)
         click.echo(
@@ -77,7 +83,10 @@
             self.report_problems("departure", ["a department that left received new work"])
 
     def book_once(self) -> None:
-        """Book with one ticket, and retry through another host: it must run once."""
+        """Check that a booking that is retried through another host runs once.
+
+        Both attempts use the same ticket, which identifies the booking.
+        """
         service = self.deployment.booking_service
         ticket = self.fleet.mint(0)
         for host in (0, 1):
@@ -96,7 +105,7 @@
             self.report_problems("booking", [f"the booking ran {len(ran)} times"])
 
     def wait_until_in_force(self) -> None:
-        """Wait until every host knows that the department leaves."""
+        """Wait until the text that marks the department as leaving is in force on every host."""
         department = self.deployment.leaving_department
         self.fleet.wait_until(
             lambda: all(department in self.fleet.status(n)["leaving"] for n in range(HOSTS)),
@@ -105,7 +114,10 @@
         )
 
     def needed_shards(self, service: str) -> dict[str, float]:
-        """Return the weight of each shard that a search of ``service`` needs."""
+        """Return the weight of each shard that a search of ``service`` needs.
+
+        These are the shards of the service and of all services that it depends on.
+        """
         services = self.fleet.configuration.services
         shards: dict[str, dict[str, float]] = self.fleet.snapshots[0]["shards"]
         pending, seen = [service], {service}
@@ -116,7 +128,7 @@
         return {shard: weight for name in seen for shard, weight in shards.get(name, {}).items()}
 
     def logged_searches(self) -> list[LoggedSearch]:
-        """Return all that the searchers say they searched."""
+        """Return the searches in the logs of all searchers."""
         return [
             LoggedSearch(entry["query"], entry["snapshot"], tuple(entry["shards"]))
             for searcher in self.fleet.searchers().values()
@@ -124,14 +136,14 @@
         ]
 
     def report_problems(self, step: str, problems: list[str]) -> None:
-        """Keep and print what was untrue."""
+        """Print ``problems`` of one step and add them to the list."""
         for problem in problems:
             self.problems.append(f"{step}: {problem}")
-            click.echo(f"    UNTRUE: {problem}")
+            click.echo(f"    INCORRECT: {problem}")
 
 
 def describe_answer(body: dict[str, Any]) -> str:
-    """Return an answer's snapshot and coverage, and what was missing, for a person."""
+    """Return a line of text with an answer's snapshot, its coverage and what was missing."""
     text = f"snapshot {body['snapshot']}  coverage {body['coverage']:7.2%}  "
     if body["whole"]:
         return text + f"whole, {len(body['hits'])} best hits"
@@ -144,19 +156,19 @@
 
 
 def describe_missing(reason: str, services: list[str]) -> str:
-    """Return the services that are missing for one reason, the first ones by name."""
+    """Return a text that names the first services missing for ``reason`` and counts the others."""
     more = len(services) - SHOWN_SERVICES
     named = ", ".join(services[:SHOWN_SERVICES]) + (f" and {more} more" if more > 0 else "")
     return f"{named} ({reason})"
 
 
 def describe_refusal(body: dict[str, Any]) -> str:
-    """Return what did not happen, and why."""
+    """Return the message that says why the request did not run."""
     return str(body["message"])
 
 
 def describe_booking(body: dict[str, Any]) -> str:
-    """Return what became of a booking."""
+    """Return a text with the outcome of a booking."""
     if body["outcome"] == "ran":
         return f"ran, at {body['result']['searcher']}"
     return describe_refusal(body)
--- a/bench/process/_events.py
+++ b/bench/process/_events.py
@@ -1,4 +1,4 @@
-"""What happens to a fleet in the middle of a load."""
+"""Faults and changes that a scenario makes happen to a fleet under load."""
 
 import signal
 import time
@@ -10,41 +10,45 @@
 
 OLD_SNAPSHOT, NEW_SNAPSHOT = 1, 2
 SHARDS_AFTER_REPARTITION = 3
+"""The number of shards of each service in the new snapshot."""
+
 HELD_BOTH_SECONDS = 1.5
+"""How long the searchers hold the old snapshot besides the new one."""
+
 LEAVING_SECONDS = 3.0
-"""After this long an upstream that leaves receives no new work."""
+"""The time after which an upstream that leaves must receive no new work."""
 
 
 @dataclass(frozen=True)
 class LoseSearcher:
-    """One searcher of the wide group refuses connections from now on."""
+    """One searcher of the wide service refuses connections from now on."""
 
 
 @dataclass(frozen=True)
 class Repartition:
-    """A snapshot with other shards is published; later the old one is held nowhere."""
+    """A snapshot with other shards is published, and later no searcher holds the old one."""
 
 
 @dataclass(frozen=True)
 class PauseHost:
-    """The last host's process stops for a while."""
+    """The process of the last host is paused by a signal for ``seconds``."""
 
     seconds: float = 2.0
 
 
 @dataclass(frozen=True)
 class KillHost:
-    """The last host's process ends at once; the platform's list does not tell."""
+    """The process of the last host is killed, while the platform's host list still names it."""
 
 
 @dataclass(frozen=True)
 class PlatformDown:
-    """The configuration service and the host list answer nothing from now on."""
+    """The configuration service and the host list respond to nothing from now on."""
 
 
 @dataclass(frozen=True)
 class Depart:
-    """A department is marked as leaving in the text."""
+    """A department is marked as leaving in the operators' text."""
 
 
 Event = LoseSearcher | Repartition | PauseHost | KillHost | PlatformDown | Depart
@@ -52,7 +56,12 @@
 
 @dataclass
 class EventRunner:
-    """Runs the events of one trial, and keeps what is counted of them."""
+    """Makes the event of one trial happen, and counts the searches that it should have ended.
+
+    ``started_at_departure`` is the number of searches that the leaving department had started by
+    the time at which it must receive no new work, and ``work_after_leaving`` is the number of those
+    that it started later, or ``None`` if no department left.
+    """
 
     fleet: Fleet
     deployment: Deployment
@@ -60,7 +69,7 @@
     started_at_departure: int = field(default=0)
 
     def run(self, event: Event) -> None:
-        """Make ``event`` happen; it returns when the event is over."""
+        """Make ``event`` happen, and return when it is over."""
         fleet = self.fleet
         match event:
             case LoseSearcher():
@@ -83,13 +92,16 @@
                 )
 
     def finish(self, event: Event) -> None:
-        """Measure, after the load, what ``event`` left behind."""
+        """Count the effects of ``event`` once the load has ended."""
         if isinstance(event, Depart):
             started = self.count("started", self.deployment.leaving_department)
             self.work_after_leaving = started - self.started_at_departure
 
     def count(self, counter: str, group: str) -> int:
-        """Return a count over all searchers of the services whose names begin with ``group``."""
+        """Return the sum of one counter over the searchers of a group of services.
+
+        The group is those services whose ids begin with ``group``.
+        """
         return sum(
             searcher["counts"].get(counter, 0)
             for searcher in self.fleet.searchers(logs=False).values()
--- a/bench/process/_figures.py
+++ b/bench/process/_figures.py
@@ -1,4 +1,7 @@
-"""Figures of one run, by rank, from the results of its arrivals."""
+"""Computes the figures of each rank from the results of a run's arrivals.
+
+An arrival is one search that a load process sends at a time drawn before the run.
+"""
 
 from collections import Counter
 from collections.abc import Iterable
@@ -9,20 +12,27 @@
 from bench.request import Result
 
 MAX_LATENCY_US = 10_000_000
+"""The longest latency that the histogram distinguishes; longer ones count as this."""
+
 SIGNIFICANT_FIGURES = 3
 PERCENTILES = (50.0, 99.0, 99.9)
 US_PER_MS = 1000
 RAN = "ran"
 NOT_RUN = "not_run"
 DEPARTED_REASONS = {"department_left"}
+"""If only these reasons explain the missing shards, an answer counts as whole."""
 
 
 @dataclass(frozen=True)
 class RankFigures:
-    """One rank's figures; times in milliseconds, rates a second, shares of its arrivals.
-
-    ``p50`` to ``p999`` are of answers that ran. ``capped_p99`` is of all arrivals, where all that
-    is not a whole answer counts as the deadline.
+    """The figures of one rank, with times in milliseconds.
+
+    ``p50`` to ``p999`` are percentiles of the latency of the searches that ran. ``capped_p99`` is
+    the 99th percentile over all arrivals; one without a whole answer in time counts as the
+    deadline. ``whole``, ``refused``, ``lost`` and ``late`` are shares of the arrivals, and
+    ``coverage`` is the mean over them. ``offered``, ``whole_rate`` and ``finished_rate`` are
+    numbers per second; the last counts each answer by its coverage. ``reasons`` counts why
+    searches did not run or shards were missing.
     """
 
     rank: str
@@ -42,7 +52,7 @@
 
 
 def percentiles_ms(latencies: Iterable[float]) -> list[float]:
-    """Return the p50, p99 and p99.9 of ``latencies``."""
+    """Return the 50th, 99th and 99.9th percentile of ``latencies`` in milliseconds."""
     histogram = HdrHistogram(1, MAX_LATENCY_US, SIGNIFICANT_FIGURES)
     for latency in latencies:
         histogram.record_value(min(MAX_LATENCY_US, max(1, int(latency * US_PER_MS))))
@@ -50,14 +60,14 @@
 
 
 def is_whole(result: Result) -> bool:
-    """Tell whether an answer lacks nothing but what departments took with them."""
+    """Return whether an answer lacks nothing, or only shards of departments that left."""
     return result.whole or (result.outcome == RAN and set(result.missing) == DEPARTED_REASONS)
 
 
 def rank_figures(
     rank: str, results: list[Result], seconds: float, deadline_ms: float
 ) -> RankFigures:
-    """Return the figures of one rank over a window of ``seconds``."""
+    """Return the figures of one rank from its results in a window of ``seconds``."""
     count = max(1, len(results))
     ran = [r for r in results if r.outcome == RAN]
     whole = [r for r in ran if is_whole(r) and r.latency_ms <= deadline_ms]
@@ -86,5 +96,8 @@
 
 
 def lag_p99_ms(results: list[Result]) -> float:
-    """Return the 99th percentile of how late the load processes themselves sent."""
+    """Return the 99th percentile of the delay with which the load processes sent their requests.
+
+    A large one means that the load processes, and not the fleet, were slow.
+    """
     return percentiles_ms(r.lag_ms for r in results)[1]
--- a/bench/process/_forecast.py
+++ b/bench/process/_forecast.py
@@ -1,4 +1,8 @@
-"""The forecast against each budget, the sizes at which things break, and what failures cost."""
+"""Tables of the forecast: each budget, the size at which each limit is reached, failures.
+
+The figures follow from the target size in :mod:`._target` and the measured slopes. A slope is the
+straight line through a cost that was measured at several sizes.
+"""
 
 from math import ceil, log
 
@@ -12,40 +16,62 @@
 from ._rows import Row, Unit, format_measure, format_number, markdown_table
 
 MAX_CALLERS = 256
+"""The number of callers' connections to one host, each with a task."""
+
 MICROS_PER_SECOND = 1e6
 FRAME_BYTES_LIMIT = 4e6
+"""The size limit of one message between hosts."""
+
 OUTAGE_READS_PER_HOST = 3 / 5
+"""Reads of the platform per second by a host that is cut off while the platform is down."""
+
 WATCH_DELAY_SECONDS = 0.2
+"""The delay of a watch after each new value, before it reads the next one."""
+
 NETWORK_HOP_SECONDS = 0.001
+"""The time for one message between hosts."""
+
 MESSAGES_PER_RELAY = 3
-"""Crossings of the network for one relay: announcement, question, sections."""
+"""Messages that one relay of a change needs: announcement, request and sections."""
 
 DETECTION_SECONDS = 7.0
+"""The time until a failed host is detected."""
+
 TIGHT_RATIO = 0.8
-"""From this part of a budget on, a forecast is marked as tight."""
+"""A forecast is marked as tight from this share of its budget."""
 
 BUDGET_HEADS = ["budget", "allowed", "forecast", "verdict"]
 
 
 def control_rows(slopes: target.Slopes, unit: Unit, roles: tuple[str, ...]) -> list[Row]:
-    """Return the rows of control of some roles."""
+    """Return the rows in ``unit`` that count as control work, of the given roles."""
     rows = all_rows(slopes)
     return [row for role in roles for row in rows[role] if row.control and row.unit is unit]
 
 
 def control_sum(slopes: target.Slopes, unit: Unit, *, watcher: bool) -> float:
-    """Return the sum of a host's control; bytes are those sent, but for a watcher's reads."""
+    """Return the sum of the control work of a host in ``unit``.
+
+    Bytes are those that the host sends; a watcher adds the bytes that it reads.
+    """
     roles = ("entry", "relay", "member") + (("watcher",) if watcher else ())
     return sum(row.value for row in control_rows(slopes, unit, roles))
 
 
 def relay_hops() -> int:
-    """Return the hops from the watchers to the last host, each told by its neighbours."""
+    """Return the number of relays from a watcher to the host that a change reaches last.
+
+    Each host passes the change to its neighbours.
+    """
     return ceil(log(target.HOSTS / target.WATCHERS, target.NEIGHBOURS)) + 1
 
 
 def change_steps(slopes: target.Slopes) -> list[tuple[str, float, float]]:
-    """Return each step of a change of configuration: now, and with the table worked out last."""
+    """Return the steps of a configuration change and their seconds, in two orders.
+
+    The first number applies to today's order. The second one applies if each host announces the
+    change to its peers before it computes its owner table.
+    """
     apply_delta, table, accept_text = (
         slopes.apply_seconds(),
         slopes.table_seconds(),
@@ -66,7 +92,7 @@
 
 
 def change_table(slopes: target.Slopes) -> str:
-    """Return the split of the time until a change is in force everywhere."""
+    """Return the table of the steps until a configuration change is in force on every host."""
     lines = change_steps(slopes)
     rows = [[what, f"{now:.2f} s", f"{deferred:.2f} s"] for what, now, deferred in lines]
     rows.append(
@@ -82,7 +108,7 @@
 
 
 def budget_table(slopes: target.Slopes) -> str:
-    """Return each budget against its forecast."""
+    """Return the table of each budget, its forecast and the verdict."""
     owner = {row.label: row.value for row in all_rows(slopes)["owner"]}
     entry = all_rows(slopes)["entry"]
     process = sum(r.value for r in entry if r.unit is Unit.CORE) + owner["CPU, sub-queries"]
@@ -140,14 +166,17 @@
 
 
 def verdict(ratio: float) -> str:
-    """Return how a forecast stands to its budget; red lines are plain to see."""
+    """Return how a forecast compares with its budget, from the ratio of the two.
+
+    A coloured mark makes an exceeded budget easy to see.
+    """
     if ratio > 1.0:
         return f"🔴 **red: {format_number(ratio)} times the budget**"
     return f"🟡 tight: {ratio:.0%}" if ratio >= TIGHT_RATIO else f"🟢 {ratio:.0%}"
 
 
 def break_table(slopes: target.Slopes) -> str:
-    """Return the size at which each part of the present design ends."""
+    """Return the table of the size at which each limit of the present design is reached."""
     searchers_in_value = (
         target.VALUE_BYTES_LIMIT - slopes.value_at("text_bytes", 0)
     ) / slopes.slope("text_bytes")
@@ -197,7 +226,7 @@
 
 
 def failure_table(slopes: target.Slopes) -> str:
-    """Return what failures cost one host."""
+    """Return the table of what failures, replacements and network splits cost one host."""
     table = slopes.table_seconds()
     rows = []
     for what, changes in (
@@ -230,7 +259,7 @@
 
 
 def derived_table() -> str:
-    """Return what follows from the target for one host."""
+    """Return the table of the loads and sizes that follow from the target for one host."""
     rows = [
         [
             "services",
@@ -277,7 +306,11 @@
 
 
 def latency_table(slopes: target.Slopes) -> str:
-    """Return the split of the 99th percentile, beside the processor time that each step needs."""
+    """Return the table of the latency budget.
+
+    It divides the 99th percentile among the steps of a query, beside the processor time that each
+    of them needs on an idle core.
+    """
     request_cpu = slopes.value_at("entry", 0) / 1e3
     asks_cpu = (
         target.OWNERS_A_QUERY * slopes.value_at("ask", target.FAN_OUT / target.OWNERS_A_QUERY) / 2e3
@@ -307,7 +340,7 @@
 
 
 def check_table(slopes: target.Slopes) -> str:
-    """Return what the slopes say of the busy fleet beside what was measured there."""
+    """Return the table that compares the slopes with what was measured in the busy fleet."""
     idle, busy = slopes.figures["fleets"]["kerala idle"], slopes.figures["fleets"]["kerala busy"]
     fan_out = DEPLOYMENTS["kerala"].fan_out
     rate = sum(BUSY_RATES.values()) / busy["hosts"]
--- a/bench/process/_host_costs.py
+++ b/bench/process/_host_costs.py
@@ -1,4 +1,4 @@
-"""What a host's own state costs, in a host that is put together but not started."""
+"""Measures the cost of a host's own state, in a host that is built but not started."""
 
 import tracemalloc
 from collections.abc import Callable
@@ -31,13 +31,19 @@
 from masticgate.version import Searcher
 
 FAN_OUTS = [2, 8, 24, 72]
+"""Numbers of services in one query."""
+
 MEMBER_COUNTS = [70, 700, 3300]
+"""Numbers of hosts in the membership table."""
+
 POOL_COUNTS = [100, 200, 400]
+"""Numbers of service pools, each the queue and connections of one service."""
+
 REMAINING = Millis(230.0)
 
 
 def idle_host(text: str) -> Host:
-    """Return a host with ``text`` in force, on an address of its own, without tasks."""
+    """Return a host that has ``text`` in force and an address of its own, but runs no tasks."""
     network = own_network()
     settings = check_settings(
         f'{{"host": "own", "failure_domain": "north", "caller_address": "{network}:8001",'
@@ -52,7 +58,7 @@
 
 
 def refused_calls() -> list[Callable[[], object]]:
-    """Return one call for each fan-out that asks for a search and has it refused."""
+    """Return one call for each fan-out; each requests a search that is refused as overload."""
     host = idle_host(flat_text(FAN_OUTS))
     catalogue = {
         "versions": [
@@ -81,12 +87,18 @@
 
 
 def heartbeat_calls() -> list[Callable[[], object]]:
-    """Return one call for each number of members that does a heartbeat's work but the sending."""
+    """Return one call for each number of members.
+
+    Each does the work of one round of heartbeats except sending them.
+    """
     return [_heartbeat_call(count, 1) for count in MEMBER_COUNTS]
 
 
 def large_text_heartbeat_calls() -> list[Callable[[], object]]:
-    """Return the same for each text, among few members."""
+    """Return one call for each size of the text, with the smallest number of members.
+
+    Each does the work of one round of heartbeats except sending them.
+    """
     return [_heartbeat_call(min(MEMBER_COUNTS), copies) for copies in COPIES]
 
 
@@ -104,7 +116,7 @@
 
 
 def change_calls() -> list[Callable[[], object]]:
-    """Return one call for each number of members that takes in a host's death or return."""
+    """Return one call for each number of members; each handles a host's death or return."""
     return [_change_call(count) for count in MEMBER_COUNTS]
 
 
@@ -135,7 +147,7 @@
 
 
 def member_memory() -> list[float]:
-    """Return the bytes that the beliefs about each number of members hold on to."""
+    """Return the bytes of memory that the membership table uses at each number of members."""
     return [_member_memory(count) for count in MEMBER_COUNTS]
 
 
@@ -150,7 +162,7 @@
 
 
 def pool_memory() -> list[float]:
-    """Return the bytes that each number of service pools holds on to."""
+    """Return the bytes of memory that each number of service pools uses."""
     return [_pool_memory(count) for count in POOL_COUNTS]
 
 
--- a/bench/process/_load.py
+++ b/bench/process/_load.py
@@ -1,4 +1,4 @@
-"""Starts load processes against a fleet and gathers their results."""
+"""Starts load processes against a fleet and collects their results."""
 
 import json
 import subprocess
@@ -13,15 +13,21 @@
 
 LOAD_PROCESSES = 2
 DEADLINE_MS = 230.0
+"""The caller timeout of each search."""
+
 START_LEAD_SECONDS = 1.0
 """Time for the load processes to start before their first arrival."""
 
 FINISH_GRACE_SECONDS = 15.0
+"""Time for a load process to end, in addition to the duration of the load."""
 
 
 @dataclass
 class Load:
-    """One run of load against a running fleet."""
+    """One run of load against a running fleet.
+
+    ``rates`` are the searches per second by rank over the whole fleet, for ``seconds``.
+    """
 
     fleet: Fleet
     services: list[str]
@@ -31,7 +37,7 @@
     processes: list[subprocess.Popen[bytes]] = field(default_factory=list)
 
     def start(self) -> float:
-        """Start the load processes; return the monotonic time of the first arrival."""
+        """Start the load processes and return the monotonic time at which their load begins."""
         started_at = time.monotonic() + START_LEAD_SECONDS
         for number in range(LOAD_PROCESSES):
             plan = {
@@ -51,7 +57,7 @@
         return started_at
 
     def finish(self) -> list[Result]:
-        """Wait for the load to end and return what came of each arrival."""
+        """Wait for the load to end and return the result of each arrival."""
         results: list[Result] = []
         for number, process in enumerate(self.processes):
             if process.wait(self.seconds + FINISH_GRACE_SECONDS) != 0:
@@ -61,7 +67,7 @@
         return results
 
     def stop(self) -> None:
-        """End load processes that still run."""
+        """Kill the load processes that still run."""
         for process in self.processes:
             if process.poll() is None:
                 process.kill()
--- a/bench/process/_path_costs.py
+++ b/bench/process/_path_costs.py
@@ -1,4 +1,8 @@
-"""Processor time of a search at its entry host and at the owners, in running processes."""
+"""Measures the processor time of a search at its entry host and at the owners of its services.
+
+The entry host is the one that the caller sends the search to, and the owner of a service is the
+host that sends the sub-queries to its searchers.
+"""
 
 import time
 from concurrent.futures import ThreadPoolExecutor
@@ -16,11 +20,15 @@
 QUERIES = 240
 CALLERS = 4
 EXCHANGES = 240
+"""Requests for which the cost of a bare exchange is averaged."""
 
 
 @dataclass(frozen=True)
 class PathCosts:
-    """Slopes of a search's two ends, and the cost of a caller's exchange by itself."""
+    """Slopes of a search at its entry host and at an owner, and the cost of a bare exchange.
+
+    A bare exchange is a request of a caller for which the host does next to nothing.
+    """
 
     entry: Slope
     owner: Slope
@@ -28,10 +36,10 @@
 
 
 def measure_path() -> PathCosts:
-    """Search through one of two hosts, which own half of the services each.
+    """Measure searches through one of two hosts, each of which owns half of the services.
 
-    The other host's time is that of its sub-queries; what the first used beyond as much is the
-    entry's.
+    The time that the other host used is that of an owner. The first host is the entry and an owner,
+    so the difference between the two is the time of the entry.
     """
     with Fleet(flat_text(FAN_OUTS), 2, knobs={"service_ms": 1.0}) as fleet:
         rows = [_search(fleet, size) for size in FAN_OUTS]
@@ -66,7 +74,7 @@
 
 
 def _exchange_micros(fleet: Fleet) -> float:
-    """Return the processor microseconds of a caller's exchange that does next to nothing."""
+    """Return the processor time in microseconds of a request that only returns a ticket."""
     before = _cpu_seconds_of_hosts(fleet)
     for _ in range(EXCHANGES):
         fleet.mint(0)
--- a/bench/process/_plots.py
+++ b/bench/process/_plots.py
@@ -1,4 +1,7 @@
-"""Draws the comparison: one picture a deployment and measure, new beside naive."""
+"""Draws the comparison of the routings new and naive as bar charts.
+
+There is one picture for each deployment and measure.
+"""
 
 from pathlib import Path
 
@@ -21,7 +24,7 @@
 
 
 def draw(rows: list[Row], folder: Path) -> list[Path]:
-    """Write a PNG for each deployment and measure, and return their paths."""
+    """Write a PNG file for each deployment and measure, and return the paths."""
     deployments = dict.fromkeys(row.deployment for row in rows)
     return [
         _draw_one([row for row in rows if row.deployment == name], name, measure, folder)
@@ -51,5 +54,5 @@
 
 
 def _height(value: float | None) -> float:
-    """Return a bar's height; what was not run gets no bar, unlike what measured as 0."""
+    """Return the height of a bar, NaN if not run, so that it differs from a measured 0."""
     return float("nan") if value is None else value
--- a/bench/process/_roles.py
+++ b/bench/process/_roles.py
@@ -1,4 +1,7 @@
-"""What each role of a host holds, sends and computes at the target."""
+"""Forecasts what the roles of a host hold, send and compute at the target size.
+
+The entry and owner roles, which serve requests, are here; :mod:`._control_roles` has the others.
+"""
 
 from masticgate.version import connections_per_owner
 from masticgate.version._configuration import Searcher
@@ -8,15 +11,17 @@
 from ._rows import Factor, Row, State, Unit
 
 ONE_END = 0.5
-"""One end of a message that was measured at both ends."""
+"""The share of one end in a cost of a message that was measured for both ends together."""
 
 SLOTS = 2
+"""The number of requests that a searcher runs at once."""
+
 KEEPALIVES_A_SECOND = 0.5
-"""Heartbeats a second to a host that is no neighbour."""
+"""The rate of heartbeats over a link to a host that is no neighbour, which keep the link open."""
 
 
 def entry_rows(slopes: target.Slopes) -> list[Row]:
-    """Return what a host does for its callers."""
+    """Return the costs of a host for its callers' queries."""
     queries = Factor(target.QUERIES_A_HOST, "queries/s")
     sub_queries = Factor(target.SUB_QUERIES_A_HOST, "sub-queries/s")
     asks = Factor(target.ASKS_A_HOST, "asks/s")
@@ -117,7 +122,7 @@
 
 
 def owner_rows(slopes: target.Slopes) -> list[Row]:
-    """Return what a host does for the services that it owns."""
+    """Return the costs of a host for the services that it owns."""
     searcher = Searcher("s", "127.0.0.1:1", "d", SLOTS, target.CONNECTION_LIMIT)  # type: ignore[arg-type]
     connections_per_searcher = connections_per_owner(searcher, target.HOSTS)
     services = Factor(target.SERVICES_A_HOST, "services")
@@ -194,7 +199,7 @@
 
 
 def all_rows(slopes: target.Slopes) -> dict[str, list[Row]]:
-    """Return the rows of each role."""
+    """Return the rows of every role, by its name."""
     return {
         "entry": entry_rows(slopes),
         "owner": owner_rows(slopes),
--- a/bench/process/_rows.py
+++ b/bench/process/_rows.py
@@ -1,4 +1,4 @@
-"""Rows that work a figure out in the open, as a product of its factors."""
+"""Rows of the forecast, each a figure shown as the product of its factors."""
 
 from dataclasses import dataclass
 from enum import Enum
@@ -6,20 +6,21 @@
 
 KILO = 1e3
 SHOWN_AS_ZERO = 1e-9
+"""Figures smaller than this are written as 0."""
 
 
 class State(Enum):
-    """How far the mechanism behind a figure exists."""
+    """How far the mechanism that a figure depends on is built."""
 
     BUILT = "built"
     PARTLY = "partly built"
-    """It runs today, and ends before the target."""
+    """It works at today's size, but not up to the target."""
 
     DESIGNED = "only designed"
 
 
 class Unit(Enum):
-    """What a figure counts, and how it is written."""
+    """What a figure counts, and the symbol that is written after it."""
 
     CORE = "core"
     BYTES = "B"
@@ -32,18 +33,23 @@
 
 @dataclass(frozen=True)
 class Factor:
-    """One factor of a product, and what it counts."""
+    """One factor of a product, and a label that says what it counts."""
 
     value: float
     label: str
 
     def text(self) -> str:
+        """Return the factor as it is shown in a product."""
         return f"{format_number(self.value)} {self.label}".strip()
 
 
 @dataclass(frozen=True)
 class Row:
-    """One line of a role's table; ``scale`` turns the product into the unit."""
+    """One line of a role's table.
+
+    ``scale`` converts the product of the factors into ``unit``. ``mechanism`` names what carries
+    the cost, and ``control`` says whether it counts as control work.
+    """
 
     label: str
     factors: tuple[Factor, ...]
@@ -55,17 +61,17 @@
 
     @property
     def value(self) -> float:
-        """The product."""
+        """The product of the factors, in the unit of the row."""
         return prod(factor.value for factor in self.factors) * self.scale
 
     @property
     def formula(self) -> str:
-        """The product as people write it."""
+        """The factors written as a product."""
         return " × ".join(factor.text() for factor in self.factors)
 
 
 def format_number(value: float) -> str:
-    """Write a figure with three digits that count."""
+    """Return a figure with three significant digits."""
     if abs(value) < SHOWN_AS_ZERO:
         return "0"
     if 0.01 <= abs(value) < KILO:
@@ -74,7 +80,7 @@
 
 
 def format_measure(value: float, unit: Unit) -> str:
-    """Write a figure with its unit."""
+    """Return a figure with its unit."""
     match unit:
         case Unit.CORE:
             return f"{value:.1%} of a core" if value < 1 else f"{value:.2f} cores"
@@ -96,13 +102,13 @@
 
 
 def markdown_table(heads: list[str], rows: list[list[str]]) -> str:
-    """Return a table."""
+    """Return a Markdown table."""
     lines = [heads, ["---"] * len(heads), *rows]
     return "\n".join("| " + " | ".join(cells) + " |" for cells in lines)
 
 
 def role_table(rows: list[Row]) -> str:
-    """Return the table of one role."""
+    """Return the Markdown table of one role."""
     heads = ["what", "worked out", "at the target", "control", "carried by", "state"]
     cells = [
         [
--- a/bench/process/_scenario.py
+++ b/bench/process/_scenario.py
@@ -1,4 +1,7 @@
-"""The scenarios: loads as shares of saturation, and what happens meanwhile."""
+"""The scenarios of the bench: loads as shares of the saturation, with faults and changes.
+
+The saturation is the rate of wide queries that the searchers of a deployment can finish.
+"""
 
 from dataclasses import dataclass, field
 from typing import Any
@@ -6,7 +9,7 @@
 from ._events import Depart, Event, KillHost, LoseSearcher, PauseHost, PlatformDown, Repartition
 
 MIX = {"urgent": 0.2, "standard": 0.5, "bulk": 0.3}
-"""Shares of the ranks in an ordinary load."""
+"""The share of each rank in an ordinary load."""
 
 STRAGGLERS = {"straggler_share": 0.02, "straggler_ms": 180.0}
 BULK_FLOOD = {"urgent": 0.3, "standard": 0.2, "bulk": 6.0}
@@ -16,7 +19,12 @@
 
 @dataclass(frozen=True)
 class Scenario:
-    """One load; ``rates`` are shares of the saturation, ``knobs`` those of every searcher."""
+    """A load and what happens to the fleet during it.
+
+    ``rates`` are shares of the saturation by rank, and ``knobs`` settings of every searcher.
+    ``flooded`` names the rank whose load exceeds the saturation, if any, and ``event`` happens soon
+    after the warm-up.
+    """
 
     name: str
     rates: dict[str, float]
@@ -26,12 +34,12 @@
 
     @property
     def departs(self) -> bool:
-        """Whether the searches go to what depends on the department that leaves."""
+        """Whether the searches go to the service that depends on the leaving department."""
         return isinstance(self.event, Depart)
 
 
 def mixed(share: float) -> dict[str, float]:
-    """Return the ordinary mix of ranks at ``share`` of the saturation."""
+    """Return the rates of an ordinary load at ``share`` of the saturation."""
     return {rank: part * share for rank, part in MIX.items()}
 
 
--- a/bench/process/_slope.py
+++ b/bench/process/_slope.py
@@ -1,4 +1,4 @@
-"""A cost at several sizes, and the straight line through it."""
+"""A cost measured at several sizes, and the straight line fitted to it."""
 
 from dataclasses import asdict, dataclass
 from typing import Any
@@ -8,7 +8,10 @@
 
 @dataclass(frozen=True)
 class Slope:
-    """What was measured at each size, and its least-squares line."""
+    """A cost at several sizes and its least-squares line.
+
+    ``values`` has the cost at each of ``sizes``, in ``unit``; ``per`` names what a size counts.
+    """
 
     name: str
     unit: str
@@ -18,13 +21,13 @@
 
     @property
     def line(self) -> tuple[float, float]:
-        """The slope and the value at size 0."""
+        """The slope of the line and its value at size 0."""
         slope, start = np.polyfit(self.sizes, self.values, 1)
         return float(slope), float(start)
 
     @property
     def fit(self) -> float:
-        """The coefficient of determination, 1 for a perfect line."""
+        """The coefficient of determination, which is 1 if all values are on the line."""
         slope, start = self.line
         values = np.array(self.values)
         residual = values - (np.array(self.sizes) * slope + start)
@@ -32,12 +35,12 @@
         return 1.0 if spread == 0.0 else 1.0 - float((residual**2).sum()) / spread
 
     def fields(self) -> dict[str, Any]:
-        """Return everything as JSON values."""
+        """Return the measured values, the line and the fit as JSON values."""
         slope, start = self.line
         return asdict(self) | {"slope": slope, "start": start, "r2": self.fit}
 
     def describe(self) -> str:
-        """Return one line for people."""
+        """Return a line of text with the line and the measured points."""
         slope, start = self.line
         points = ", ".join(f"{s:g}: {v:.4g}" for s, v in zip(self.sizes, self.values, strict=True))
         line = f"{slope:.4g} {self.unit} a {self.per} + {start:.4g}, r2 {self.fit:.3f}"
--- a/bench/process/_stopwatch.py
+++ b/bench/process/_stopwatch.py
@@ -1,14 +1,18 @@
-"""Processor time of a function, by the calling thread's own clock."""
+"""Measures the processor time of a function by the clock of the calling thread."""
 
 import time
 from collections.abc import Callable
 
 MICROS_PER_SECOND = 1e6
 BATCHES = 25
+"""The number of batches of calls, of which the fastest counts."""
 
 
 def cpu_micros(run: Callable[[], object], repeats: int) -> float:
-    """Return the microseconds of processor time a call, in the best of some batches."""
+    """Return the microseconds of processor time per call, in the fastest of several batches.
+
+    Each batch makes ``repeats`` calls. One call before the first batch is not measured.
+    """
     run()
     best = float("inf")
     for _ in range(BATCHES):
--- a/bench/process/_table.py
+++ b/bench/process/_table.py
@@ -1,4 +1,4 @@
-"""Prints trials as lines of one table, a line a rank, and the comparison after them."""
+"""Formats trials as a table with one line for each rank, and the comparison as another."""
 
 from ._comparison import Row
 from ._trial import Trial
@@ -15,12 +15,12 @@
 
 
 def trial_lines(trial: Trial) -> list[str]:
-    """Return one line for each rank, and one that says how busy the machine was."""
+    """Return one line for each rank of a trial, and one that says how busy the machine was."""
     return [*(_rank_line(trial, index) for index in range(len(trial.ranks))), _machine_line(trial)]
 
 
 def comparison_lines(rows: list[Row]) -> list[str]:
-    """Return one line for each row; a ``-`` stands where something was not run."""
+    """Return one line for each row, with a ``-`` for each figure that was not measured."""
     return [
         f"{row.deployment:10} {row.scenario:14} {row.rank:8} {_ms(row.p99_new)} "
         f"{_ms(row.p99_naive)} {_share(row.whole_new)} {_share(row.whole_naive)} "
--- a/bench/process/_trial.py
+++ b/bench/process/_trial.py
@@ -16,10 +16,10 @@
 from ._scenario import Scenario
 
 WARM_UP_SECONDS = 2.0
-"""Load before the window that counts: connections open, estimates settle."""
+"""Load before the measured window, in which connections open and estimates settle."""
 
 EVENT_AFTER_SECONDS = 1.0
-"""An event happens this long after the warm-up."""
+"""The time from the end of the warm-up to the event."""
 
 SEARCHER_PROCESSES = 3
 
@@ -28,10 +28,12 @@
 class Trial:
     """The figures of one trial.
 
-    ``extra_load`` is searches started over searches needed, less one. ``spare`` is the saturation
-    less what the ranks that are not flooded finished. ``work_after_leaving`` is the searches that
-    a department started once it should have had no more. ``cores`` gives the busiest process of
-    each kind, and what the trial and all other programs used of the machine.
+    ``extra_load`` is the number of started searches divided by the number needed, minus one.
+    ``spare`` is the saturation minus what the ranks that are not flooded finished per second, and
+    ``flooded_of_spare`` the share of it that the flooded rank used for whole answers.
+    ``work_after_leaving`` is the number of searches that a leaving department started once it
+    should have received no more. ``cores`` gives the use of the busiest process of each kind, and
+    what the trial and all other programs used of the machine.
     """
 
     deployment: str
@@ -50,13 +52,17 @@
     cores: dict[str, float]
 
     def as_json(self) -> dict[str, Any]:
-        """Return all figures as plain values."""
+        """Return all figures as JSON values."""
         return asdict(self)
 
 
 @dataclass(frozen=True)
 class Observed:
-    """What one run of load gave: results of every arrival and what the processes did."""
+    """The measurements of one run of load.
+
+    ``results`` has the result of every arrival, and ``started`` is the number of searches that the
+    searchers of the wide service started. The other fields are those of :class:`Trial`.
+    """
 
     results: list[Result]
     started: int
@@ -65,7 +71,7 @@
 
 
 def run_trial(deployment: Deployment, scenario: Scenario, routing: str, seconds: float) -> Trial:
-    """Start a fleet of the deployment's real size, load it for ``seconds``, and measure."""
+    """Start a fleet of the deployment's real size, load it for ``seconds`` and measure it."""
     fleet = Fleet(
         deployment.text,
         deployment.hosts,
@@ -81,7 +87,7 @@
 
 
 def observe(fleet: Fleet, deployment: Deployment, scenario: Scenario, seconds: float) -> Observed:
-    """Load a running fleet and make the scenario's event happen."""
+    """Load a running fleet, make the event of the scenario happen and return what was measured."""
     rates = {rank: share * deployment.saturation for rank, share in scenario.rates.items()}
     services = [deployment.history_service if scenario.departs else deployment.wide_service]
     load = Load(fleet, services, rates, WARM_UP_SECONDS + seconds)
@@ -108,7 +114,7 @@
 def evaluate(
     deployment: Deployment, scenario: Scenario, routing: str, seconds: float, observed: Observed
 ) -> Trial:
-    """Work out a trial's figures."""
+    """Compute the figures of a trial from its measurements."""
     window = [r for r in observed.results if r.at >= WARM_UP_SECONDS]
     ranks = [
         rank_figures(rank, [r for r in window if r.rank == rank], seconds, DEADLINE_MS)
--- a/bench/process/_watch_costs.py
+++ b/bench/process/_watch_costs.py
@@ -1,4 +1,4 @@
-"""Processor time of reads of the platform, as a watcher does them."""
+"""Measures the processor time of a watcher's reads of the platform."""
 
 import json
 
@@ -14,11 +14,13 @@
 from ._stopwatch import cpu_micros
 
 COPIES = [1, 2, 4]
+"""Sizes of the text, in copies of a real deployment."""
+
 REPEATS = 3
 
 
 def measure_watch() -> tuple[Slope, Slope, Slope]:
-    """Return the cost of a watch's answer, of a host list, and the list's bytes."""
+    """Return the costs of reading a watched value and a host list, and the size of the list."""
     with Fleet(SMALL, hosts=0) as fleet:
         address = Address(fleet.platform_address)
         reader = PlatformReader(address, address)
--- a/bench/process/bench.py
+++ b/bench/process/bench.py
@@ -1,4 +1,4 @@
-"""Runs trials: ``python -m bench.process.bench`` (``--help`` lists the choices)."""
+"""The bench: ``python -m bench.process.bench`` runs trials (``--help`` lists the choices)."""
 
 import json
 import time
@@ -21,7 +21,7 @@
 
 
 def write_json(path: Path, trials: list[Trial]) -> None:
-    """Write all trials and their comparison as JSON."""
+    """Write all trials and their comparison to a file as JSON."""
     path.parent.mkdir(parents=True, exist_ok=True)
     comparison = [asdict(row) for row in compare(trials)]
     value = {"trials": [trial.as_json() for trial in trials], "comparison": comparison}
@@ -43,10 +43,11 @@
     rest: float,
     quick: bool,
 ) -> None:
-    """Run each chosen scenario on each deployment with each routing; all where none is chosen.
+    """Run each chosen scenario on each chosen deployment with each chosen routing.
 
-    ``owner`` is the new routing, ``naive`` the baseline. A rest helps on a virtual machine that
-    is slowed down after it was busy: see the stolen cores of each trial.
+    Without a choice, all are run. ``owner`` is the new routing and ``naive`` the baseline. A rest
+    helps on a virtual machine that is slowed down after it was busy, which shows in the stolen
+    cores of each trial.
     """
     trials: list[Trial] = []
     click.echo(HEAD)
--- a/bench/process/capacity.py
+++ b/bench/process/capacity.py
@@ -1,6 +1,6 @@
-"""Writes the tables of ``docs/CAPACITY.md`` anew from ``docs/slopes.json`` and the target.
+"""Rewrites the tables of ``docs/CAPACITY.md`` from ``docs/slopes.json`` and the target size.
 
-``python -m bench.process.capacity --check`` prints them and fails where the page differs.
+``python -m bench.process.capacity --check`` prints them and fails if the page differs.
 """
 
 import click
@@ -10,7 +10,7 @@
 
 
 @click.command()
-@click.option("--check", is_flag=True, help="Print the tables; fail where the page differs.")
+@click.option("--check", is_flag=True, help="Print the tables; fail if the page differs.")
 def main(check: bool) -> None:
     """Write the page, or check it."""
     contents = tables(Slopes())
--- a/bench/process/counted_host.py
+++ b/bench/process/counted_host.py
@@ -1,8 +1,10 @@
 """An entry host that counts its control work: ``counted_host SETTINGS COUNTS``.
 
-It writes the processor seconds and the bytes that went to other hosts, control apart from the
-requests, to the file ``COUNTS`` every half second. What runs inside a counted section counts for
-the outermost one only. The clock counts for one thread, so that waiting for others costs nothing.
+Control work is what a host does besides requests. Every half second the host writes to the file
+``COUNTS`` the processor seconds that it used and the bytes that it sent to other hosts, by kind of
+message or task, so that control work and requests can be told apart. A counted section that runs
+inside another counts only for the outer one. Each thread is timed by its own processor clock, so
+waiting for other threads costs nothing.
 """
 
 import json
@@ -26,12 +28,17 @@
 from masticgate.process.server import Host
 
 WRITE_SECONDS = 0.5
+"""The interval at which the counts are written."""
+
 REQUEST_MESSAGES = {"Ask", "Reply", "Cancel", "Book", "BookReply", "Forward", "ForwardReply"}
+"""The kinds of messages that belong to requests; all others are control work."""
+
 LENGTH_PREFIX_BYTES = 4
+"""The bytes before each message that give its length."""
 
 
 class Counts:
-    """Seconds and bytes by kind of message or task."""
+    """Processor seconds and sent bytes, by kind of message or task."""
 
     def __init__(self) -> None:
         self.lock = threading.Lock()
@@ -40,7 +47,7 @@
         self.local = threading.local()
 
     def run_timed(self, kind: str, run: Callable[[], Any]) -> Any:
-        """Run ``run`` and add its processor time to ``kind`` unless inside another section."""
+        """Call ``run`` and add its processor time to ``kind``, unless inside a counted section."""
         if getattr(self.local, "inside", False):
             return run()
         self.local.inside = True
@@ -53,10 +60,12 @@
                 self.seconds[kind] += time.thread_time() - started
 
     def add_sent(self, kind: str, size: int) -> None:
+        """Add the bytes of one sent message."""
         with self.lock:
             self.sent[kind] += size
 
     def fields(self) -> dict[str, Any]:
+        """Return the counts and what the process used so far, as JSON values."""
         with self.lock:
             return {
                 "at": time.monotonic(),
@@ -69,7 +78,7 @@
 
 
 def install_counters(counts: Counts) -> None:
-    """Put counters around the functions that do control work."""
+    """Wrap the functions that send, decode and handle messages, and the periodic tasks."""
     send, decode, handle_message = (
         FrameSocket.send,
         _socket.decode_message,
@@ -120,7 +129,10 @@
 
 
 def write_counts(counts: Counts, path: Path, stopping: Event) -> None:
-    """Write the counts until ``stopping``."""
+    """Write the counts to ``path`` at each interval until ``stopping`` is set.
+
+    Each file replaces the one before it at once, so that a reader never sees a part of one.
+    """
     while not stopping.wait(WRITE_SECONDS):
         part = path.with_suffix(".part")
         part.write_text(json.dumps(counts.fields()))
@@ -128,7 +140,7 @@
 
 
 def main(settings_path: str, counts_path: str) -> None:
-    """Run the host until SIGTERM."""
+    """Run the host until the process receives SIGTERM."""
     settings = read_settings(Path(settings_path))
     assert isinstance(settings, Settings), settings
     counts, stopping = Counts(), Event()
--- a/bench/process/demo.py
+++ b/bench/process/demo.py
@@ -1,6 +1,6 @@
-"""Shows both deployments at work: ``python -m bench.process.demo``.
+"""The demo: ``python -m bench.process.demo`` runs requests against both deployments.
 
-Exits with 0 only if every answer was whole or said honestly what was missing.
+The exit status is 0 only if every answer was whole or said correctly what was missing.
 """
 
 import sys
@@ -16,7 +16,7 @@
 
 
 def run_deployment(deployment: Deployment) -> list[str]:
-    """Start one deployment, run its part of the demo and end it."""
+    """Start a fleet of one deployment, run the demo on it and return the problems found."""
     fleet = Fleet(deployment.text, HOSTS, searcher_processes=2, knobs={"service_ms": SERVICE_MS})
     with fleet:
         services = [s for s in fleet.configuration.services.values() if s.searchers]
@@ -29,10 +29,10 @@
 
 
 def main() -> int:
-    """Run the demo; return the exit status."""
+    """Run the demo and return the exit status."""
     problems = [p for deployment in DEPLOYMENTS.values() for p in run_deployment(deployment)]
     if problems:
-        click.echo(f"\n{len(problems)} untrue or failed answers")
+        click.echo(f"\n{len(problems)} incorrect or failed answers")
         return 1
     click.echo("\nEvery answer was whole or said what was missing, as the searchers' logs confirm.")
     return 0
--- a/bench/process/load.py
+++ b/bench/process/load.py
@@ -1,6 +1,7 @@
-"""One load process: ``python -m bench.process.load PLAN.json`` writes its results as JSON.
+"""A load process: ``python -m bench.process.load PLAN.json`` sends searches to a fleet.
 
-It reads its start time, on the clock that all processes of a machine share, from the plan.
+The plan gives the load, the file for the results and the start time, on the monotonic clock that
+all processes of a machine share.
 """
 
 import json
@@ -16,11 +17,14 @@
 from bench.request import Arrival, Result, draw_arrivals
 
 CONNECTIONS_PER_HOST = 100
-"""Of each load process; fewer than a host accepts in sum."""
+"""The callers' connections of each load process to each host.
+
+Those of all load processes together are fewer than a host accepts.
+"""
 
 
 class SharedArrivals:
-    """Arrivals that several callers take in turn."""
+    """An iterator over arrivals that several threads share; each arrival goes to one of them."""
 
     def __init__(self, arrivals: list[Arrival]) -> None:
         self.arrivals = iter(arrivals)
@@ -35,7 +39,7 @@
 
 
 def start_callers(plan: dict[str, Any]) -> list[Caller]:
-    """Return the callers of every host; each host has arrivals of its own."""
+    """Return the callers for every host; each host has its own arrivals."""
     addresses: list[str] = plan["addresses"]
     rates = {rank: rate / len(addresses) for rank, rate in plan["rates"].items()}
     callers: list[Caller] = []
@@ -53,7 +57,7 @@
 
 
 def run(plan: dict[str, Any]) -> list[Result]:
-    """Run every caller as a task and return all results."""
+    """Run every caller as a task and return the results of all arrivals."""
     callers = start_callers(plan)
     with ThreadPoolExecutor(len(callers)) as tasks:
         return [result for results in tasks.map(Caller.run, callers) for result in results]
--- a/bench/process/slopes.py
+++ b/bench/process/slopes.py
@@ -1,6 +1,7 @@
-"""``make slopes``: measures what each thing costs at several sizes and prints the lines.
+"""``make slopes``: measures costs at several sizes and fits a straight line to each of them.
 
-The figures go to ``docs/slopes.json``, from which the tables of ``docs/CAPACITY.md`` follow.
+The lines are printed and written to ``docs/slopes.json``, from which the tables of
+``docs/CAPACITY.md`` are computed.
 """
 
 import json
@@ -37,18 +38,18 @@
 
 
 def cpu_slope(name: str, per: str, sizes: Iterable[float], calls: Calls, repeats: int) -> Slope:
-    """Measure each call's processor time."""
+    """Measure the processor time of each call, and return the times as a slope."""
     values = [cpu_micros(call, repeats) for call in calls]
     return Slope(name, "us", per, list(map(float, sizes)), values)
 
 
 def bytes_slope(name: str, per: str, sizes: Iterable[float], values: list[float]) -> Slope:
-    """Return bytes of memory or of the wire as a slope."""
+    """Return numbers of bytes, of memory or of messages, as a slope."""
     return Slope(name, "bytes", per, list(map(float, sizes)), values)
 
 
 def version_slopes() -> dict[str, Slope]:
-    """Measure what lives for a version."""
+    """Measure the costs of configuration texts, their deltas and owner tables."""
     searchers = version.text_sizes()
     return {
         "accept": cpu_slope("text accepted", "searcher", searchers, version.accept_calls(), 2),
@@ -72,7 +73,7 @@
 
 
 def message_slopes() -> dict[str, Slope]:
-    """Measure what lives for a message on a connection."""
+    """Measure the processor time and the bytes of messages between hosts."""
     slopes = {}
     for kind, per in (
         (connection.ask, "service"),
@@ -90,7 +91,7 @@
 
 
 def host_slopes() -> dict[str, Slope]:
-    """Measure what lives for a process."""
+    """Measure the costs of a host's own state: refused queries, heartbeats, members and pools."""
     members = host_costs.MEMBER_COUNTS
     fan_outs = host_costs.FAN_OUTS
     return {
@@ -114,7 +115,7 @@
 
 
 def connection_slopes() -> dict[str, Slope]:
-    """Measure the memory of connections, each kind in a process of its own."""
+    """Measure the memory of connections, each kind of connection in a new process."""
     context = multiprocessing.get_context("spawn")
     slopes = {}
     for name, per, measure_memory in (
@@ -128,7 +129,10 @@
 
 
 def path_slopes() -> tuple[dict[str, Slope], float]:
-    """Measure a search's two ends and the platform's reads in running processes."""
+    """Measure, in running processes, searches and reads of the platform.
+
+    Return the slopes, and the processor time of a bare exchange with a caller in microseconds.
+    """
     path = measure_path()
     value, listing, listing_bytes = measure_watch()
     slopes = {
@@ -142,14 +146,14 @@
 
 
 def run_and_read_bytes(code: str) -> float:
-    """Return the resident bytes that a small program prints of itself."""
+    """Run a small program in a new process and return the number that it prints."""
     environment = {**os.environ, "PYTHONPATH": os.pathsep.join([str(ROOT / "src"), str(ROOT)])}
     command = [sys.executable, "-c", code]
     return float(subprocess.check_output(command, env=environment, cwd=ROOT))
 
 
 def conditions() -> dict[str, Any]:
-    """Return when and on what the figures were measured."""
+    """Return when and on which machine the figures were measured."""
     return {
         "date": datetime.now(UTC).strftime("%Y-%m-%d %H:%M"),
         "processors": os.cpu_count(),
@@ -159,7 +163,7 @@
 
 
 def measure_all() -> dict[str, Any]:
-    """Measure everything; the file's contents."""
+    """Measure everything and return the contents of the results file."""
     start = conditions()
     slopes = version_slopes() | message_slopes() | host_slopes() | connection_slopes()
     paths, exchange = path_slopes()
@@ -184,7 +188,7 @@
 
 
 def report_fleet_use(use: HostUse) -> dict[str, Any]:
-    """Print what a host of one fleet used, and return it."""
+    """Print what a host of one fleet used, and return it as JSON values."""
     print(
         f"{use.hosts} hosts: control {use.control_cpu:.2%} of a core, "
         f"{use.control_sent:.0f} B/s sent, all {use.all_cpu:.2%} of a core, "
@@ -195,7 +199,7 @@
 
 
 def main() -> None:
-    """Measure, print and write the figures."""
+    """Measure and print the figures, and write them with four significant digits."""
     figures = json.loads(json.dumps(measure_all()), parse_float=lambda text: _rounded(float(text)))
     RESULTS.write_text(json.dumps(figures, indent=1) + "\n")
 
--- a/bench/request/__init__.py
+++ b/bench/request/__init__.py
@@ -1,4 +1,4 @@
-"""What lives for one request of the load: its arrival and what came of it."""
+"""Code for one request of the load: its arrival, its result and the check of its answer."""
 
 from ._arrivals import RANKS as RANKS
 from ._arrivals import Arrival as Arrival
--- a/bench/request/_arrivals.py
+++ b/bench/request/_arrivals.py
@@ -1,4 +1,4 @@
-"""Open-loop arrivals: drawn before the run, whatever the answers do."""
+"""Arrivals of an open-loop load: drawn before the run, so slow answers do not delay them."""
 
 import random
 from dataclasses import dataclass
@@ -8,14 +8,17 @@
 
 @dataclass(frozen=True, slots=True)
 class Arrival:
-    """One search that a caller means to send ``at`` seconds after the start."""
+    """A search that a caller is to send ``at`` seconds after the start."""
 
     at: float
     rank: str
 
 
 def draw_arrivals(rates: dict[str, float], seconds: float, seed: str) -> list[Arrival]:
-    """Return Poisson arrivals of each rank at its rate a second, in order of time."""
+    """Return Poisson arrivals of each rank at its rate per second, in order of time.
+
+    The same seed gives the same arrivals.
+    """
     arrivals: list[Arrival] = []
     for rank, rate in rates.items():
         source = random.Random(f"{seed}/{rank}")
--- a/bench/request/_audit.py
+++ b/bench/request/_audit.py
@@ -1,16 +1,16 @@
-"""Checks one answer against the shard map and the searchers' own logs."""
+"""Checks an answer against the shard map and the searchers' own logs."""
 
 from collections.abc import Iterable, Mapping
 from dataclasses import dataclass
 from typing import Any
 
 COVERAGE_TOLERANCE = 2e-6
-"""An answer states its coverage rounded down to six figures."""
+"""An answer states its coverage rounded down to six figures, which this difference allows for."""
 
 
 @dataclass(frozen=True, slots=True)
 class LoggedSearch:
-    """Shards that a searcher says it searched, for one query, at one snapshot."""
+    """An entry in a searcher's log: the shards that it searched for a query at a snapshot."""
 
     query: str
     snapshot: int
@@ -20,10 +20,10 @@
 def audit_answer(
     answer: Mapping[str, Any], needed: Mapping[str, float], searched: Iterable[LoggedSearch]
 ) -> list[str]:
-    """Return what is untrue in ``answer``, empty where it is honest.
+    """Return the problems of ``answer``, or an empty list if it is correct.
 
-    ``needed`` has the weight of each shard that the search needs, by the shard map of the
-    answer's snapshot.
+    ``needed`` has the weight of each shard that the search needs, from the shard map of the
+    answer's snapshot. ``searched`` are the entries of the searchers' logs.
     """
     missing = {item["shard"] for item in answer["missing"]}
     covered = set(needed) - missing
@@ -45,9 +45,9 @@
     actual = sum(needed[shard] for shard in covered) / sum(needed.values())
     stated = answer["coverage"]
     if abs(actual - stated) > COVERAGE_TOLERANCE:
-        return f"coverage {stated} is stated, {actual} is true"
+        return f"the answer states a coverage of {stated}, but it is {actual}"
     if answer["whole"] != (covered == set(needed)):
-        return "the answer is wrong about being whole"
+        return "the answer states wrongly whether it is whole"
     return ""
 
 
@@ -56,9 +56,9 @@
 ) -> str:
     unknown = missing - set(needed)
     if unknown:
-        return f"said to be missing, but never needed: {sorted(unknown)}"
+        return f"the answer lists shards as missing that it does not need: {sorted(unknown)}"
     unexplained = [item["shard"] for item in answer["missing"] if not item["reason"]]
-    return f"missing without a reason: {unexplained}" if unexplained else ""
+    return f"the answer gives no reason for missing shards: {unexplained}" if unexplained else ""
 
 
 def _check_searched(
@@ -77,7 +77,7 @@
 def _check_hits(answer: Mapping[str, Any], covered: set[str]) -> str:
     for hit in answer["hits"]:
         if hit["shard"] not in covered:
-            return f"a hit of {hit['shard']}, which is not covered"
+            return f"a hit is from {hit['shard']}, which is not covered"
         if hit["document"]["snapshot"] != answer["snapshot"]:
-            return f"a hit of snapshot {hit['document']['snapshot']}"
+            return f"a hit is from snapshot {hit['document']['snapshot']}"
     return ""
--- a/bench/request/_result.py
+++ b/bench/request/_result.py
@@ -1,14 +1,18 @@
-"""What came of one arrival."""
+"""The result of one arrival."""
 
 from dataclasses import dataclass
 
 LOST = "lost"
-"""The outcome of a request whose connection broke or stayed silent."""
+"""The outcome of a request whose connection failed or whose host stayed silent."""
 
 
 @dataclass(frozen=True, slots=True)
 class Result:
-    """One arrival's outcome; times in milliseconds, latency from the intended send time."""
+    """The outcome of one arrival, with times in milliseconds.
+
+    ``at`` is the intended time in seconds after the start. ``lag_ms`` is how much later the search
+    was sent, and ``latency_ms`` counts from the intended time.
+    """
 
     at: float
     rank: str
@@ -20,4 +24,4 @@
     whole: bool
     reason: str
     missing: tuple[str, ...]
-    """The reasons for which shards are missing, each once."""
+    """The reasons why shards are missing, each once."""
--- a/bench/version/__init__.py
+++ b/bench/version/__init__.py
@@ -1,4 +1,4 @@
-"""What lives for one version: a deployment's text, its sizes and what a version costs."""
+"""Code for one version: the configuration texts of deployments, and the costs of a version."""
 
 from ._deployment import DEPLOYMENTS as DEPLOYMENTS
 from ._deployment import SEARCHER_KNOBS as SEARCHER_KNOBS
--- a/bench/version/_deployment.py
+++ b/bench/version/_deployment.py
@@ -1,21 +1,29 @@
-"""The two deployments at their real sizes."""
+"""The two deployments at their real sizes: their texts and the searches that load them."""
 
 from dataclasses import dataclass
 
 from tests.texts import example
 
 SERVICE_MS = 30.0
-"""Mean service time of a searcher: one machine carries 20 busy services at this."""
+"""The mean service time of a searcher, at which one machine can run 20 busy services."""
 
 SPREAD_SHARE = 0.2
-"""The part of the service time that varies; without it, stragglers are the only tail."""
+"""The share of the service time that varies.
+
+Without it, stragglers would be the only slow responses.
+"""
 
 SEARCHER_KNOBS = {"service_ms": SERVICE_MS, "spread_share": SPREAD_SHARE}
 
 
 @dataclass(frozen=True)
 class Deployment:
-    """One customer's text and the wide search that loads it."""
+    """One customer's deployment and the wide search that loads it.
+
+    The wide search goes to ``wide_service``, which depends on ``fan_out`` services whose ids begin
+    with its own. Each of them has ``searchers`` searchers with ``slots`` slots, which is the number
+    of requests that a searcher runs at once.
+    """
 
     name: str
     hosts: int
@@ -24,7 +32,7 @@
     searchers: int
     slots: int
     history_service: str
-    """A service that depends on the wide group and on the department that leaves."""
+    """A service that depends on the services of the wide search and on the leaving department."""
 
     leaving_department: str
     booking_service: str
@@ -32,22 +40,22 @@
 
     @property
     def text(self) -> str:
-        """The operators' text."""
+        """The configuration text that the operators wrote."""
         return example(self.name)
 
     @property
     def text_without(self) -> str:
-        """The text after an operator marked one department as leaving."""
+        """The text after an operator has marked the leaving department."""
         return mark_leaving(self.text, self.leaving_department)
 
     @property
     def saturation(self) -> float:
-        """Wide queries a second that the slots of one service can finish."""
+        """The number of wide queries per second that the slots of one service can finish."""
         return self.searchers * self.slots * 1000 / SERVICE_MS
 
 
 def mark_leaving(text: str, department: str) -> str:
-    """Edit an operators' text as a person would when ``department`` leaves."""
+    """Return an operators' text in which ``department`` is marked as leaving."""
     before = f'"{department}": {{"leaving": false}}'
     if before not in text:
         raise ValueError(f"the text has no department {department}")
--- a/bench/version/_scaled_text.py
+++ b/bench/version/_scaled_text.py
@@ -1,4 +1,4 @@
-"""A deployment's text at a multiple of its size."""
+"""Configuration texts of a chosen size, for measurements."""
 
 import json
 
@@ -9,7 +9,10 @@
 
 
 def scaled_text(copies: int, edited: bool = False) -> str:
-    """Return kerala's text ``copies`` times over, in departments of their own."""
+    """Return a text with ``copies`` copies of the deployment kerala, each in its own departments.
+
+    If ``edited``, one searcher has one slot more.
+    """
     document = parse_document(example("kerala"))
     assert isinstance(document, Document)
     source = document.value
@@ -30,7 +33,7 @@
 
 
 def rename_service(service: dict, prefix: str) -> None:
-    """Let a copied service name its own copies of departments, services and searchers."""
+    """Change the ids in a copied service to those of its own copy."""
     service["department"] = f"{prefix}-{service['department']}"
     service["depends_on"] = [f"{prefix}-{name}" for name in service.get("depends_on", ())]
     for searcher in service.get("searchers", ()):
@@ -38,14 +41,17 @@
 
 
 def accept_configuration(text: str, revision: int = 1) -> Configuration:
-    """Return the configuration in ``text``."""
+    """Return the configuration in ``text``, which must be valid."""
     result = accept_text(text, Revision(revision))
     assert isinstance(result, Accepted), result
     return result.configuration
 
 
 def flat_text(sizes: list[int]) -> str:
-    """Return a text with one department of as many one-searcher services for each size."""
+    """Return a text with one department for each of ``sizes``, of that many services.
+
+    Each service has one searcher.
+    """
     services = {
         f"d{size}/{n}": {
             "department": f"d{size}",
--- a/bench/version/_version_costs.py
+++ b/bench/version/_version_costs.py
@@ -1,4 +1,8 @@
-"""What a configuration costs: to accept, to pass on, to place."""
+"""Measures the costs to accept a configuration, to relay it and to compute its owner table.
+
+A configuration text is divided into sections. A delta is the message with the sections that changed
+between two revisions. The owner table assigns the services to hosts.
+"""
 
 import tracemalloc
 
@@ -9,37 +13,40 @@
 from ._scaled_text import accept_configuration, scaled_text
 
 COPIES = [1, 2, 4]
+"""Sizes of the text, in copies of the deployment kerala."""
+
 HOST_COUNTS = [7, 70, 700, 3300]
 
 
 def text_sizes() -> list[float]:
-    """Return the searchers in each text."""
+    """Return the number of searchers in each text."""
     return [float(count_searchers(copies)) for copies in COPIES]
 
 
 def count_searchers(copies: int) -> int:
+    """Return the number of searchers in the text of ``copies`` copies."""
     configuration = accept_configuration(scaled_text(copies))
     return sum(len(service.searchers) for service in configuration.services.values())
 
 
 def text_bytes() -> list[float]:
-    """Return the bytes of each text."""
+    """Return the number of bytes of each text."""
     return [float(len(scaled_text(copies))) for copies in COPIES]
 
 
 def accept_calls() -> list:
-    """Return one call for each size that accepts a whole text and cuts it into sections."""
+    """Return one call for each text; each accepts the text and divides it into sections."""
     texts = [scaled_text(copies) for copies in COPIES]
     return [lambda text=text: split_sections(accept_configuration(text)).digest for text in texts]
 
 
 def delta_calls() -> list:
-    """Return one call for each size that finds and encodes one edit's changed sections."""
+    """Return one call for each text; each finds and encodes the delta of one edit."""
     return [lambda push=push: encode_message(push()) for push in map(_delta, COPIES)]
 
 
 def delta_bytes() -> list[float]:
-    """Return the bytes on the wire of one edit's changed sections."""
+    """Return the encoded size in bytes of the delta of one edit, for each text."""
     return [float(len(encode_message(_delta(copies)()))) for copies in COPIES]
 
 
@@ -47,12 +54,12 @@
     before = split_sections(accept_configuration(scaled_text(copies)))
     after = split_sections(accept_configuration(scaled_text(copies, edited=True)))
     known = before.digests
-    after.digests  # noqa: B018  The digests are worked out once a revision.
+    after.digests  # noqa: B018  Computed once for each revision.
     return lambda: after.changes_since(Revision(1), known, Revision(2))
 
 
 def apply_calls() -> list:
-    """Return one call for each size that applies one edit to the whole text and accepts it."""
+    """Return one call for each text; each applies the delta of one edit and accepts the result."""
     calls = []
     for copies in COPIES:
         push = _delta(copies)()
@@ -70,7 +77,7 @@
 
 
 def table_calls() -> list:
-    """Return one call for each number of hosts that works out who owns what."""
+    """Return one call for each number of hosts; each computes the owner table."""
     configuration = accept_configuration(scaled_text(1))
     hosts = [[HostId(f"host-{n:04}") for n in range(count)] for count in HOST_COUNTS]
     return [
@@ -80,12 +87,12 @@
 
 
 def department_counts() -> list[float]:
-    """Return the departments in each text."""
+    """Return the number of departments in each text."""
     return [float(len(accept_configuration(scaled_text(copies)).departments)) for copies in COPIES]
 
 
 def wide_table_calls() -> list:
-    """Return one call for each text that works out who of the most hosts owns what."""
+    """Return one call for each text; each computes the owner table for the most hosts."""
     hosts = [HostId(f"host-{n:04}") for n in range(max(HOST_COUNTS))]
     configurations = [accept_configuration(scaled_text(copies)) for copies in COPIES]
     return [
@@ -95,12 +102,12 @@
 
 
 def service_counts() -> list[float]:
-    """Return the services in each text."""
+    """Return the number of services in each text."""
     return [float(len(accept_configuration(scaled_text(copies)).services)) for copies in COPIES]
 
 
 def table_memory() -> list[float]:
-    """Return the bytes that each text's owner table holds on to."""
+    """Return the bytes of memory that the owner table of each text uses."""
     return [_table_held_bytes(copies) for copies in COPIES]
 
 
@@ -116,7 +123,7 @@
 
 
 def text_memory() -> list[float]:
-    """Return the bytes that each text holds on to once accepted, its sections included."""
+    """Return the bytes of memory that each accepted text uses, its sections included."""
     return [_text_held_bytes(copies) for copies in COPIES]
 
 
