--- a/bench/process/slopes.py
+++ b/bench/process/slopes.py
@@ -145,7 +145,7 @@
     return slopes, path.exchange_micros
 
 
-def run_and_read_bytes(code: str) -> float:
+def run_and_read_number(code: str) -> float:
     """Run a small program in a new process and return the number that it prints."""
     environment = {**os.environ, "PYTHONPATH": os.pathsep.join([str(ROOT / "src"), str(ROOT)])}
     command = [sys.executable, "-c", code]
@@ -179,8 +179,8 @@
         "exchange_us": exchange,
         "digest_bytes": connection.wire_bytes(connection.digest_heartbeat()),
         "empty_heartbeat_bytes": connection.wire_bytes(connection.heartbeat(0)),
-        "bare_python_bytes": run_and_read_bytes(PRINT_RESIDENT_KB) * 1024,
-        "imports_bytes": run_and_read_bytes(
+        "bare_python_bytes": run_and_read_number(PRINT_RESIDENT_KB) * 1024,
+        "imports_bytes": run_and_read_number(
             f"import masticgate.process.server; {PRINT_RESIDENT_BYTES}"
         ),
         "fleets": fleets,
