--- a/tests/process/test_bench_figures.py
+++ b/tests/process/test_bench_figures.py
@@ -1,4 +1,4 @@
-"""The bench's arrivals and figures."""
+"""Tests of the arrivals that the bench draws and the figures that it computes from results."""
 
 from bench.process._figures import rank_figures
 from bench.request import LOST, Result, draw_arrivals
@@ -12,14 +12,14 @@
 
 
 class TestArrivals:
-    def test_are_the_same_for_the_same_seed_and_come_at_the_rate(self):
+    def test_same_seed_gives_the_same_arrivals_at_the_given_rate(self):
         drawn = draw_arrivals({"urgent": 100.0, "bulk": 0.0}, 20.0, "1")
         assert drawn == draw_arrivals({"urgent": 100.0, "bulk": 0.0}, 20.0, "1")
         assert 1800 < len(drawn) < 2200 and {a.rank for a in drawn} == {"urgent"}
 
 
 class TestFigures:
-    def test_count_late_refused_and_lost_answers_as_not_whole(self):
+    def test_late_partial_refused_and_lost_answers_are_not_whole(self):
         results = [
             result(10.0),
             result(300.0),
@@ -31,6 +31,6 @@
         assert (figures.whole, figures.refused, figures.lost, figures.late) == (0.2, 0.2, 0.2, 0.2)
         assert abs(figures.capped_p99 - DEADLINE_MS) < 1
 
-    def test_count_an_answer_as_whole_where_only_a_left_department_is_missing(self):
+    def test_answer_that_lacks_only_a_department_that_left_is_whole(self):
         results = [result(10.0, whole=False, missing=("department_left",))]
         assert rank_figures("urgent", results, 1.0, DEADLINE_MS).whole == 1.0
