--- a/src/masticgate/process/_hedge_budget.py
+++ b/src/masticgate/process/_hedge_budget.py
@@ -89,9 +89,9 @@
     def _delay(self) -> Millis:
         if self.percentile_latency is None:
             return INITIAL_DELAY
-        spare = (self.tokens - RETRY_RESERVE) / (MAX_TOKENS - RETRY_RESERVE)
-        fill = max(0.0, min(1.0, spare))
+        unreserved_fraction = (self.tokens - RETRY_RESERVE) / (MAX_TOKENS - RETRY_RESERVE)
+        fill_level = max(0.0, min(1.0, unreserved_fraction))
         return Millis(
             self.percentile_latency
-            * (DELAY_FACTOR_EMPTY + fill * (DELAY_FACTOR_FULL - DELAY_FACTOR_EMPTY))
+            * (DELAY_FACTOR_EMPTY + fill_level * (DELAY_FACTOR_FULL - DELAY_FACTOR_EMPTY))
         )
--- a/src/masticgate/process/_searcher_group.py
+++ b/src/masticgate/process/_searcher_group.py
@@ -58,7 +58,7 @@
             self.health[searcher.id] = health
         for health in known:
             health.resize(health.searcher, 0)
-        self.retired = [health for health in known if health.open]
+        self.retired = [health for health in known if health.open_connections]
         return missing
 
     def find(self, searcher: Searcher) -> SearcherHealth:
@@ -68,11 +68,11 @@
 
     def remove_closed(self) -> None:
         """Remove the retired searchers whose last connection has closed."""
-        self.retired = [health for health in self.retired if health.open]
+        self.retired = [health for health in self.retired if health.open_connections]
 
     def open_connections(self) -> int:
         """Return the number of connections that are open, opening or closing."""
-        return sum(health.open for health in (*self.health.values(), *self.retired))
+        return sum(health.open_connections for health in (*self.health.values(), *self.retired))
 
     # Choice.
 
--- a/src/masticgate/process/_searcher_health.py
+++ b/src/masticgate/process/_searcher_health.py
@@ -88,8 +88,8 @@
     """The state of one searcher; callers hold the lock of the service pool.
 
     ``connections`` is the number of connections that this host should have to the searcher.
-    ``open`` is the number that have not closed yet, and ``closing`` the number of these that have
-    been told to close.
+    ``open_connections`` is the number that have not closed yet, and ``closing_connections`` the
+    number of these that have been told to close.
 
     ``warm_up_limit`` is how many requests may be in flight while the searcher is warming up.
     ``drained_incarnation`` is the incarnation that is shutting down, empty if unknown, and
@@ -99,8 +99,8 @@
     def __init__(self, searcher: Searcher) -> None:
         self.searcher = searcher
         self.connections = 0
-        self.open = 0
-        self.closing = 0
+        self.open_connections = 0
+        self.closing_connections = 0
         self.in_flight = 0
         self.incarnation = ""
         self.reported_load = 0
@@ -125,23 +125,23 @@
         """Set how many connections there should be; return how many have to be opened."""
         self.searcher = searcher
         self.connections = connections
-        missing = max(0, connections - self.open)
-        self.open += missing
+        missing = max(0, connections - self.open_connections)
+        self.open_connections += missing
         return missing
 
     def should_close(self) -> bool:
         """Return whether an idle connection has to close, and if so, count it as closing."""
-        if self.open - self.closing <= self.connections:
+        if self.open_connections - self.closing_connections <= self.connections:
             return False
-        self.closing += 1
+        self.closing_connections += 1
         return True
 
     def record_closed_connection(self) -> bool:
         """Record that a connection closed; return whether it has to be opened again."""
-        self.closing -= 1
-        if self.open - self.closing <= self.connections:
+        self.closing_connections -= 1
+        if self.open_connections - self.closing_connections <= self.connections:
             return True
-        self.open -= 1
+        self.open_connections -= 1
         return False
 
     def max_in_flight(self, now: Millis) -> int:
