--- a/src/masticgate/connection/_peer.py
+++ b/src/masticgate/connection/_peer.py
@@ -187,7 +187,7 @@
         for connection, _ in accepted:
             try:
                 self.tasks.submit(self.serve, connection)
-            except RuntimeError:
+            except RuntimeError:  # No thread can be started, or the process is stopping.
                 connection.close()
 
     def serve(self, connection: socket.socket) -> None:
--- a/src/masticgate/process/gateway/_gateway.py
+++ b/src/masticgate/process/gateway/_gateway.py
@@ -148,6 +148,7 @@
             LogEvent.STOPPED, cut=unfinished, took_ms=round(self.clock.now() - started_at)
         )
         self.log.stop()
+        # The log task needs a moment to write the last lines.
         self._wait_until(Millis(self.clock.now() + 100.0))
         os._exit(0)
 
--- a/tests/gateway/test_relay.py
+++ b/tests/gateway/test_relay.py
@@ -79,7 +79,7 @@
     def test_rejects_watch_after_restart_or_lost_changes(self):
         catalogue = make_catalogue()
         assert request_catalogue(catalogue, "after=1&epoch=other&wait=0").status == 410
-        for number in range(2_100):
+        for number in range(2_100):  # More changes than a relay keeps.
             catalogue.add(SearcherUnlisted(SearcherId(str(number))))
         assert watch_catalogue(catalogue, 1).status == 410
 
