--- a/bench/process/_control_fleet.py
+++ b/bench/process/_control_fleet.py
@@ -12,7 +12,7 @@
 from tests.standins.fleet import Fleet
 from tests.texts import SMALL
 
-from bench.version import DEPLOYMENTS, SEARCHER_KNOBS
+from bench.version import DEPLOYMENTS, SEARCHER_BEHAVIOUR
 
 from ._load import Load
 from .counted_host import REQUEST_MESSAGES
@@ -81,7 +81,7 @@
     """
     deployment = DEPLOYMENTS["kerala"]
     with CountedFleet(
-        deployment.text, deployment.hosts, searcher_processes=2, knobs=SEARCHER_KNOBS
+        deployment.text, deployment.hosts, searcher_processes=2, behaviour=SEARCHER_BEHAVIOUR
     ) as fleet:
         time.sleep(SETTLE_SECONDS)
         load = Load(fleet, [deployment.wide_service], BUSY_RATES, 2 * IDLE_SECONDS)
--- a/bench/process/_demo_run.py
+++ b/bench/process/_demo_run.py
@@ -100,7 +100,7 @@
             )
             if reply.body["outcome"] != "ran":
                 self.report_problems("booking", [f"{label} answered {reply.body['outcome']}"])
-        ran = [b for s in self.fleet.searchers().values() for b in s["bookings"]]
+        ran = [b for s in self.fleet.searcher_reports().values() for b in s["bookings"]]
         if [booking["ticket"] for booking in ran] != [ticket]:
             self.report_problems("booking", [f"the booking ran {len(ran)} times"])
 
@@ -131,8 +131,8 @@
         """Return the searches in the logs of all searchers."""
         return [
             LoggedSearch(entry["query"], entry["snapshot"], tuple(entry["shards"]))
-            for searcher in self.fleet.searchers().values()
-            for entry in searcher["log"]
+            for searcher in self.fleet.searcher_reports().values()
+            for entry in searcher["search_log"]
         ]
 
     def report_problems(self, step: str, problems: list[str]) -> None:
--- a/bench/process/_events.py
+++ b/bench/process/_events.py
@@ -73,7 +73,7 @@
         fleet = self.fleet
         match event:
             case LoseSearcher():
-                fleet.turn([self._wide_searcher()], lost=True)
+                fleet.set_behaviour([self._wide_searcher()], lost=True)
             case Repartition():
                 self._repartition()
             case PauseHost(seconds=seconds):
@@ -83,9 +83,9 @@
             case KillHost():
                 fleet.kill(self._last_host())
             case PlatformDown():
-                fleet.platform("down", down=True)
+                fleet.control_platform("down", down=True)
             case Depart():
-                fleet.put_text(self.deployment.text_without)
+                fleet.publish_text(self.deployment.text_without)
                 time.sleep(LEAVING_SECONDS)
                 self.started_at_departure = self.count(
                     "started", self.deployment.leaving_department
@@ -104,17 +104,17 @@
         """
         return sum(
             searcher["counts"].get(counter, 0)
-            for searcher in self.fleet.searchers(logs=False).values()
+            for searcher in self.fleet.searcher_reports(include_search_log=False).values()
             if searcher["service"].startswith(group)
         )
 
     def _repartition(self) -> None:
         fleet = self.fleet
         shards = shard_map(fleet.configuration, SHARDS_AFTER_REPARTITION, "t")
-        fleet.turn([], held=[OLD_SNAPSHOT, NEW_SNAPSHOT])
-        fleet.put_snapshots([*fleet.snapshots, {"version": NEW_SNAPSHOT, "shards": shards}])
+        fleet.set_behaviour([], held=[OLD_SNAPSHOT, NEW_SNAPSHOT])
+        fleet.publish_snapshots([*fleet.snapshots, {"version": NEW_SNAPSHOT, "shards": shards}])
         time.sleep(HELD_BOTH_SECONDS)
-        fleet.turn([], held=[NEW_SNAPSHOT])
+        fleet.set_behaviour([], held=[NEW_SNAPSHOT])
 
     def _wide_searcher(self) -> str:
         services = self.fleet.configuration.services.values()
--- a/bench/process/_host_costs.py
+++ b/bench/process/_host_costs.py
@@ -3,7 +3,7 @@
 import tracemalloc
 from collections.abc import Callable
 
-from tests.standins.fleet import own_network
+from tests.standins.fleet import allocate_ip_address
 
 from bench.connection import member_entry
 from bench.version import COPIES, accept_configuration, flat_text, scaled_text
@@ -44,7 +44,7 @@
 
 def idle_host(text: str) -> Host:
     """Return a host that has ``text`` in force and an address of its own, but runs no tasks."""
-    network = own_network()
+    network = allocate_ip_address()
     settings = check_settings(
         f'{{"host": "own", "failure_domain": "north", "caller_address": "{network}:8001",'
         f' "peer_address": "{network}:7001", "log_level": "error",'
--- a/bench/process/_load.py
+++ b/bench/process/_load.py
@@ -41,7 +41,7 @@
         started_at = time.monotonic() + START_LEAD_SECONDS
         for number in range(LOAD_PROCESSES):
             plan = {
-                "addresses": self.fleet.callers,
+                "addresses": self.fleet.caller_addresses,
                 "services": self.services,
                 "rates": {rank: rate / LOAD_PROCESSES for rank, rate in self.rates.items()},
                 "seconds": self.seconds,
--- a/bench/process/_path_costs.py
+++ b/bench/process/_path_costs.py
@@ -41,7 +41,7 @@
     The time that the other host used is that of an owner. The first host is the entry and an owner,
     so the difference between the two is the time of the entry.
     """
-    with Fleet(flat_text(FAN_OUTS), 2, knobs={"service_ms": 1.0}) as fleet:
+    with Fleet(flat_text(FAN_OUTS), 2, behaviour={"service_ms": 1.0}) as fleet:
         rows = [_search(fleet, size) for size in FAN_OUTS]
         sizes = [float(size) for size in FAN_OUTS]
         owned_sizes = [size / 2 for size in sizes]
--- a/bench/process/_scenario.py
+++ b/bench/process/_scenario.py
@@ -21,14 +21,14 @@
 class Scenario:
     """A load and what happens to the fleet during it.
 
-    ``rates`` are shares of the saturation by rank, and ``knobs`` settings of every searcher.
+    ``rates`` are shares of the saturation by rank, and ``behaviour`` that of every searcher.
     ``flooded`` names the rank whose load exceeds the saturation, if any, and ``event`` happens soon
     after the warm-up.
     """
 
     name: str
     rates: dict[str, float]
-    knobs: dict[str, Any] = field(default_factory=dict)
+    behaviour: dict[str, Any] = field(default_factory=dict)
     flooded: str = ""
     event: Event | None = None
 
@@ -47,7 +47,7 @@
     Scenario("calm-50", mixed(0.5)),
     Scenario("calm-80", mixed(0.8)),
     Scenario(SATURATED, mixed(1.0)),
-    Scenario("stragglers", mixed(0.5), knobs=STRAGGLERS),
+    Scenario("stragglers", mixed(0.5), behaviour=STRAGGLERS),
     Scenario("searcher-lost", mixed(0.4), event=LoseSearcher()),
     Scenario("repartition", mixed(0.5), event=Repartition()),
     Scenario("flood-bulk", BULK_FLOOD, flooded="bulk"),
--- a/bench/process/_trial.py
+++ b/bench/process/_trial.py
@@ -7,7 +7,7 @@
 from tests.standins.fleet import Fleet
 
 from bench.request import Result
-from bench.version import SEARCHER_KNOBS, Deployment
+from bench.version import SEARCHER_BEHAVIOUR, Deployment
 
 from ._cpu import busiest, cpu_by_process
 from ._events import EventRunner
@@ -77,11 +77,11 @@
         deployment.hosts,
         routing=routing,
         searcher_processes=SEARCHER_PROCESSES,
-        knobs=SEARCHER_KNOBS,
+        behaviour=SEARCHER_BEHAVIOUR,
     )
     with fleet:
-        if scenario.knobs:
-            fleet.turn([], **scenario.knobs)
+        if scenario.behaviour:
+            fleet.set_behaviour([], **scenario.behaviour)
         observed = observe(fleet, deployment, scenario, seconds)
     return evaluate(deployment, scenario, routing, seconds, observed)
 
--- a/bench/process/_watch_costs.py
+++ b/bench/process/_watch_costs.py
@@ -34,7 +34,7 @@
     sizes, values = [], []
     for copies in COPIES:
         text, key = scaled_text(copies), f"slopes/{copies}"
-        fleet.platform("put", key=key, value=text)
+        fleet.control_platform("put", key=key, value=text)
 
         def read(key: str = key) -> None:
             assert isinstance(reader.read(key), Value)
@@ -49,7 +49,7 @@
     values, lengths = [], []
     for count in HOST_COUNTS:
         hosts = [_listed_host(number) for number in range(count)]
-        fleet.list_hosts(hosts)
+        fleet.publish_hosts(hosts)
 
         def read() -> None:
             listed = reader.list_hosts()
--- a/bench/process/demo.py
+++ b/bench/process/demo.py
@@ -17,7 +17,9 @@
 
 def run_deployment(deployment: Deployment) -> list[str]:
     """Start a fleet of one deployment, run the demo on it and return the problems found."""
-    fleet = Fleet(deployment.text, HOSTS, searcher_processes=2, knobs={"service_ms": SERVICE_MS})
+    fleet = Fleet(
+        deployment.text, HOSTS, searcher_processes=2, behaviour={"service_ms": SERVICE_MS}
+    )
     with fleet:
         services = [s for s in fleet.configuration.services.values() if s.searchers]
         searchers = sum(len(service.searchers) for service in services)
--- a/bench/version/__init__.py
+++ b/bench/version/__init__.py
@@ -1,7 +1,7 @@
 """Code for one version: the configuration texts of deployments, and the costs of a version."""
 
 from ._deployment import DEPLOYMENTS as DEPLOYMENTS
-from ._deployment import SEARCHER_KNOBS as SEARCHER_KNOBS
+from ._deployment import SEARCHER_BEHAVIOUR as SEARCHER_BEHAVIOUR
 from ._deployment import Deployment as Deployment
 from ._deployment import mark_leaving as mark_leaving
 from ._scaled_text import accept_configuration as accept_configuration
--- a/bench/version/_deployment.py
+++ b/bench/version/_deployment.py
@@ -13,7 +13,7 @@
 Without it, stragglers would be the only slow responses.
 """
 
-SEARCHER_KNOBS = {"service_ms": SERVICE_MS, "spread_share": SPREAD_SHARE}
+SEARCHER_BEHAVIOUR = {"service_ms": SERVICE_MS, "spread_share": SPREAD_SHARE}
 
 
 @dataclass(frozen=True)
--- a/tests/process/faults.py
+++ b/tests/process/faults.py
@@ -26,11 +26,11 @@
 
 
 @dataclass(frozen=True)
-class SearcherKnobSet:
-    """One knob of a stand-in searcher is set to ``value``, and back to ``normal`` afterwards."""
+class SearcherBehaviourSet:
+    """One setting of a stand-in searcher is set to ``value``, and back to ``normal`` afterwards."""
 
     searcher: str
-    knob: str
+    setting: str
     value: object
     normal: object
 
@@ -58,7 +58,9 @@
     pass
 
 
-Fault = HostKilled | HostPaused | SearcherKnobSet | SnapshotPublished | TextEdited | PlatformDown
+Fault = (
+    HostKilled | HostPaused | SearcherBehaviourSet | SnapshotPublished | TextEdited | PlatformDown
+)
 
 
 @dataclass(frozen=True)
@@ -79,12 +81,12 @@
 
 def plan_fault(source: random.Random, kind: int, hosts: int) -> Fault:
     """Draw the details of a fault of the kind with index ``kind``."""
-    knob_faults = [
+    behaviour_faults = [
         ("draining", True, False),
         ("loss_share", 0.5, 0.0),
         ("error_share", 0.5, 0.0),
         ("frozen", True, False),
-        ("book_then_cut", True, False),
+        ("close_after_booking", True, False),
         ("wrong_version", 999, 0),
         ("shed_above", 0, 1000),
     ]
@@ -93,7 +95,7 @@
     return (
         lambda: HostKilled(source.randrange(hosts)),
         lambda: HostPaused(source.randrange(hosts)),
-        lambda: SearcherKnobSet(source.choice(SEARCHERS), *source.choice(knob_faults)),
+        lambda: SearcherBehaviourSet(source.choice(SEARCHERS), *source.choice(behaviour_faults)),
         lambda: SnapshotPublished(source.randint(1, 3)),
         lambda: TextEdited(*source.choice((leaving, floors))),
         PlatformDown,
@@ -108,8 +110,8 @@
         case HostPaused(host=host):
             if fleet.is_running(fleet.hosts[host]["host"]):
                 fleet.signal(fleet.hosts[host]["host"], signal.SIGSTOP)
-        case SearcherKnobSet(searcher=searcher, knob=knob, value=value):
-            fleet.turn([searcher], **{knob: value})
+        case SearcherBehaviourSet(searcher=searcher, setting=setting, value=value):
+            fleet.set_behaviour([searcher], **{setting: value})
         case SnapshotPublished(shards=count):
             version = fleet.snapshots[-1]["version"] + 1
             maps = {
@@ -117,12 +119,12 @@
                 for service in fleet.snapshots[0]["shards"]
             }
             fleet.snapshots.append({"version": version, "shards": maps})
-            fleet.turn([], held=[s["version"] for s in fleet.snapshots[-2:]])
-            fleet.put_snapshots(fleet.snapshots[-2:])
+            fleet.set_behaviour([], held=[s["version"] for s in fleet.snapshots[-2:]])
+            fleet.publish_snapshots(fleet.snapshots[-2:])
         case TextEdited(old=old, new=new):
-            fleet.put_text(fleet.text.replace(old, new))
+            fleet.publish_text(fleet.text.replace(old, new))
         case PlatformDown():
-            fleet.platform("down", down=True)
+            fleet.control_platform("down", down=True)
 
 
 def remove(fleet: Fleet, fault: Fault) -> None:
@@ -133,11 +135,11 @@
         case HostPaused(host=host):
             if fleet.is_running(fleet.hosts[host]["host"]):
                 fleet.signal(fleet.hosts[host]["host"], signal.SIGCONT)
-        case SearcherKnobSet(searcher=searcher, knob=knob, normal=normal):
-            fleet.turn([searcher], **{knob: normal})
+        case SearcherBehaviourSet(searcher=searcher, setting=setting, normal=normal):
+            fleet.set_behaviour([searcher], **{setting: normal})
         case SnapshotPublished():
-            fleet.turn([], held=[fleet.snapshots[-1]["version"]])
+            fleet.set_behaviour([], held=[fleet.snapshots[-1]["version"]])
         case TextEdited():
-            fleet.put_text(fleet.text)
+            fleet.publish_text(fleet.text)
         case PlatformDown():
-            fleet.platform("down", down=False)
+            fleet.control_platform("down", down=False)
--- a/tests/process/test_against_naive.py
+++ b/tests/process/test_against_naive.py
@@ -17,10 +17,10 @@
 
 @pytest.fixture(scope="class")
 def fleets():
-    knobs = {"service_ms": 5.0}
+    behaviour = {"service_ms": 5.0}
     with (
-        Fleet(SMALL, routing="owner", knobs=knobs) as owner,
-        Fleet(SMALL, routing="naive", knobs=knobs) as naive,
+        Fleet(SMALL, routing="owner", behaviour=behaviour) as owner,
+        Fleet(SMALL, routing="naive", behaviour=behaviour) as naive,
     ):
         yield owner, naive
 
@@ -48,19 +48,19 @@
 
     def test_answers_are_equal_from_a_new_snapshot_with_other_shards(self, fleets):
         for fleet in fleets:
-            fleet.turn([], held=[1, 2])
+            fleet.set_behaviour([], held=[1, 2])
             shards = {s: {f"{s}/n{n}": 1.0 for n in range(3)} for s in fleet.snapshots[0]["shards"]}
-            fleet.put_snapshots([*fleet.snapshots, {"version": 2, "shards": shards}])
+            fleet.publish_snapshots([*fleet.snapshots, {"version": 2, "shards": shards}])
             for index in range(3):
                 fleet.wait_until(
                     lambda f=fleet, i=index: 2 in f.status(i)["snapshots"], 5, "no snapshot 2"
                 )
         compare(fleets, minimum=27)
 
-    @pytest.mark.parametrize("knobs", [{"draining": True}, {"loss_share": 1.0}])
-    def test_answers_are_equal_without_one_searcher_per_service(self, fleets, knobs):
+    @pytest.mark.parametrize("behaviour", [{"draining": True}, {"loss_share": 1.0}])
+    def test_answers_are_equal_without_one_searcher_per_service(self, fleets, behaviour):
         for fleet in fleets:
-            fleet.turn(["d1a", "l1b"], **knobs)
+            fleet.set_behaviour(["d1a", "l1b"], **behaviour)
         compare(fleets, minimum=9)
         for fleet in fleets:
-            fleet.turn(["d1a", "l1b"], draining=False, loss_share=0.0)
+            fleet.set_behaviour(["d1a", "l1b"], draining=False, loss_share=0.0)
--- a/tests/process/test_bookings.py
+++ b/tests/process/test_bookings.py
@@ -16,13 +16,13 @@
 
 @pytest.fixture(scope="class")
 def fleet():
-    with Fleet(SMALL, knobs={"service_ms": 5.0}) as started:
+    with Fleet(SMALL, behaviour={"service_ms": 5.0}) as started:
         yield started
 
 
 def count_runs(fleet, ticket):
     """Return how many times the searchers ran the booking of ``ticket``."""
-    booked = [b for s in fleet.searchers().values() for b in s["bookings"]]
+    booked = [b for s in fleet.searcher_reports().values() for b in s["bookings"]]
     return sum(b["ticket"] == ticket for b in booked)
 
 
@@ -45,7 +45,7 @@
 
 
 def count_booking_requests(fleet):
-    logs = fleet.searchers()
+    logs = fleet.searcher_reports()
     return sum(logs[name]["counts"].get("started", 0) for name in ("oa", "ob"))
 
 
@@ -53,31 +53,31 @@
     """A booking runs at most once, and its outcome is "unknown" when nobody can be certain."""
 
     def test_repeats_through_other_hosts_get_the_outcome_of_the_first_run(self, fleet):
-        fleet.turn([], service_ms=200.0, spread="fixed")
+        fleet.set_behaviour([], service_ms=200.0, spread="fixed")
         ticket = fleet.mint(0)
         with ThreadPoolExecutor() as callers:
             first = callers.submit(outcome, fleet, 0, ticket)
             retries = [callers.submit(outcome, fleet, n, ticket) for n in (1, 2, 1)]
             outcomes = [call.result() for call in (first, *retries)]
-        fleet.turn([], service_ms=5.0)
+        fleet.set_behaviour([], service_ms=5.0)
         assert outcomes == ["ran"] * 4
         assert count_runs(fleet, ticket) == 1
 
     def test_outcome_is_unknown_and_run_once_if_searcher_books_and_closes_connection(self, fleet):
-        fleet.turn(["oa", "ob"], book_then_cut=True)
+        fleet.set_behaviour(["oa", "ob"], close_after_booking=True)
         ticket = fleet.mint(0)
         outcomes = [outcome(fleet, n, ticket) for n in (0, 1)]
-        fleet.turn(["oa", "ob"], book_then_cut=False)
+        fleet.set_behaviour(["oa", "ob"], close_after_booking=False)
         outcomes.append(outcome(fleet, 2, ticket))
         assert outcomes == ["unknown"] * 3
         assert count_runs(fleet, ticket) == 1
 
     def test_booking_refused_by_searchers_does_not_run_and_may_be_repeated(self, fleet):
-        fleet.turn(["oa", "ob"], shed_above=0)
+        fleet.set_behaviour(["oa", "ob"], shed_above=0)
         ticket = fleet.mint(0)
         assert outcome(fleet, 1, ticket) == "not_run"
         assert count_runs(fleet, ticket) == 0
-        fleet.turn(["oa", "ob"], shed_above=1000)
+        fleet.set_behaviour(["oa", "ob"], shed_above=1000)
         assert outcome(fleet, 2, ticket) == "ran"
         assert count_runs(fleet, ticket) == 1
 
@@ -101,14 +101,14 @@
     def test_outcome_is_unknown_and_run_at_most_once_if_owner_is_killed(self, fleet):
         owner = find_owner(fleet, "orders")
         minter = (owner + 1) % 3
-        fleet.turn(["oa", "ob"], service_ms=400.0, spread="fixed")
+        fleet.set_behaviour(["oa", "ob"], service_ms=400.0, spread="fixed")
         ticket, before = fleet.mint(minter), count_booking_requests(fleet)
         with ThreadPoolExecutor() as callers:
             call = callers.submit(outcome, fleet, minter, ticket)
             wait_for_booking_request(fleet, before)
             fleet.kill(fleet.hosts[owner]["host"])
             assert call.result() == "unknown"
-        fleet.turn(["oa", "ob"], service_ms=5.0)
+        fleet.set_behaviour(["oa", "ob"], service_ms=5.0)
         assert outcome(fleet, (owner + 2) % 3, ticket) == "unknown"
         assert count_runs(fleet, ticket) <= 1
         fleet.start_host(owner)
--- a/tests/process/test_commands.py
+++ b/tests/process/test_commands.py
@@ -17,7 +17,7 @@
 
 @pytest.fixture(scope="class")
 def fleet():
-    with Fleet(SMALL, knobs={"service_ms": 5.0}) as started:
+    with Fleet(SMALL, behaviour={"service_ms": 5.0}) as started:
         yield started
 
 
@@ -65,31 +65,36 @@
 
 class TestCallers:
     def test_query_prints_whole_answer_as_text_and_json(self, fleet):
-        table = run("query", fleet.callers[0], "--service", "desk/1")
+        table = run("query", fleet.caller_addresses[0], "--service", "desk/1")
         assert table.exit_code == 0 and "coverage 1.0000  whole" in table.output
-        answer = run("query", fleet.callers[0], "--service", "desk/1", "--json")
+        answer = run("query", fleet.caller_addresses[0], "--service", "desk/1", "--json")
         assert json.loads(answer.output)["whole"] is True
 
     def test_query_asks_next_host_if_first_is_unreachable(self, fleet):
-        assert run("query", "127.0.0.1:1", fleet.callers[1], "--service", "desk/1").exit_code == 0
+        assert (
+            run("query", "127.0.0.1:1", fleet.caller_addresses[1], "--service", "desk/1").exit_code
+            == 0
+        )
 
     def test_query_exits_1_if_not_run_and_6_if_unreachable(self, fleet):
-        assert run("query", fleet.callers[0], "--service", "nowhere").exit_code == 1
+        assert run("query", fleet.caller_addresses[0], "--service", "nowhere").exit_code == 1
         assert run("query", "127.0.0.1:1", "--service", "desk/1").exit_code == 6
 
     def test_book_with_the_same_ticket_twice_runs_once(self, fleet):
-        first = run("book", *fleet.callers, "--service", "orders", "--json")
+        first = run("book", *fleet.caller_addresses, "--service", "orders", "--json")
         assert first.exit_code == 0
         ticket = json.loads(first.output)["ticket"]
-        again = run("book", fleet.callers[2], "--service", "orders", "--ticket", ticket)
+        again = run("book", fleet.caller_addresses[2], "--service", "orders", "--ticket", ticket)
         assert again.exit_code == 0
-        booked_tickets = [b["ticket"] for s in fleet.searchers().values() for b in s["bookings"]]
+        booked_tickets = [
+            b["ticket"] for s in fleet.searcher_reports().values() for b in s["bookings"]
+        ]
         assert booked_tickets.count(ticket) == 1
 
 
 class TestOperators:
     def test_status_prints_versions_peers_and_owned_services(self, fleet):
-        result = run("status", *fleet.callers)
+        result = run("status", *fleet.caller_addresses)
         assert result.exit_code == 0
         assert result.output.count("in force") == 3
         assert "desk/1" in result.output and "alive, reachable" in result.output
@@ -101,18 +106,18 @@
 
     def test_timeline_merges_events_of_all_hosts(self, fleet, tmp_path):
         page = tmp_path / "line.html"
-        result = run("timeline", *fleet.callers, "--json", "--html", str(page))
+        result = run("timeline", *fleet.caller_addresses, "--json", "--html", str(page))
         assert result.exit_code == 0
         events = [json.loads(line) for line in result.output.splitlines()]
         assert {event["host"] for event in events} == {"h1", "h2", "h3"}
         assert "text_accepted" in page.read_text()
 
     def test_status_exits_6_and_names_host_that_does_not_answer(self, fleet):
-        result = run("status", fleet.callers[0], "127.0.0.1:1")
+        result = run("status", fleet.caller_addresses[0], "127.0.0.1:1")
         assert result.exit_code == 6 and "127.0.0.1:1: no answer" in result.output
 
     def test_log_holds_changes_of_state_but_no_requests(self, fleet):
-        lines = fleet.log_of("h1").splitlines()
+        lines = fleet.read_log("h1").splitlines()
         assert any("text_accepted" in line for line in lines)
         assert not any("/v1/search" in line for line in lines)
 
@@ -126,11 +131,11 @@
 
 class TestTimelineOfAFleet:
     def test_every_event_comes_after_the_events_that_its_host_knew_of(self, fleet):
-        revision = fleet.put_text(fleet.text + "\n")
+        revision = fleet.publish_text(fleet.text + "\n")
         fleet.wait_until(
             lambda: all(fleet.status(n)["revision"] == revision for n in range(3)), 10, "no text"
         )
-        result = run("timeline", *fleet.callers, "--json")
+        result = run("timeline", *fleet.caller_addresses, "--json")
         events = [json.loads(line) for line in result.output.splitlines()]
         position = {(e["host"], e["sequence"]): index for index, e in enumerate(events)}
         known_events = [(e, seen) for e in events for seen in e["seen"].items()]
--- a/tests/process/test_departure.py
+++ b/tests/process/test_departure.py
@@ -19,7 +19,7 @@
 
 def received(fleet, names):
     """Return how many requests the searchers ``names`` have received so far."""
-    return sum(fleet.searchers()[name]["counts"].get("received", 0) for name in names)
+    return sum(fleet.searcher_reports()[name]["counts"].get("received", 0) for name in names)
 
 
 def received_after_leaving(fleet, names):
@@ -34,7 +34,7 @@
 def fleet():
     """Yield a fleet whose third host can't reach the platform."""
     without_platform = {2: {"platform": NOWHERE}}
-    with Fleet(SMALL, knobs={"service_ms": 5.0}, host_settings=without_platform) as started:
+    with Fleet(SMALL, behaviour={"service_ms": 5.0}, host_settings=without_platform) as started:
         yield started
 
 
@@ -42,10 +42,10 @@
     def test_draining_searcher_receives_no_new_work_and_answers_stay_whole(self, fleet):
         with Load(fleet, ["desk/1"]) as load:
             time.sleep(0.5)
-            fleet.turn(["d1a"], draining=True)
+            fleet.set_behaviour(["d1a"], draining=True)
             assert received_after_leaving(fleet, ["d1a"]) == 0
         assert received(fleet, ["d1b"]) > 0
-        assert set(load.kinds(since=time.monotonic() - 2.0)) == {"whole"}
+        assert set(load.count_kinds(since=time.monotonic() - 2.0)) == {"whole"}
 
 
 class TestDepartment:
@@ -54,11 +54,11 @@
         with Load(fleet, ["desk/1"]) as load:
             time.sleep(0.5)
             before = received(fleet, searchers)
-            fleet.put_text(LEDGER_LEAVES)
+            fleet.publish_text(LEDGER_LEAVES)
             assert received_after_leaving(fleet, searchers) == 0
         assert before > 0
-        assert set(load.kinds()) == {"whole", "partial"}
-        lacking = {(service, reason) for service, reason, _, _ in load.missing()}
+        assert set(load.count_kinds()) == {"whole", "partial"}
+        lacking = {(service, reason) for service, reason, _, _ in load.missing_services()}
         assert lacking == {("ledger/1", "department_left")}
         for index in range(3):
             assert fleet.search(index, ["ledger/1"]).body["reason"] == "department_left"
@@ -72,11 +72,11 @@
         """
         leaving = [{**host, "leaving": index == 0} for index, host in enumerate(fleet.hosts)]
         with Load(fleet, ["desk/1"], callers=1) as load:
-            fleet.list_hosts(leaving)
+            fleet.publish_hosts(leaving)
             wait_for_state(fleet, "h1", "leaving", [0, 1, 2])
             assert owned_services(fleet, 0) == set()
-        assert set(load.kinds()) == {"whole"}
-        fleet.list_hosts(fleet.hosts)
+        assert set(load.count_kinds()) == {"whole"}
+        fleet.publish_hosts(fleet.hosts)
         assert fleet.status(0)["peers"][0]["state"] == "leaving"
 
 
@@ -86,16 +86,16 @@
 
     Each host listens behind a relay, which refuses connections from the hosts on the other side.
     """
-    fleet = Fleet(SMALL, knobs={"service_ms": 5.0})
+    fleet = Fleet(SMALL, behaviour={"service_ms": 5.0})
     ports = [host["address"].rpartition(":") for host in fleet.hosts]
     behind = [f"{number}:{int(port) + 500}" for number, _, port in ports]
     relays = [Relay(h["address"], b) for h, b in zip(fleet.hosts, behind, strict=True)]
     fleet.host_settings = {n: {"peer_listen_address": b} for n, b in enumerate(behind)}
 
     def set_partition(partitioned):
-        relays[0].cut({"h2", "h3"} if partitioned else set())
+        relays[0].block_hosts({"h2", "h3"} if partitioned else set())
         for relay in relays[1:]:
-            relay.cut({"h1"} if partitioned else set())
+            relay.block_hosts({"h1"} if partitioned else set())
 
     with fleet:
         yield fleet, set_partition
@@ -118,4 +118,4 @@
             for host in ("h1", "h2", "h3"):
                 wait_for_state(fleet, host, "alive", [0, 1, 2])
         assert [owned_services(fleet, index) for index in range(3)] == before
-        assert set(load.kinds()) == {"whole"}
+        assert set(load.count_kinds()) == {"whole"}
--- a/tests/process/test_distribution.py
+++ b/tests/process/test_distribution.py
@@ -18,7 +18,7 @@
 
 @pytest.fixture(scope="class")
 def fleet():
-    with Fleet(SMALL, knobs={"service_ms": 5.0}) as started:
+    with Fleet(SMALL, behaviour={"service_ms": 5.0}) as started:
         yield started
 
 
@@ -40,17 +40,17 @@
 
 def events(fleet: Fleet, index: int, kind: str) -> list[str]:
     """Return the details of the events of ``kind`` on one host's time line."""
-    found = call(fleet.callers[index], "GET", "/v1/events").body["events"]
+    found = call(fleet.caller_addresses[index], "GET", "/v1/events").body["events"]
     return [event["detail"] for event in found if event["kind"] == kind]
 
 
 class TestEdit:
     def test_comes_into_force_on_every_host_within_seconds(self, fleet):
-        wait_in_force(fleet, fleet.put_text(edit(3)))
+        wait_in_force(fleet, fleet.publish_text(edit(3)))
 
     def test_invalid_edit_changes_nothing_and_reports_its_position(self, fleet):
         before = revisions(fleet)
-        refused = fleet.put_text(edit(3).replace('["ledger/1"]', '["gone"]'))
+        refused = fleet.publish_text(edit(3).replace('["ledger/1"]', '["gone"]'))
 
         def is_refused() -> bool:
             return all(fleet.status(i)["refused_revision"] == refused for i in range(3))
@@ -60,24 +60,24 @@
         assert "line 8, column" in fleet.status(0)["problems"][0]
         assert "service 'desk/1' depends on 'gone'" in fleet.status(0)["problems"][0]
         assert fleet.search(0, ["desk/1"]).body["whole"]
-        wait_in_force(fleet, fleet.put_text(edit(4)))
+        wait_in_force(fleet, fleet.publish_text(edit(4)))
         assert fleet.status(0)["problems"] == []
 
     def test_edit_during_platform_outage_comes_into_force_after_it(self, fleet):
-        fleet.platform("down", down=True)
+        fleet.control_platform("down", down=True)
         before = revisions(fleet)
-        revision = fleet.put_text(edit(5))
+        revision = fleet.publish_text(edit(5))
         assert fleet.search(0, ["desk/1"]).body["whole"]
         assert revisions(fleet) == before
-        fleet.platform("down", down=False)
+        fleet.control_platform("down", down=False)
         wait_in_force(fleet, revision, PLATFORM_BACK_SECONDS)
 
     def test_reaches_host_that_cannot_reach_the_platform(self, fleet):
         fleet.kill("h3")
-        nowhere = f"{fleet.network}:9"
+        nowhere = f"{fleet.ip_address}:9"
         fleet.start_host(2, platform={"configuration": nowhere, "hosts": nowhere})
         fleet.wait_until(fleet.is_ready, 10.0, "the host did not start with its peers alone")
-        wait_in_force(fleet, fleet.put_text(edit(6)))
+        wait_in_force(fleet, fleet.publish_text(edit(6)))
 
 
 class TestStalePlatform:
@@ -87,9 +87,9 @@
         A host stores nothing across restarts. The platform answers with the previous text and the
         peers are paused, so the host must wait for the peers before it serves.
         """
-        revision = fleet.put_text(edit(3))
+        revision = fleet.publish_text(edit(3))
         wait_in_force(fleet, revision)
-        fleet.platform("freeze", freeze=True, previous=True)
+        fleet.control_platform("freeze", freeze=True, previous=True)
         fleet.kill("h1")
         for peer in ("h2", "h3"):
             fleet.signal(peer, signal.SIGSTOP)
@@ -106,13 +106,13 @@
         assert serving.endswith(f"serves revision {revision}")
 
     def test_intermittent_staleness_reverts_nothing(self, fleet):
-        fleet.platform("freeze", freeze=False)
-        revision = fleet.put_text(edit(4))
+        fleet.control_platform("freeze", freeze=False)
+        revision = fleet.publish_text(edit(4))
         wait_in_force(fleet, revision)
         for turn in range(10):
-            fleet.platform("freeze", freeze=turn % 2 == 0, previous=True)
+            fleet.control_platform("freeze", freeze=turn % 2 == 0, previous=True)
             assert revisions(fleet) == [revision] * 3
-        wait_in_force(fleet, fleet.put_text(edit(5)), PLATFORM_BACK_SECONDS)
+        wait_in_force(fleet, fleet.publish_text(edit(5)), PLATFORM_BACK_SECONDS)
 
 
 class TestStartWithoutPeers:
@@ -121,7 +121,7 @@
             fleet.kill("h1")
             fleet.kill("h2")
             fleet.start_host(0)
-            fleet.wait_until(lambda: fleet.host_ready(0), 10.0, "the host did not start")
+            fleet.wait_until(lambda: fleet.is_host_ready(0), 10.0, "the host did not start")
             assert events(fleet, 0, "serving")[0].startswith(
                 "partial: the platform and 0 peers in "
             )
@@ -141,14 +141,16 @@
         with Fleet(SMALL, hosts=hosts) as fleet:
 
             def is_settled() -> bool:
-                return fleet.platform("reads")["waiting"] == watchers * WATCHED_KEYS
+                return (
+                    fleet.control_platform("status")["pending_watches"] == watchers * WATCHED_KEYS
+                )
 
             fleet.wait_until(is_settled, 10.0, "not exactly the watchers watch")
             domains = {host["failure_domain"] for host in fleet.hosts}
-            before = fleet.platform("reads")["reads"]
-            wait_in_force(fleet, fleet.put_text(edit(3)))
+            before = fleet.control_platform("status")["requests"]
+            wait_in_force(fleet, fleet.publish_text(edit(3)))
             fleet.wait_until(is_settled, 10.0, "the watches did not resume after the edit")
-            read = fleet.platform("reads")["reads"] - before
+            read = fleet.control_platform("status")["requests"] - before
             assert read <= most_reads(len(domains), Millis(10_000.0), changes=1, starts=0)
             statuses = [fleet.status(index) for index in range(hosts)]
             assert sum(status["watcher"] for status in statuses) == watchers
@@ -163,7 +165,7 @@
             for index in lost:
                 fleet.kill(fleet.hosts[index]["host"])
             fleet.wait_until(lambda: is_settled(fleet), 10.0, "the watchers are not replaced")
-            revision = fleet.put_text(edit(3))
+            revision = fleet.publish_text(edit(3))
             left = running(fleet)
 
             def is_in_force() -> bool:
@@ -189,5 +191,5 @@
 def is_settled(fleet: Fleet) -> bool:
     """Return whether two hosts of each failure domain watch, each with an open watch per key."""
     domains = sorted(domain_of(fleet, index) for index in watchers(fleet))
-    waiting = fleet.platform("reads")["waiting"]
+    waiting = fleet.control_platform("status")["pending_watches"]
     return domains == ["north", "north", "south", "south"] and waiting == 4 * WATCHED_KEYS
--- a/tests/process/test_owner_faults.py
+++ b/tests/process/test_owner_faults.py
@@ -51,7 +51,7 @@
 
 @pytest.fixture(scope="class")
 def fleet():
-    with Fleet(FEW_CONNECTIONS, knobs={"service_ms": 10.0}) as started:
+    with Fleet(FEW_CONNECTIONS, behaviour={"service_ms": 10.0}) as started:
         yield started
 
 
@@ -73,7 +73,7 @@
             fleet.signal(name, signal.SIGSTOP)
             time.sleep(1.5)
             fleet.signal(name, signal.SIGCONT)
-            fleet.put_text(
+            fleet.publish_text(
                 FEW_CONNECTIONS.replace('"format": 1,', '"format": 1, "floors": {"bulk": 0.2},')
             )
             time.sleep(1.0)
@@ -87,7 +87,9 @@
             for service in fleet.configuration.services.values()
             for searcher in service.searchers
         }
-        most_open = {n: s["counts"].get("most_open", 0) for n, s in fleet.searchers().items()}
+        most_open = {
+            n: s["counts"].get("most_open", 0) for n, s in fleet.searcher_reports().items()
+        }
         assert most_open["d1a"] and most_open["d1b"]
         assert all(most_open[searcher] <= limits[searcher] for searcher in limits), most_open
 
@@ -96,31 +98,33 @@
     def test_holds_while_text_changes_under_load(self):
         """Guard against connections beyond the share when a new text reconfigures the pool."""
         text = SMALL.replace('"connections": 25', '"connections": 3')
-        with Fleet(text, hosts=1, knobs={"service_ms": 30.0}) as fleet, Load(fleet, [0]):
+        with Fleet(text, hosts=1, behaviour={"service_ms": 30.0}) as fleet, Load(fleet, [0]):
             for floor in (0.1, 0.2, 0.3):
                 floors = f'"format": 1, "floors": {{"bulk": {floor}}},'
-                revision = fleet.put_text(text.replace('"format": 1,', floors))
+                revision = fleet.publish_text(text.replace('"format": 1,', floors))
                 fleet.wait_until(
                     lambda r=revision: fleet.status(0)["revision"] == r, 10.0, "no new revision"
                 )
                 time.sleep(0.3)
-            most_open = {n: s["counts"].get("most_open", 0) for n, s in fleet.searchers().items()}
+            most_open = {
+                n: s["counts"].get("most_open", 0) for n, s in fleet.searcher_reports().items()
+            }
         assert (most_open["d1a"], most_open["d1b"]) == (3, 3)
 
 
 class TestRestartedSearcher:
     def test_gets_no_work_while_draining_and_work_again_as_new_incarnation(self, fleet):
         def completed_count():
-            return fleet.searchers()["d1a"]["counts"].get("completed", 0)
+            return fleet.searcher_reports()["d1a"]["counts"].get("completed", 0)
 
         with Load(fleet, [find_owner(fleet, "desk/1")], tasks=3):
-            fleet.turn(["d1a"], draining=True, incarnation="1")
+            fleet.set_behaviour(["d1a"], draining=True, incarnation="1")
             time.sleep(0.5)
-            fleet.turn(["d1a"], draining=False)
+            fleet.set_behaviour(["d1a"], draining=False)
             before = completed_count()
             time.sleep(1.0)
             assert completed_count() == before
-            fleet.turn(["d1a"], incarnation="2")
+            fleet.set_behaviour(["d1a"], incarnation="2")
             fleet.wait_until(lambda: completed_count() > before, 20.0, "d1a got no work again")
 
 
@@ -133,9 +137,9 @@
         """
         first = fleet.book(0, fleet.mint(0), "orders")
         assert first.body["outcome"] == "ran"
-        fleet.turn(["oa", "ob"], book_then_cut=True)
+        fleet.set_behaviour(["oa", "ob"], close_after_booking=True)
         ticket = fleet.mint(0)
         reply = fleet.book(0, ticket, "orders")
         assert reply.body["outcome"] == "unknown"
-        ran = [b for s in fleet.searchers().values() for b in s["bookings"]]
+        ran = [b for s in fleet.searcher_reports().values() for b in s["bookings"]]
         assert [b["ticket"] for b in ran].count(ticket) == 1
--- a/tests/process/test_recovery.py
+++ b/tests/process/test_recovery.py
@@ -16,7 +16,7 @@
 
 @pytest.fixture(scope="class")
 def fleet():
-    with Fleet(SMALL, knobs={"service_ms": 5.0}) as started:
+    with Fleet(SMALL, behaviour={"service_ms": 5.0}) as started:
         yield started
 
 
@@ -79,16 +79,16 @@
                 time.sleep(0.5)
                 process = fleet.processes[host["host"]]
                 fleet.signal(host["host"], signal.SIGTERM)
-                assert process.wait(SETTLE_SECONDS) == 0, fleet.log_of(host["host"])
+                assert process.wait(SETTLE_SECONDS) == 0, fleet.read_log(host["host"])
                 fleet.start_host(index)
                 fleet.wait_until(fleet.is_ready, SETTLE_SECONDS, "the host did not come back")
-        kinds = load.kinds()
+        kinds = load.count_kinds()
         assert kinds.pop("whole") > 100
-        assert set(kinds) <= {"shutting_down", "unreachable"}, (kinds, load.missing())
+        assert set(kinds) <= {"shutting_down", "unreachable"}, (kinds, load.missing_services())
 
     @pytest.mark.parametrize("stopped", ["minter", "owner"])
     def test_booking_in_progress_at_shutdown_finishes(self, fleet, stopped):
-        fleet.turn(["oa", "ob"], service_ms=1800.0, spread="fixed")
+        fleet.set_behaviour(["oa", "ob"], service_ms=1800.0, spread="fixed")
         owner = next(index for index in range(3) if "orders" in owned_services(fleet, index))
         minter = (owner + 1) % 3
         index = {"minter": minter, "owner": owner}[stopped]
@@ -113,9 +113,9 @@
 
 def started(fleet):
     """Return how many bookings the searchers of the booking service have started."""
-    counts = [s["counts"] for s in fleet.searchers().values() if s["service"] == "orders"]
+    counts = [s["counts"] for s in fleet.searcher_reports().values() if s["service"] == "orders"]
     return sum(count.get("started", 0) for count in counts)
 
 
 def events(fleet, index):
-    return call(fleet.callers[index], "GET", "/v1/events").body
+    return call(fleet.caller_addresses[index], "GET", "/v1/events").body
--- a/tests/process/test_soak.py
+++ b/tests/process/test_soak.py
@@ -36,8 +36,8 @@
 
     def collect(self, fleet):
         """Add what the searchers have logged so far."""
-        for searcher in fleet.searchers().values():
-            for entry in searcher["log"]:
+        for searcher in fleet.searcher_reports().values():
+            for entry in searcher["search_log"]:
                 query, _, _ = entry["query"].rpartition(".")
                 self.searched |= {(query, entry["snapshot"], shard) for shard in entry["shards"]}
 
@@ -95,7 +95,7 @@
 def check_bookings(fleet, records):
     """Check that each ticket ran at most once, and that its outcomes agree with that."""
     runs = defaultdict(int)
-    for searcher in fleet.searchers().values():
+    for searcher in fleet.searcher_reports().values():
         for booking in searcher["bookings"]:
             runs[booking["ticket"]] += 1
     assert max(runs.values(), default=0) <= 1
@@ -124,7 +124,7 @@
 def soak(seed, seconds):
     """Run a fleet under faults and requests, then check every answer and booking."""
     records, stopping = Records(), Event()
-    with Fleet(SMALL, hosts=HOSTS, knobs={"service_ms": 5.0}) as fleet:
+    with Fleet(SMALL, hosts=HOSTS, behaviour={"service_ms": 5.0}) as fleet:
         sources = [random.Random(f"{seed}-{number}") for number in range(WORKERS)]
         arguments = [(fleet, records, source, stopping) for source in sources]
         callers = [Thread(target=run_caller, args=each) for each in arguments]
--- a/tests/process/test_whole_path.py
+++ b/tests/process/test_whole_path.py
@@ -8,7 +8,7 @@
 
 @pytest.fixture(scope="class")
 def fleet():
-    with Fleet(SMALL, knobs={"service_ms": 5.0}) as started:
+    with Fleet(SMALL, behaviour={"service_ms": 5.0}) as started:
         yield started
 
 
@@ -35,7 +35,7 @@
         ticket = fleet.mint(0)
         replies = [fleet.book(index, ticket, "orders") for index in (0, 1, 2, 0)]
         assert [reply.body["outcome"] for reply in replies] == ["ran"] * 4
-        ran = [b for s in fleet.searchers().values() for b in s["bookings"]]
+        ran = [b for s in fleet.searcher_reports().values() for b in s["bookings"]]
         assert [b["ticket"] for b in ran] == [ticket]
 
     def test_malformed_ticket_is_refused_as_not_run(self, fleet):
--- a/tests/standins/__main__.py
+++ b/tests/standins/__main__.py
@@ -8,7 +8,7 @@
 import uvloop
 
 from tests.standins.platform import Platform, serve_platform
-from tests.standins.searcher import Knobs, Searcher, serve_searchers
+from tests.standins.searcher import Behaviour, Searcher, serve_searchers
 
 
 async def run(plan: dict[str, Any]) -> None:
@@ -16,7 +16,11 @@
         await serve_platform(Platform(), plan["platform"], plan["control"])
     searchers = {
         item["address"]: Searcher(
-            item["id"], item["service"], item["slots"], item["connections"], Knobs(**plan["knobs"])
+            item["id"],
+            item["service"],
+            item["slots"],
+            item["connections"],
+            Behaviour(**plan["behaviour"]),
         )
         for item in plan["searchers"]
     }
--- a/tests/standins/fleet.py
+++ b/tests/standins/fleet.py
@@ -19,15 +19,15 @@
 ROOT = Path(__file__).resolve().parents[2]
 TEXT_KEY = "masticgate/text"
 SNAPSHOTS_KEY = "masticgate/snapshots"
-START_SECONDS = 20.0
-STOP_SECONDS = 15.0
-CALL_SECONDS = 10.0
-_networks = itertools.count()
+START_TIMEOUT_SECONDS = 20.0
+STOP_TIMEOUT_SECONDS = 15.0
+CALL_TIMEOUT_SECONDS = 10.0
+_fleet_numbers = itertools.count()
 
 
-def own_network() -> str:
-    """Return a loopback IP number that no other fleet of this or another process uses."""
-    number = os.getpid() * 7 + next(_networks)
+def allocate_ip_address() -> str:
+    """Return a loopback IP address that no other fleet of this or another process uses."""
+    number = os.getpid() * 7 + next(_fleet_numbers)
     return f"127.{1 + number // 250 % 250}.{number % 250}.1"
 
 
@@ -42,7 +42,7 @@
 
 def call(address: str, method: str, path: str, body: Any = None) -> Reply:
     """Run one HTTP call on a connection of its own."""
-    connection = http.client.HTTPConnection(address, timeout=CALL_SECONDS)
+    connection = http.client.HTTPConnection(address, timeout=CALL_TIMEOUT_SECONDS)
     try:
         data = None if body is None else json.dumps(body)
         connection.request(method, path, data, {"Content-Type": "application/json"})
@@ -72,36 +72,38 @@
         *,
         routing: str = "owner",
         searcher_processes: int = 1,
-        knobs: dict[str, Any] | None = None,
+        behaviour: dict[str, Any] | None = None,
         settings: dict[str, Any] | None = None,
         host_settings: dict[int, dict[str, Any]] | None = None,
     ) -> None:
-        self.network = own_network()
-        self.text = text.replace("127.0.0.1:", f"{self.network}:")
+        self.ip_address = allocate_ip_address()
+        self.text = text.replace("127.0.0.1:", f"{self.ip_address}:")
         accepted = accept_text(self.text, Revision(1))
         assert isinstance(accepted, Accepted), accepted
         self.configuration = accepted.configuration
         self.routing = routing
         self.searcher_processes = searcher_processes
-        self.knobs_at_start = knobs or {}
+        self.initial_behaviour = behaviour or {}
         self.extra_settings = settings or {}
         self.host_settings = host_settings or {}
         self.folder = Path(tempfile.mkdtemp(prefix="masticgate-"))
-        self.platform_address = f"{self.network}:9000"
-        self.platform_control = f"{self.network}:9001"
-        self.controls = [f"{self.network}:{9100 + n}" for n in range(searcher_processes)]
+        self.platform_address = f"{self.ip_address}:9000"
+        self.platform_control_address = f"{self.ip_address}:9001"
+        self.control_addresses = [
+            f"{self.ip_address}:{9100 + n}" for n in range(searcher_processes)
+        ]
         domains = sorted(
             {s.failure_domain for v in self.configuration.services.values() for s in v.searchers}
         )
         self.hosts = [
             {
                 "host": f"h{n + 1}",
-                "address": f"{self.network}:{7001 + n}",
+                "address": f"{self.ip_address}:{7001 + n}",
                 "failure_domain": domains[n % len(domains)],
             }
             for n in range(hosts)
         ]
-        self.callers = [f"{self.network}:{8001 + n}" for n in range(hosts)]
+        self.caller_addresses = [f"{self.ip_address}:{8001 + n}" for n in range(hosts)]
         self.processes: dict[str, subprocess.Popen[bytes]] = {}
         self.snapshots = [{"version": 1, "shards": shard_map(self.configuration)}]
 
@@ -121,10 +123,10 @@
         self.start_standins()
         for index in range(len(self.hosts)):
             self.start_host(index)
-        self.wait_until(self.is_ready, START_SECONDS, "the hosts did not become ready")
+        self.wait_until(self.is_ready, START_TIMEOUT_SECONDS, "the hosts did not become ready")
 
     def start_standins(self) -> None:
-        plan = {"platform": self.platform_address, "control": self.platform_control}
+        plan = {"platform": self.platform_address, "control": self.platform_control_address}
         self._spawn_standin("platform", plan)
         searchers = [
             {
@@ -137,15 +139,21 @@
             for service in self.configuration.services.values()
             for searcher in service.searchers
         ]
-        for number, control in enumerate(self.controls):
-            share = searchers[number :: self.searcher_processes]
-            plan = {"searchers": share, "control": control, "knobs": self.knobs_at_start}
+        for number, control in enumerate(self.control_addresses):
+            process_searchers = searchers[number :: self.searcher_processes]
+            plan = {
+                "searchers": process_searchers,
+                "control": control,
+                "behaviour": self.initial_behaviour,
+            }
             self._spawn_standin(f"searchers-{number}", plan)
-        for control in [self.platform_control, *self.controls]:
-            self.wait_until(lambda c=control: self._answers(c), START_SECONDS, "no stand-in")
-        self.put_snapshots(self.snapshots)
-        self.put_text(self.text)
-        self.list_hosts(self.hosts)
+        for control in [self.platform_control_address, *self.control_addresses]:
+            self.wait_until(
+                lambda c=control: self._is_answering(c), START_TIMEOUT_SECONDS, "no stand-in"
+            )
+        self.publish_snapshots(self.snapshots)
+        self.publish_text(self.text)
+        self.publish_hosts(self.hosts)
 
     def start_host(self, index: int, **overrides: Any) -> None:
         """Start one entry host, as a new incarnation with no memory."""
@@ -153,7 +161,7 @@
         settings = {
             "host": host["host"],
             "failure_domain": host["failure_domain"],
-            "caller_address": self.callers[index],
+            "caller_address": self.caller_addresses[index],
             "peer_address": host["address"],
             "platform": {"configuration": self.platform_address, "hosts": self.platform_address},
             "seeds": [h for h in self.hosts if h is not host],
@@ -168,12 +176,12 @@
         self._spawn(host["host"], command)
 
     def is_ready(self) -> bool:
-        return all(self.host_ready(index) for index in range(len(self.hosts)))
+        return all(self.is_host_ready(index) for index in range(len(self.hosts)))
 
-    def host_ready(self, index: int) -> bool:
+    def is_host_ready(self, index: int) -> bool:
         """Tell whether a host serves a configuration and reaches every running peer."""
         try:
-            status = call(self.callers[index], "GET", "/v1/status").body
+            status = call(self.caller_addresses[index], "GET", "/v1/status").body
         except OSError:
             return False
         running = {h["host"] for h in self.hosts if self.is_running(h["host"])}
@@ -183,11 +191,11 @@
     def search(self, index: int, services: list[str], **fields: Any) -> Reply:
         """Search through one host."""
         body = {"services": services, "text": "lamp", "remaining_ms": 1000.0, **fields}
-        return call(self.callers[index], "POST", "/v1/search", body)
+        return call(self.caller_addresses[index], "POST", "/v1/search", body)
 
     def mint(self, index: int) -> str:
         """Return a new ticket of one host."""
-        return str(call(self.callers[index], "POST", "/v1/tickets").body["ticket"])
+        return str(call(self.caller_addresses[index], "POST", "/v1/tickets").body["ticket"])
 
     def book(self, index: int, ticket: str, service: str, **fields: Any) -> Reply:
         """Book through one host."""
@@ -198,39 +206,39 @@
             "remaining_ms": 1000.0,
             **fields,
         }
-        return call(self.callers[index], "POST", "/v1/bookings", body)
+        return call(self.caller_addresses[index], "POST", "/v1/bookings", body)
 
     def status(self, index: int) -> dict[str, Any]:
         """Return one host's status."""
-        return dict(call(self.callers[index], "GET", "/v1/status").body)
+        return dict(call(self.caller_addresses[index], "GET", "/v1/status").body)
 
-    def put_text(self, text: str) -> int:
+    def publish_text(self, text: str) -> int:
         """Publish a text and return its revision."""
-        return self._put(TEXT_KEY, text.replace("127.0.0.1:", f"{self.network}:"))
+        return self._publish(TEXT_KEY, text.replace("127.0.0.1:", f"{self.ip_address}:"))
 
-    def put_snapshots(self, snapshots: list[dict[str, Any]]) -> int:
+    def publish_snapshots(self, snapshots: list[dict[str, Any]]) -> int:
         """Publish the snapshot catalogue."""
-        return self._put(SNAPSHOTS_KEY, json.dumps({"versions": snapshots}))
+        return self._publish(SNAPSHOTS_KEY, json.dumps({"versions": snapshots}))
 
-    def list_hosts(self, hosts: list[dict[str, Any]]) -> None:
+    def publish_hosts(self, hosts: list[dict[str, Any]]) -> None:
         """Publish the host list."""
-        self.platform("hosts", hosts=hosts)
+        self.control_platform("hosts", hosts=hosts)
 
-    def platform(self, do: str, **fields: Any) -> Any:
-        """Turn a knob of the platform."""
-        return call(self.platform_control, "POST", "/", {"do": do, **fields}).body
+    def control_platform(self, command: str, **fields: Any) -> Any:
+        """Turn a setting of the platform."""
+        return call(self.platform_control_address, "POST", "/", {"command": command, **fields}).body
 
-    def turn(self, searchers: list[str], **knobs: Any) -> None:
-        """Turn knobs of the named searchers, or of all for an empty list."""
-        for control in self.controls:
-            call(control, "POST", "/", {"searchers": searchers, "knobs": knobs})
+    def set_behaviour(self, searchers: list[str], **behaviour: Any) -> None:
+        """Turn behaviour of the named searchers, or of all for an empty list."""
+        for control in self.control_addresses:
+            call(control, "POST", "/", {"searchers": searchers, "behaviour": behaviour})
 
-    def searchers(self, logs: bool = True) -> dict[str, Any]:
+    def searcher_reports(self, include_search_log: bool = True) -> dict[str, Any]:
         """Return what each searcher counted, and the searches it ran where ``logs``."""
-        merged: dict[str, Any] = {}
-        for control in self.controls:
-            merged.update(call(control, "GET", "/" if logs else "/counts").body)
-        return merged
+        reports: dict[str, Any] = {}
+        for control in self.control_addresses:
+            reports.update(call(control, "GET", "/" if include_search_log else "/counts").body)
+        return reports
 
     def is_running(self, name: str) -> bool:
         return name in self.processes and self.processes[name].poll() is None
@@ -244,11 +252,11 @@
         self.signal(name, signal.SIGKILL)
         self.processes[name].wait()
 
-    def wait_until(self, condition: Any, seconds: float, message: str) -> None:
+    def wait_until(self, condition: Any, timeout_seconds: float, message: str) -> None:
         """Wait until ``condition()`` holds."""
-        end = time.monotonic() + seconds
+        deadline = time.monotonic() + timeout_seconds
         while not condition():
-            if time.monotonic() > end:
+            if time.monotonic() > deadline:
                 raise AssertionError(message)
             time.sleep(0.05)
 
@@ -258,22 +266,22 @@
             if process.poll() is None:
                 process.send_signal(signal.SIGCONT)
                 process.terminate()
-        end = time.monotonic() + STOP_SECONDS
+        deadline = time.monotonic() + STOP_TIMEOUT_SECONDS
         for process in self.processes.values():
             try:
-                process.wait(max(0.1, end - time.monotonic()))
+                process.wait(max(0.1, deadline - time.monotonic()))
             except subprocess.TimeoutExpired:
                 process.kill()
                 process.wait()
 
-    def log_of(self, name: str) -> str:
+    def read_log(self, name: str) -> str:
         """Return what one process wrote."""
         return (self.folder / f"{name}.log").read_text()
 
-    def _put(self, key: str, value: str) -> int:
-        return int(self.platform("put", key=key, value=value)["revision"])
+    def _publish(self, key: str, value: str) -> int:
+        return int(self.control_platform("put", key=key, value=value)["revision"])
 
-    def _answers(self, address: str) -> bool:
+    def _is_answering(self, address: str) -> bool:
         try:
             return call(address, "GET", "/").status == 200
         except OSError:
--- a/tests/standins/http.py
+++ b/tests/standins/http.py
@@ -18,7 +18,7 @@
         self.method = method
         self.url = url
         self.body = body
-        self.on_cut: Callable[[], None] | None = None
+        self.on_close: Callable[[], None] | None = None
 
     def json(self) -> Any:
         return json.loads(self.body)
@@ -27,7 +27,7 @@
         body = b"" if value is None else json.dumps(value).encode()
         self.protocol.write(status, body)
 
-    def cut(self) -> None:
+    def close(self) -> None:
         """Close the connection without an answer."""
         self.protocol.transport.close()
 
@@ -35,22 +35,22 @@
 class HttpProtocol(asyncio.Protocol):
     """One connection; requests are answered in order, one at a time."""
 
-    def __init__(self, handle: Handler, on_open: Callable[[int], None]) -> None:
+    def __init__(self, handle: Handler, on_connection_change: Callable[[int], None]) -> None:
         self.handle = handle
-        self.on_open = on_open
+        self.on_connection_change = on_connection_change
         self.parser = httptools.HttpRequestParser(self)
         self.url = b""
         self.body = b""
-        self.current: Exchange | None = None
+        self.exchange: Exchange | None = None
 
     def connection_made(self, transport: Any) -> None:
         self.transport = transport
-        self.on_open(1)
+        self.on_connection_change(1)
 
     def connection_lost(self, error: Exception | None) -> None:
-        self.on_open(-1)
-        if self.current is not None and self.current.on_cut is not None:
-            self.current.on_cut()
+        self.on_connection_change(-1)
+        if self.exchange is not None and self.exchange.on_close is not None:
+            self.exchange.on_close()
 
     def data_received(self, data: bytes) -> None:
         try:
@@ -69,21 +69,21 @@
 
     def on_message_complete(self) -> None:
         method = self.parser.get_method().decode()
-        self.current = Exchange(self, method, self.url.decode(), self.body)
-        self.handle(self.current)
+        self.exchange = Exchange(self, method, self.url.decode(), self.body)
+        self.handle(self.exchange)
 
     def write(self, status: int, body: bytes) -> None:
-        self.current = None
+        self.exchange = None
         head = f"HTTP/1.1 {status} X\r\nContent-Length: {len(body)}\r\n\r\n"
         self.transport.write(head.encode() + body)
 
 
 async def listen(
-    address: str, handle: Handler, on_open: Callable[[int], None] = lambda change: None
+    address: str, handle: Handler, on_connection_change: Callable[[int], None] = lambda change: None
 ) -> asyncio.Server:
     """Serve ``handle`` on ``address`` (``127.0.0.1:port``)."""
-    number, _, port = address.rpartition(":")
+    ip_address, _, port = address.rpartition(":")
     loop = asyncio.get_running_loop()
     return await loop.create_server(
-        lambda: HttpProtocol(handle, on_open), number, int(port), backlog=512
+        lambda: HttpProtocol(handle, on_connection_change), ip_address, int(port), backlog=512
     )
--- a/tests/standins/load.py
+++ b/tests/standins/load.py
@@ -7,16 +7,16 @@
 from threading import Event, Lock, Thread
 from typing import Any
 
-from tests.standins.fleet import CALL_SECONDS, Fleet
+from tests.standins.fleet import CALL_TIMEOUT_SECONDS, Fleet
 
-REFUSED_WAIT_SECONDS = 0.05
+UNREACHABLE_WAIT_SECONDS = 0.05
 
 
 @dataclass(frozen=True)
 class Outcome:
     """One request: when it was sent, through which host, and its answer."""
 
-    at: float
+    sent_at: float
     host: int
     kind: str
     body: Any = None
@@ -30,9 +30,9 @@
         self.services = services
         self.lock = Lock()
         self.outcomes: list[Outcome] = []
-        self.ended = Event()
-        starts = [index for index in range(len(fleet.hosts)) for _ in range(callers)]
-        self.threads = [Thread(target=self.run, args=(index,)) for index in starts]
+        self.stopped = Event()
+        first_hosts = [index for index in range(len(fleet.hosts)) for _ in range(callers)]
+        self.threads = [Thread(target=self.run, args=(index,)) for index in first_hosts]
 
     def __enter__(self) -> "Load":
         for thread in self.threads:
@@ -40,57 +40,59 @@
         return self
 
     def __exit__(self, *_: object) -> None:
-        self.ended.set()
+        self.stopped.set()
         for thread in self.threads:
             thread.join()
 
     def run(self, host: int) -> None:
-        while not self.ended.is_set():
-            host = self.call_repeatedly(host)
+        while not self.stopped.is_set():
+            host = self.search_repeatedly(host)
 
-    def call_repeatedly(self, host: int) -> int:
+    def search_repeatedly(self, host: int) -> int:
         """Use one connection to a host until it fails; return the host to use next."""
-        connection = http.client.HTTPConnection(self.fleet.callers[host], timeout=CALL_SECONDS)
+        connection = http.client.HTTPConnection(
+            self.fleet.caller_addresses[host], timeout=CALL_TIMEOUT_SECONDS
+        )
         try:
             connection.connect()
         except OSError:
-            self.note(Outcome(time.monotonic(), host, "unreachable"))
-            self.ended.wait(REFUSED_WAIT_SECONDS)
+            self.record_outcome(Outcome(time.monotonic(), host, "unreachable"))
+            self.stopped.wait(UNREACHABLE_WAIT_SECONDS)
             return (host + 1) % len(self.fleet.hosts)
-        while not self.ended.is_set():
-            outcome = self.call(connection, host)
-            self.note(outcome)
-            if outcome.kind in ("cut", "shutting_down"):
+        while not self.stopped.is_set():
+            outcome = self.search(connection, host)
+            self.record_outcome(outcome)
+            if outcome.kind in ("connection_lost", "shutting_down"):
                 connection.close()
                 return (host + 1) % len(self.fleet.hosts)
         connection.close()
         return host
 
-    def call(self, connection: http.client.HTTPConnection, host: int) -> Outcome:
+    def search(self, connection: http.client.HTTPConnection, host: int) -> Outcome:
         fields = {"services": self.services, "text": "lamp", "remaining_ms": 1000.0}
-        at = time.monotonic()
+        sent_at = time.monotonic()
         try:
             connection.request("POST", "/v1/search", json.dumps(fields))
             response = connection.getresponse()
             body = json.loads(response.read())
         except (OSError, http.client.HTTPException):
-            return Outcome(at, host, "cut")
+            return Outcome(sent_at, host, "connection_lost")
         if response.status == 200:
-            return Outcome(at, host, "whole" if body["whole"] else "partial", body)
-        return Outcome(at, host, body["reason"], body)
+            return Outcome(sent_at, host, "whole" if body["whole"] else "partial", body)
+        return Outcome(sent_at, host, body["reason"], body)
 
-    def note(self, outcome: Outcome) -> None:
+    def record_outcome(self, outcome: Outcome) -> None:
         with self.lock:
             self.outcomes.append(outcome)
 
-    def missing(self) -> set[tuple[str, str, str, str]]:
+    def missing_services(self) -> set[tuple[str, str, str, str]]:
         """Return the services that partial answers lack, and why."""
         partial = [outcome for outcome in self.outcomes if outcome.kind == "partial"]
-        lacking = [missing for outcome in partial for missing in outcome.body["missing"]]
-        return {(m["service"], m["reason"], m["step"], m["peer"]) for m in lacking}
+        missing = [entry for outcome in partial for entry in outcome.body["missing"]]
+        return {(m["service"], m["reason"], m["step"], m["peer"]) for m in missing}
 
-    def kinds(self, since: float = 0.0) -> dict[str, int]:
+    def count_kinds(self, since: float = 0.0) -> dict[str, int]:
         """Return how often each outcome occurred among requests sent since then."""
         with self.lock:
-            kinds = [o.kind for o in self.outcomes if o.at >= since]
+            kinds = [o.kind for o in self.outcomes if o.sent_at >= since]
         return {kind: kinds.count(kind) for kind in set(kinds)}
--- a/tests/standins/platform.py
+++ b/tests/standins/platform.py
@@ -13,39 +13,39 @@
     def __init__(self) -> None:
         self.values: dict[str, tuple[int, str]] = {}
         self.hosts: list[dict[str, Any]] = []
-        self.waiting: list[tuple[str, int, Exchange]] = []
+        self.pending_watches: list[tuple[str, int, Exchange]] = []
         self.down = False
         self.frozen_values: dict[str, tuple[int, str]] = {}
-        self.previous: dict[str, tuple[int, str]] = {}
-        self.reads = 0
+        self.previous_values: dict[str, tuple[int, str]] = {}
+        self.request_count = 0
 
     def put(self, key: str, value: str) -> int:
         revision = max((r for r, _ in self.values.values()), default=0) + 1
-        self.previous = dict(self.values)
+        self.previous_values = dict(self.values)
         self.values[key] = (revision, value)
-        self.answer_waiting(key)
+        self.answer_watches(key)
         return revision
 
-    def answer_waiting(self, key: str) -> None:
+    def answer_watches(self, key: str) -> None:
         """Answer the watches on ``key`` with what it holds now, be it newer or not."""
-        for watched, _, exchange in [w for w in self.waiting if w[0] == key]:
+        for watched, _, exchange in [w for w in self.pending_watches if w[0] == key]:
             self.answer_value(exchange, watched)
-        self.waiting = [w for w in self.waiting if w[0] != key]
+        self.pending_watches = [w for w in self.pending_watches if w[0] != key]
 
     def freeze(self, values: dict[str, tuple[int, str]]) -> None:
         """Serve ``values`` whatever is put, or the true ones again where there are none."""
         self.frozen_values = values
         for key in self.values:
-            self.answer_waiting(key)
+            self.answer_watches(key)
 
     def set_down(self, down: bool) -> None:
         self.down = down
-        for _, _, exchange in self.waiting if down else ():
+        for _, _, exchange in self.pending_watches if down else ():
             exchange.answer(503, {"error": "down"})
-        self.waiting = [] if down else self.waiting
+        self.pending_watches = [] if down else self.pending_watches
 
     def handle(self, exchange: Exchange) -> None:
-        self.reads += 1
+        self.request_count += 1
         url = urlsplit(exchange.url)
         if self.down:
             exchange.answer(503, {"error": "down"})
@@ -54,35 +54,35 @@
         else:
             query = parse_qs(url.query)
             key = unquote(url.path.removeprefix("/v1/values/"))
-            self.read(exchange, key, query)
+            self.read_value(exchange, key, query)
 
-    def read(self, exchange: Exchange, key: str, query: dict[str, list[str]]) -> None:
+    def read_value(self, exchange: Exchange, key: str, query: dict[str, list[str]]) -> None:
         after = int(query.get("after", ["-1"])[0])
         wait = float(query.get("wait_ms", ["0"])[0]) / 1000
-        if self.current(key)[0] > after:
+        if self.current_value(key)[0] > after:
             self.answer_value(exchange, key)
             return
-        entry = (key, after, exchange)
-        self.waiting.append(entry)
+        watch = (key, after, exchange)
+        self.pending_watches.append(watch)
 
         def expire() -> None:
-            if entry in self.waiting:
-                self.waiting.remove(entry)
+            if watch in self.pending_watches:
+                self.pending_watches.remove(watch)
                 exchange.answer(204)
 
         timer = asyncio.get_running_loop().call_later(wait, expire)
-        exchange.on_cut = lambda: (timer.cancel(), self.drop(entry))
+        exchange.on_close = lambda: (timer.cancel(), self.remove_watch(watch))
 
-    def drop(self, entry: tuple[str, int, Exchange]) -> None:
-        if entry in self.waiting:
-            self.waiting.remove(entry)
+    def remove_watch(self, watch: tuple[str, int, Exchange]) -> None:
+        if watch in self.pending_watches:
+            self.pending_watches.remove(watch)
 
-    def current(self, key: str) -> tuple[int, str]:
+    def current_value(self, key: str) -> tuple[int, str]:
         values = self.frozen_values or self.values
         return values.get(key, (-1, ""))
 
     def answer_value(self, exchange: Exchange, key: str) -> None:
-        revision, value = self.current(key)
+        revision, value = self.current_value(key)
         if revision < 0:
             exchange.answer(404)
         else:
@@ -90,7 +90,7 @@
 
     def handle_control(self, exchange: Exchange) -> None:
         body = exchange.json() if exchange.body else {}
-        match body.get("do"):
+        match body.get("command"):
             case "put":
                 exchange.answer(200, {"revision": self.put(body["key"], body["value"])})
             case "hosts":
@@ -100,15 +100,18 @@
                 self.set_down(body["down"])
                 exchange.answer(200, {})
             case "freeze":
-                values = self.previous if body.get("previous") else self.values
+                values = self.previous_values if body.get("previous") else self.values
                 self.freeze(dict(values) if body["freeze"] else {})
                 exchange.answer(200, {})
             case _:
-                exchange.answer(200, {"reads": self.reads, "waiting": len(self.waiting)})
+                exchange.answer(
+                    200,
+                    {"requests": self.request_count, "pending_watches": len(self.pending_watches)},
+                )
 
 
 async def serve_platform(platform: Platform, address: str, control: str) -> None:
-    """Serve the platform on ``address`` and its knobs on ``control``."""
+    """Serve the platform on ``address`` and its behaviour on ``control``."""
     await listen(address, platform.handle)
     await listen(control, platform.handle_control)
     await asyncio.Event().wait()
--- a/tests/standins/relay.py
+++ b/tests/standins/relay.py
@@ -8,49 +8,49 @@
 from masticgate.connection import decode_message
 
 CHUNK_BYTES = 65_536
-CONNECT_SECONDS = 5.0
+HELLO_TIMEOUT_SECONDS = 5.0
 
 
 class Relay:
-    """Forwards connections to ``target``, but for those whose hello names a parted host."""
+    """Forwards connections to ``target``, but for those whose hello names a blocked host."""
 
     def __init__(self, address: str, target: str) -> None:
-        self.target = split(target)
-        self.listener = socket.create_server(split(address))
+        self.target = split_address(target)
+        self.listener = socket.create_server(split_address(address))
         self.lock = Lock()
-        self.open: dict[socket.socket, str] = {}
-        self.parted: frozenset[str] = frozenset()
-        Thread(target=self.run, daemon=True).start()
+        self.connections: dict[socket.socket, str] = {}
+        self.blocked_hosts: frozenset[str] = frozenset()
+        Thread(target=self.accept_connections, daemon=True).start()
 
-    def run(self) -> None:
+    def accept_connections(self) -> None:
         with suppress(OSError):
             while True:
-                near, _ = self.listener.accept()
-                Thread(target=self.serve, args=(near,), daemon=True).start()
+                incoming, _ = self.listener.accept()
+                Thread(target=self.serve_connection, args=(incoming,), daemon=True).start()
 
-    def serve(self, near: socket.socket) -> None:
-        with suppress(OSError), near:
-            near.settimeout(CONNECT_SECONDS)
-            head = near.recv(4, socket.MSG_WAITALL)
-            hello = near.recv(struct.unpack("!I", head)[0], socket.MSG_WAITALL)
+    def serve_connection(self, incoming: socket.socket) -> None:
+        with suppress(OSError), incoming:
+            incoming.settimeout(HELLO_TIMEOUT_SECONDS)
+            length_prefix = incoming.recv(4, socket.MSG_WAITALL)
+            hello = incoming.recv(struct.unpack("!I", length_prefix)[0], socket.MSG_WAITALL)
             host = decode_message(hello).host
-            near.settimeout(None)
+            incoming.settimeout(None)
             with self.lock:
-                if host in self.parted:
+                if host in self.blocked_hosts:
                     return
-                self.open[near] = host
-            with socket.create_connection(self.target) as far:
-                far.sendall(head + hello)
-                Thread(target=forward, args=(far, near), daemon=True).start()
-                forward(near, far)
+                self.connections[incoming] = host
+            with socket.create_connection(self.target) as outgoing:
+                outgoing.sendall(length_prefix + hello)
+                Thread(target=copy_bytes, args=(outgoing, incoming), daemon=True).start()
+                copy_bytes(incoming, outgoing)
         with self.lock:
-            self.open.pop(near, None)
+            self.connections.pop(incoming, None)
 
-    def cut(self, hosts: set[str]) -> None:
+    def block_hosts(self, hosts: set[str]) -> None:
         """Break the connections of ``hosts`` and refuse them; an empty set heals."""
         with self.lock:
-            self.parted = frozenset(hosts)
-            ends = [end for end, host in self.open.items() if host in hosts]
+            self.blocked_hosts = frozenset(hosts)
+            ends = [end for end, host in self.connections.items() if host in hosts]
         for end in ends:
             with suppress(OSError):
                 end.shutdown(socket.SHUT_RDWR)
@@ -62,7 +62,7 @@
         self.listener.close()
 
 
-def forward(source: socket.socket, sink: socket.socket) -> None:
+def copy_bytes(source: socket.socket, sink: socket.socket) -> None:
     """Pass on what arrives until one end closes; then close the other."""
     with suppress(OSError):
         while data := source.recv(CHUNK_BYTES):
@@ -72,7 +72,7 @@
             end.shutdown(socket.SHUT_RDWR)
 
 
-def split(address: str) -> tuple[str, int]:
-    """Return the IP number and the port of ``address``."""
-    number, _, port = address.rpartition(":")
-    return number, int(port)
+def split_address(address: str) -> tuple[str, int]:
+    """Return the IP address and the port of ``address``."""
+    ip_address, _, port = address.rpartition(":")
+    return ip_address, int(port)
--- a/tests/standins/searcher.py
+++ b/tests/standins/searcher.py
@@ -1,4 +1,4 @@
-"""A stand-in for searchers: slots, a queue, service times and knobs for faults."""
+"""A stand-in for searchers: slots, a queue, service times and behaviour for faults."""
 
 import asyncio
 import random
@@ -10,7 +10,7 @@
 
 
 @dataclass
-class Knobs:
+class Behaviour:
     """What a test may turn; durations in milliseconds, shares from 0 to 1."""
 
     service_ms: float = 20.0
@@ -29,76 +29,82 @@
     wrong_version: int = 0
     reported_load: int = -1
     incarnation: str = "1"
-    book_then_cut: bool = False
+    close_after_booking: bool = False
     shards: dict[str, dict[str, list[str]]] = field(default_factory=dict)
 
 
 class Searcher:
     """One searcher of one service on one address."""
 
-    def __init__(self, name: str, service: str, slots: int, connections: int, knobs: Knobs) -> None:
-        self.name = name
+    def __init__(
+        self, searcher_id: str, service: str, slots: int, connections: int, behaviour: Behaviour
+    ) -> None:
+        self.searcher_id = searcher_id
         self.service = service
         self.slots = slots
-        self.limit = connections
-        self.knobs = knobs
+        self.connection_limit = connections
+        self.behaviour = behaviour
         self.running = 0
         self.queue: deque[Exchange] = deque()
-        self.open = 0
+        self.open_connections = 0
         self.counts: dict[str, int] = {}
         self.bookings: list[dict[str, Any]] = []
-        self.log: list[dict[str, Any]] = []
-        self.random = random.Random(name)
+        self.search_log: list[dict[str, Any]] = []
+        self.random = random.Random(searcher_id)
         self.server: asyncio.Server | None = None
 
-    def lose(self) -> None:
+    def close_server(self) -> None:
         """Refuse connections from now on; whatever is in progress is cut."""
         if self.server is not None:
             self.server.close()
 
-    def count(self, what: str, number: int = 1) -> None:
-        self.counts[what] = self.counts.get(what, 0) + number
+    def count(self, event: str, number: int = 1) -> None:
+        self.counts[event] = self.counts.get(event, 0) + number
 
-    def opened(self, change: int) -> None:
-        self.open += change
-        self.counts["most_open"] = max(self.open, self.counts.get("most_open", 0))
+    def record_connection_change(self, change: int) -> None:
+        self.open_connections += change
+        self.counts["most_open"] = max(self.open_connections, self.counts.get("most_open", 0))
 
     def handle(self, exchange: Exchange) -> None:
-        knobs = self.knobs
+        behaviour = self.behaviour
         if exchange.url == "/load":
             load = len(self.queue) + self.running
-            shown = knobs.reported_load if knobs.reported_load >= 0 else load
-            report = {"load": shown, "draining": knobs.draining, "incarnation": knobs.incarnation}
+            reported_load = behaviour.reported_load if behaviour.reported_load >= 0 else load
+            report = {
+                "load": reported_load,
+                "draining": behaviour.draining,
+                "incarnation": behaviour.incarnation,
+            }
             exchange.answer(200, report)
             return
-        if knobs.lost:
-            exchange.cut()
+        if behaviour.lost:
+            exchange.close()
             return
         self.count("received")
-        if knobs.frozen:
+        if behaviour.frozen:
             return
-        if knobs.draining:
+        if behaviour.draining:
             self.refuse(exchange, "draining")
-        elif asyncio.get_running_loop().time() < knobs.cold_until:
+        elif asyncio.get_running_loop().time() < behaviour.cold_until:
             self.refuse(exchange, "cold")
-        elif len(self.queue) >= knobs.shed_above:
+        elif len(self.queue) >= behaviour.shed_above:
             self.refuse(exchange, "shed")
-        elif self.random.random() < knobs.loss_share:
-            exchange.cut()
+        elif self.random.random() < behaviour.loss_share:
+            exchange.close()
         else:
             self.enqueue(exchange)
 
     def refuse(self, exchange: Exchange, reason: str) -> None:
         self.count(reason)
-        exchange.answer(503, {"reason": reason, "incarnation": self.knobs.incarnation})
+        exchange.answer(503, {"reason": reason, "incarnation": self.behaviour.incarnation})
 
     def enqueue(self, exchange: Exchange) -> None:
-        def drop() -> None:
+        def remove_from_queue() -> None:
             if exchange in self.queue:
                 self.queue.remove(exchange)
                 self.count("cancelled")
 
-        exchange.on_cut = drop
+        exchange.on_close = remove_from_queue
         self.queue.append(exchange)
         self.start_next()
 
@@ -109,7 +115,7 @@
             self.count("started")
             loop = asyncio.get_running_loop()
             timer = loop.call_later(self.service_seconds(), self.complete, exchange)
-            exchange.on_cut = lambda e=exchange, t=timer: self.cancel(e, t)
+            exchange.on_close = lambda e=exchange, t=timer: self.cancel(e, t)
 
     def cancel(self, exchange: Exchange, timer: asyncio.TimerHandle) -> None:
         if not timer.cancelled():
@@ -117,57 +123,61 @@
             self.count("cancelled")
             self.running -= 1
             if exchange.url == "/book":
-                self.book(exchange)
+                self.record_booking(exchange)
             self.start_next()
 
     def service_seconds(self) -> float:
-        knobs = self.knobs
-        mean = knobs.service_ms / 1000
+        behaviour = self.behaviour
+        mean = behaviour.service_ms / 1000
         seconds = mean
-        if knobs.spread == "exponential":
-            share = knobs.spread_share
+        if behaviour.spread == "exponential":
+            share = behaviour.spread_share
             seconds = mean * (1 - share + share * self.random.expovariate(1.0))
-        if self.random.random() < knobs.straggler_share:
-            seconds += knobs.straggler_ms / 1000
+        if self.random.random() < behaviour.straggler_share:
+            seconds += behaviour.straggler_ms / 1000
         return seconds
 
     def complete(self, exchange: Exchange) -> None:
-        exchange.on_cut = None
+        exchange.on_close = None
         self.running -= 1
-        if self.knobs.lost:
-            exchange.cut()
+        if self.behaviour.lost:
+            exchange.close()
             return
         self.count("completed")
         if exchange.url == "/book":
             self.answer_booking(exchange)
-        elif self.random.random() < self.knobs.error_share:
+        elif self.random.random() < self.behaviour.error_share:
             exchange.answer(500, {"error": "stand-in"})
         else:
             self.answer_search(exchange)
         self.start_next()
 
-    def book(self, exchange: Exchange) -> dict[str, Any]:
+    def record_booking(self, exchange: Exchange) -> dict[str, Any]:
         body = exchange.json()
-        record = {"ticket": body["ticket"], "searcher": self.name, "payload": body["payload"]}
+        record = {
+            "ticket": body["ticket"],
+            "searcher": self.searcher_id,
+            "payload": body["payload"],
+        }
         self.bookings.append(record)
         return record
 
     def answer_booking(self, exchange: Exchange) -> None:
-        record = self.book(exchange)
-        if self.knobs.book_then_cut:
-            exchange.cut()
+        record = self.record_booking(exchange)
+        if self.behaviour.close_after_booking:
+            exchange.close()
         else:
             exchange.answer(200, {"booked": len(self.bookings), **record})
 
     def answer_search(self, exchange: Exchange) -> None:
         body = exchange.json()
         snapshot = body["snapshot"]
-        if snapshot not in self.knobs.held:
+        if snapshot not in self.behaviour.held:
             self.count("gone")
-            exchange.answer(410, {"held": self.knobs.held})
+            exchange.answer(410, {"held": self.behaviour.held})
             return
         shards = body["shards"]
-        self.log.append({"query": body["query"], "snapshot": snapshot, "shards": shards})
+        self.search_log.append({"query": body["query"], "snapshot": snapshot, "shards": shards})
         hits = [
             {
                 "id": f"{shard}-{snapshot}",
@@ -177,8 +187,8 @@
             }
             for shard in shards
         ]
-        answered = self.knobs.wrong_version or snapshot
-        exchange.answer(200, {"snapshot": answered, "shards": shards, "hits": hits})
+        answered_snapshot = self.behaviour.wrong_version or snapshot
+        exchange.answer(200, {"snapshot": answered_snapshot, "shards": shards, "hits": hits})
 
 
 def hash_text(text: str) -> int:
@@ -187,34 +197,36 @@
 
 
 async def serve_searchers(searchers: dict[str, Searcher], control: str) -> None:
-    """Serve every searcher on its address, and the knobs of all on ``control``."""
+    """Serve every searcher on its address, and the behaviour of all on ``control``."""
 
     def handle_control(exchange: Exchange) -> None:
         if exchange.method == "GET":
-            logs = exchange.url != "/counts"
-            exchange.answer(200, {s.name: describe(s, logs) for s in searchers.values()})
+            include_search_log = exchange.url != "/counts"
+            exchange.answer(
+                200, {s.searcher_id: make_report(s, include_search_log) for s in searchers.values()}
+            )
             return
         body = exchange.json()
         for searcher in searchers.values():
-            if searcher.name in body["searchers"] or not body["searchers"]:
-                for knob, value in body["knobs"].items():
-                    setattr(searcher.knobs, knob, value)
-                if searcher.knobs.lost:
-                    searcher.lose()
+            if searcher.searcher_id in body["searchers"] or not body["searchers"]:
+                for setting, value in body["behaviour"].items():
+                    setattr(searcher.behaviour, setting, value)
+                if searcher.behaviour.lost:
+                    searcher.close_server()
         exchange.answer(200, {})
 
     for address, searcher in searchers.items():
-        searcher.server = await listen(address, searcher.handle, searcher.opened)
+        searcher.server = await listen(address, searcher.handle, searcher.record_connection_change)
     await listen(control, handle_control)
     await asyncio.Event().wait()
 
 
-def describe(searcher: Searcher, logs: bool) -> dict[str, Any]:
+def make_report(searcher: Searcher, include_search_log: bool) -> dict[str, Any]:
     """Return what a test or the bench may count, with the log of searches if asked."""
     return {
         "service": searcher.service,
         "counts": searcher.counts,
         "bookings": searcher.bookings,
-        "log": searcher.log[-2000:] if logs else [],
-        "open": searcher.open,
+        "search_log": searcher.search_log[-2000:] if include_search_log else [],
+        "open": searcher.open_connections,
     }
--- a/tests/test_operators_pages.py
+++ b/tests/test_operators_pages.py
@@ -154,7 +154,7 @@
 
 @pytest.fixture(scope="class")
 def fleet():
-    with Fleet(SMALL, knobs={"service_ms": 5.0}) as started:
+    with Fleet(SMALL, behaviour={"service_ms": 5.0}) as started:
         yield started
 
 
@@ -168,7 +168,7 @@
     def test_run_as_shown(self, command, fleet, tmp_path, monkeypatch):
         monkeypatch.chdir(tmp_path)
         (tmp_path / "text.jsonc").write_text(SMALL)
-        for number, caller in enumerate(fleet.callers, 1):
+        for number, caller in enumerate(fleet.caller_addresses, 1):
             command = command.replace(f"127.0.0.1:800{number}", caller)
         result = CliRunner().invoke(main, shlex.split(command))
         assert result.exit_code == 0, result.output
