--- a/tests/process/fake_connections.py
+++ b/tests/process/fake_connections.py
@@ -28,7 +28,7 @@
 
 SERVICE = ServiceId("s")
 SHARE = 3
-"""The connections that the pool may open to each searcher."""
+"""The number of connections that the pool may open to each searcher."""
 
 HITS = Hits(SnapshotVersion(1), (), ())
 DRAINING = NotRun(Reason.SEARCHER_DRAINING, Step.UPSTREAM)
@@ -46,7 +46,10 @@
 
 
 def add_idle_connection(pool, health):
-    """Add an idle connection to a searcher, as the start of ``wait_for_work`` does."""
+    """Add an idle connection to the searcher of ``health``, and return the connection.
+
+    This is what a connection's task does at the start of ``ServicePool.wait_for_work``.
+    """
     with pool.delivery_lock:
         connection = IdleConnection(pool.lock, health)
         pool.idle_connections.add(connection)
@@ -74,6 +77,7 @@
         self.query_count = 0
 
     def search(self, rank=Rank.URGENT, remaining=1000.0):
+        """Submit a search, and return its query id and the result of ``ServicePool.submit``."""
         self.query_count += 1
         query = QueryId(f"q{self.query_count}")
         self.results[query] = []
@@ -91,6 +95,10 @@
         return query, self.pool.submit(work)
 
     def book(self, ticket, attempt=1):
+        """Submit a booking unless the booking log rejects the attempt.
+
+        Return its query id, and the result of ``ServicePool.submit`` or of the rejection.
+        """
         self.query_count += 1
         query = QueryId(f"b{self.query_count}")
         self.results[query] = []
@@ -103,16 +111,19 @@
         return query, self.pool.submit(work)
 
     def add_idle(self, name):
+        """Add an idle connection to a searcher, and return the attempts that this started."""
         health = self.pool.searchers.find(SEARCHERS[name])
         self.idle_connections.append(add_idle_connection(self.pool, health))
         return self.start_assigned()
 
     def add_all_idle(self):
+        """Add as many idle connections to each searcher as the pool may open."""
         for name in self.names:
             for _ in range(SHARE):
                 self.add_idle(name)
 
     def dispatch_and_start(self):
+        """Dispatch queued work, and return the attempts that this started."""
         with self.pool.delivery_lock:
             self.pool.dispatch()
         return self.start_assigned()
@@ -128,17 +139,21 @@
             connection for connection in self.idle_connections if connection.attempt is None
         ]
         for attempt in assigned:
-            assert self.pool.may_send(attempt, lambda s=attempt: self.aborted.append(s))
+            assert self.pool.may_send(attempt, lambda a=attempt: self.aborted.append(a))
         self.attempts += assigned
         return assigned
 
     def finish(self, attempt, result):
+        """Finish an attempt with ``result``, and return the attempts that this started."""
         self.attempts.remove(attempt)
         self.pool.finish(attempt, result)
         return self.start_assigned()
 
     def run_searches(self, rounds, result=HITS, latency=20.0):
-        """Run searches one after another, so that latencies and the searchers' state are known."""
+        """Run searches one after another, each with ``result`` after ``latency`` milliseconds.
+
+        The pool then has latencies and a known state of the searchers.
+        """
         for _ in range(rounds):
             self.search()
             self.start_assigned()
--- a/tests/process/faults.py
+++ b/tests/process/faults.py
@@ -13,21 +13,24 @@
 
 @dataclass(frozen=True)
 class HostKilled:
-    """An entry host is killed; it starts again when the fault is removed."""
+    """The entry host with index ``host`` is killed, and started again when the fault is removed."""
 
     host: int
 
 
 @dataclass(frozen=True)
 class HostPaused:
-    """An entry host is stopped by a signal, and continues when the fault is removed."""
+    """The entry host with index ``host`` is stopped by SIGSTOP until the fault is removed."""
 
     host: int
 
 
 @dataclass(frozen=True)
 class SearcherBehaviourSet:
-    """One setting of a stand-in searcher is set to ``value``, and back to ``normal`` afterwards."""
+    """One field of a stand-in searcher's ``Behaviour`` is set to ``value``.
+
+    It is set to ``normal`` when the fault is removed.
+    """
 
     searcher: str
     setting: str
@@ -37,7 +40,7 @@
 
 @dataclass(frozen=True)
 class SnapshotPublished:
-    """A snapshot with ``shards`` shards a service is published.
+    """A new snapshot with ``shards`` shards for each service is published.
 
     The searchers hold the previous snapshot too until the fault is removed.
     """
@@ -47,7 +50,10 @@
 
 @dataclass(frozen=True)
 class TextEdited:
-    """The configuration text is published with ``old`` replaced by ``new``, then unchanged."""
+    """The configuration text is published with ``old`` replaced by ``new``.
+
+    The original text is published again when the fault is removed.
+    """
 
     old: str
     new: str
@@ -55,7 +61,7 @@
 
 @dataclass(frozen=True)
 class PlatformDown:
-    pass
+    """The platform answers every request with an error until the fault is removed."""
 
 
 Fault = (
@@ -65,7 +71,7 @@
 
 @dataclass(frozen=True)
 class FaultStep:
-    """One or two faults at the same time, and the time without a fault that follows them."""
+    """One or two faults that last ``fault_seconds``, and the time without faults after them."""
 
     faults: tuple[Fault, ...]
     fault_seconds: float
@@ -80,7 +86,7 @@
 
 
 def plan_fault(source: random.Random, kind: int, hosts: int) -> Fault:
-    """Draw the details of a fault of the kind with index ``kind``."""
+    """Draw the details of a fault; ``kind`` is an index into the kinds below."""
     behaviour_faults = [
         ("draining", True, False),
         ("loss_share", 0.5, 0.0),
@@ -128,7 +134,7 @@
 
 
 def remove(fleet: Fleet, fault: Fault) -> None:
-    """Undo ``fault``, except that a published snapshot replaces the ones before it."""
+    """Undo ``fault``; a published snapshot stays, and searchers hold only the last one."""
     match fault:
         case HostKilled(host=host):
             fleet.start_host(host)
--- a/tests/request/scripted_runtime.py
+++ b/tests/request/scripted_runtime.py
@@ -1,6 +1,6 @@
-"""A process for requests without sockets, threads or real time.
+"""A stand-in for the process in which requests run, without sockets, threads or real time.
 
-A wait moves a manual clock from one scheduled event to the next.
+A wait for replies moves a manual clock from one scheduled event to the next.
 """
 
 import heapq
@@ -26,22 +26,24 @@
         self.deliveries.append(item)
 
     def get(self, block: bool = True, timeout: float | None = None) -> Delivery:
-        end = self.runtime.clock.now() + (timeout or 0.0) * 1000
-        while not self.deliveries and self.runtime.run_next_event(end):
+        deadline = self.runtime.clock.now() + (timeout or 0.0) * 1000
+        while not self.deliveries and self.runtime.run_next_event(deadline):
             pass
         if not self.deliveries:
-            self.runtime.clock.current = Millis(max(end, self.runtime.clock.now()))
+            self.runtime.clock.current = Millis(max(deadline, self.runtime.clock.now()))
             raise Empty
         return self.deliveries.popleft()
 
 
 class ScriptedRuntime:
-    """A runtime for requests whose owners are played by a function of the test.
+    """A runtime for requests in which a function of the test replies for the owners of services.
+
+    The owner of a service is the host that queues its requests and sends them to searchers.
 
     ``respond(host, message, deliver)`` is called for every message that is sent to ``host``, and
     ``deliver(delay, reply)`` sends a reply after ``delay`` milliseconds. A message to a host in
     ``unreachable`` is not sent. A reply to a booking that nobody waits for any more goes to
-    ``record_late_outcome``.
+    ``record_late_outcome``. ``gone`` holds the snapshots that searchers no longer hold, by service.
     """
 
     def __init__(self, text: str, respond: Callable[[HostId, Any, Any], None]) -> None:
@@ -62,12 +64,12 @@
         self.own_tickets: set[str] = set()
         self.record_late_outcome: Callable[[Any, Any], None] = lambda query, outcome: None
 
-    def run_next_event(self, end: float) -> bool:
-        """Run the next event that is due by ``end``, and return whether there was one."""
-        if not self.events or self.events[0][0] > end:
+    def run_next_event(self, deadline: float) -> bool:
+        """Run the next event that is due by ``deadline``, and return whether there was one."""
+        if not self.events or self.events[0][0] > deadline:
             return False
-        when, _, action = heapq.heappop(self.events)
-        self.clock.current = Millis(max(when, self.clock.now()))
+        due, _, action = heapq.heappop(self.events)
+        self.clock.current = Millis(max(due, self.clock.now()))
         action()
         return True
 
--- a/tests/standins/__main__.py
+++ b/tests/standins/__main__.py
@@ -1,4 +1,7 @@
-"""Runs the stand-ins that a plan names: ``python -m tests.standins PLAN.json``."""
+"""Runs the stand-ins that a plan describes: ``python -m tests.standins PLAN.json``.
+
+A plan describes either the platform or several searchers. ``Fleet`` writes the plans.
+"""
 
 import json
 import sys
@@ -12,6 +15,7 @@
 
 
 async def run(plan: dict[str, Any]) -> None:
+    """Serve the stand-ins of ``plan`` until the process is ended."""
     if "platform" in plan:
         await serve_platform(Platform(), plan["platform"], plan["control"])
     searchers = {
--- a/tests/standins/fleet.py
+++ b/tests/standins/fleet.py
@@ -1,4 +1,8 @@
-"""Starts stand-ins and entry hosts as processes on loopback, and ends them again."""
+"""A deployment of stand-ins and entry hosts as processes on loopback addresses.
+
+An entry host is a process of masticgate that serves callers. Stand-ins replace the searchers and
+the platform, which publishes the configuration and the host list.
+"""
 
 import http.client
 import itertools
@@ -19,9 +23,16 @@
 ROOT = Path(__file__).resolve().parents[2]
 TEXT_KEY = "masticgate/text"
 SNAPSHOTS_KEY = "masticgate/snapshots"
+
 START_TIMEOUT_SECONDS = 20.0
+"""Bounds the wait for each stand-in to respond, and the wait for all hosts to be ready."""
+
 STOP_TIMEOUT_SECONDS = 15.0
+"""Bounds the wait for all processes to end after SIGTERM; the rest are killed."""
+
 CALL_TIMEOUT_SECONDS = 10.0
+"""Bounds each socket operation of an HTTP call to a host or to a control address."""
+
 _fleet_numbers = itertools.count()
 
 
@@ -33,7 +44,7 @@
 
 @dataclass
 class Reply:
-    """A response to a caller or to a control call."""
+    """A response to a caller's request or to a control call, with its JSON body decoded."""
 
     status: int
     body: Any
@@ -41,7 +52,7 @@
 
 
 def call(address: str, method: str, path: str, body: Any = None) -> Reply:
-    """Run one HTTP call on a connection of its own."""
+    """Make one HTTP call with a JSON body, on a new connection."""
     connection = http.client.HTTPConnection(address, timeout=CALL_TIMEOUT_SECONDS)
     try:
         data = None if body is None else json.dumps(body)
@@ -54,7 +65,10 @@
 
 
 def shard_map(configuration: Configuration, shards: int = 2, prefix: str = "s") -> dict[str, Any]:
-    """Return a shard map that gives each service with searchers ``shards`` shards."""
+    """Return a shard map with ``shards`` shards of weight 1.0 for each service that has searchers.
+
+    The names of the shards contain ``prefix``.
+    """
     return {
         service.id: {f"{service.id}/{prefix}{n}": 1.0 for n in range(shards)}
         for service in configuration.services.values()
@@ -63,7 +77,14 @@
 
 
 class Fleet:
-    """One deployment: a platform, searchers and entry hosts, each a process."""
+    """One deployment: a platform, searchers and entry hosts, all in processes of their own.
+
+    The platform and each entry host have a process each; the searchers share
+    ``searcher_processes`` processes. The configuration text is ``text``, with each address moved
+    from 127.0.0.1 to the fleet's own IP address. ``routing`` and ``settings`` are settings of all
+    hosts, and ``host_settings`` of single ones, by index. ``behaviour`` holds fields of
+    ``Behaviour`` that all searchers start with.
+    """
 
     def __init__(
         self,
@@ -119,13 +140,14 @@
         self.stop()
 
     def start(self) -> None:
-        """Start everything and wait until each host serves the configuration."""
+        """Start everything, and wait until each host is ready."""
         self.start_standins()
         for index in range(len(self.hosts)):
             self.start_host(index)
         self.wait_until(self.is_ready, START_TIMEOUT_SECONDS, "the hosts did not become ready")
 
     def start_standins(self) -> None:
+        """Start the platform and the searchers, and publish what the platform serves."""
         plan = {"platform": self.platform_address, "control": self.platform_control_address}
         self._spawn_standin("platform", plan)
         searchers = [
@@ -149,14 +171,16 @@
             self._spawn_standin(f"searchers-{number}", plan)
         for control in [self.platform_control_address, *self.control_addresses]:
             self.wait_until(
-                lambda c=control: self._is_answering(c), START_TIMEOUT_SECONDS, "no stand-in"
+                lambda c=control: self._is_answering(c),
+                START_TIMEOUT_SECONDS,
+                "a stand-in did not start",
             )
         self.publish_snapshots(self.snapshots)
         self.publish_text(self.text)
         self.publish_hosts(self.hosts)
 
     def start_host(self, index: int, **overrides: Any) -> None:
-        """Start one entry host, as a new incarnation with no memory."""
+        """Start one entry host as a new incarnation, without any state of an earlier one."""
         host = self.hosts[index]
         settings = {
             "host": host["host"],
@@ -176,10 +200,14 @@
         self._spawn(host["host"], command)
 
     def is_ready(self) -> bool:
+        """Return whether every host is ready."""
         return all(self.is_host_ready(index) for index in range(len(self.hosts)))
 
     def is_host_ready(self, index: int) -> bool:
-        """Tell whether a host serves a configuration and reaches every running peer."""
+        """Return whether a host is ready to serve.
+
+        It then has a configuration and snapshots, and reaches every running host.
+        """
         try:
             status = call(self.caller_addresses[index], "GET", "/v1/status").body
         except OSError:
@@ -189,16 +217,16 @@
         return bool(status["revision"] and status["snapshots"] and running <= reached)
 
     def search(self, index: int, services: list[str], **fields: Any) -> Reply:
-        """Search through one host."""
+        """Send a search to one host; ``fields`` replace or add fields of the request."""
         body = {"services": services, "text": "lamp", "remaining_ms": 1000.0, **fields}
         return call(self.caller_addresses[index], "POST", "/v1/search", body)
 
     def mint(self, index: int) -> str:
-        """Return a new ticket of one host."""
+        """Have one host mint a ticket, under which a booking runs at most once, and return it."""
         return str(call(self.caller_addresses[index], "POST", "/v1/tickets").body["ticket"])
 
     def book(self, index: int, ticket: str, service: str, **fields: Any) -> Reply:
-        """Book through one host."""
+        """Send a booking to one host; ``fields`` replace or add fields of the request."""
         body = {
             "ticket": ticket,
             "service": service,
@@ -209,38 +237,42 @@
         return call(self.caller_addresses[index], "POST", "/v1/bookings", body)
 
     def status(self, index: int) -> dict[str, Any]:
-        """Return one host's status."""
+        """Return what one host reports at ``/v1/status``."""
         return dict(call(self.caller_addresses[index], "GET", "/v1/status").body)
 
     def publish_text(self, text: str) -> int:
-        """Publish a text and return its revision."""
+        """Publish a configuration text, and return its revision."""
         return self._publish(TEXT_KEY, text.replace("127.0.0.1:", f"{self.ip_address}:"))
 
     def publish_snapshots(self, snapshots: list[dict[str, Any]]) -> int:
-        """Publish the snapshot catalogue."""
+        """Publish the snapshot catalogue, and return its revision."""
         return self._publish(SNAPSHOTS_KEY, json.dumps({"versions": snapshots}))
 
     def publish_hosts(self, hosts: list[dict[str, Any]]) -> None:
-        """Publish the host list."""
+        """Publish the platform's list of hosts."""
         self.control_platform("hosts", hosts=hosts)
 
     def control_platform(self, command: str, **fields: Any) -> Any:
-        """Turn a setting of the platform."""
+        """Send a control command to the platform, and return the body of its response."""
         return call(self.platform_control_address, "POST", "/", {"command": command, **fields}).body
 
     def set_behaviour(self, searchers: list[str], **behaviour: Any) -> None:
-        """Turn behaviour of the named searchers, or of all for an empty list."""
+        """Change fields of ``Behaviour`` of these searchers, or of all when the list is empty."""
         for control in self.control_addresses:
             call(control, "POST", "/", {"searchers": searchers, "behaviour": behaviour})
 
     def searcher_reports(self, include_search_log: bool = True) -> dict[str, Any]:
-        """Return what each searcher counted, and the searches it ran where ``logs``."""
+        """Return the counts and bookings of each searcher by its id.
+
+        The last searches that it ran are included when ``include_search_log`` is set.
+        """
         reports: dict[str, Any] = {}
         for control in self.control_addresses:
             reports.update(call(control, "GET", "/" if include_search_log else "/counts").body)
         return reports
 
     def is_running(self, name: str) -> bool:
+        """Return whether the process was started and has not ended."""
         return name in self.processes and self.processes[name].poll() is None
 
     def signal(self, name: str, number: signal.Signals) -> None:
@@ -248,12 +280,12 @@
         self.processes[name].send_signal(number)
 
     def kill(self, name: str) -> None:
-        """End one process at once."""
+        """End one process with SIGKILL, and wait for it."""
         self.signal(name, signal.SIGKILL)
         self.processes[name].wait()
 
     def wait_until(self, condition: Any, timeout_seconds: float, message: str) -> None:
-        """Wait until ``condition()`` holds."""
+        """Wait until ``condition()`` holds; fail with ``message`` after the timeout."""
         deadline = time.monotonic() + timeout_seconds
         while not condition():
             if time.monotonic() > deadline:
@@ -261,7 +293,7 @@
             time.sleep(0.05)
 
     def stop(self) -> None:
-        """End every process that this fleet started."""
+        """Stop every process that this fleet started, paused ones included."""
         for process in self.processes.values():
             if process.poll() is None:
                 process.send_signal(signal.SIGCONT)
@@ -275,7 +307,7 @@
                 process.wait()
 
     def read_log(self, name: str) -> str:
-        """Return what one process wrote."""
+        """Return the standard output and errors of one process."""
         return (self.folder / f"{name}.log").read_text()
 
     def _publish(self, key: str, value: str) -> int:
--- a/tests/standins/http.py
+++ b/tests/standins/http.py
@@ -1,4 +1,4 @@
-"""A very small asyncio HTTP/1.1 server that the stand-ins share."""
+"""A minimal HTTP/1.1 server on asyncio, shared by the stand-ins."""
 
 import asyncio
 import json
@@ -11,7 +11,10 @@
 
 
 class Exchange:
-    """One request and the way to answer it."""
+    """One request and the means to answer it.
+
+    ``on_close`` is called when the connection closes before the request is answered.
+    """
 
     def __init__(self, protocol: "HttpProtocol", method: str, url: str, body: bytes) -> None:
         self.protocol = protocol
@@ -21,19 +24,25 @@
         self.on_close: Callable[[], None] | None = None
 
     def json(self) -> Any:
+        """Return the body of the request, decoded."""
         return json.loads(self.body)
 
     def answer(self, status: int, value: Any = None) -> None:
+        """Respond with ``value`` as JSON, or with an empty body for None."""
         body = b"" if value is None else json.dumps(value).encode()
         self.protocol.write(status, body)
 
     def close(self) -> None:
-        """Close the connection without an answer."""
+        """Close the connection without answering the request."""
         self.protocol.transport.close()
 
 
 class HttpProtocol(asyncio.Protocol):
-    """One connection; requests are answered in order, one at a time."""
+    """One connection; its requests are answered in order, one at a time.
+
+    ``on_connection_change`` is called with 1 when the connection opens and with -1 when it closes.
+    ``exchange`` is the request that is not answered yet.
+    """
 
     def __init__(self, handle: Handler, on_connection_change: Callable[[int], None]) -> None:
         self.handle = handle
@@ -81,7 +90,7 @@
 async def listen(
     address: str, handle: Handler, on_connection_change: Callable[[int], None] = lambda change: None
 ) -> asyncio.Server:
-    """Serve ``handle`` on ``address`` (``127.0.0.1:port``)."""
+    """Call ``handle`` for each request that arrives at ``address`` (``127.0.0.1:port``)."""
     ip_address, _, port = address.rpartition(":")
     loop = asyncio.get_running_loop()
     return await loop.create_server(
--- a/tests/standins/load.py
+++ b/tests/standins/load.py
@@ -1,4 +1,4 @@
-"""Callers that ask without a break, and remember what became of each request."""
+"""Callers that search without a pause during a test, and the outcome of each request."""
 
 import http.client
 import json
@@ -10,11 +10,16 @@
 from tests.standins.fleet import CALL_TIMEOUT_SECONDS, Fleet
 
 UNREACHABLE_WAIT_SECONDS = 0.05
+"""How long a caller waits after a failed connect before it tries the next host."""
 
 
 @dataclass(frozen=True)
 class Outcome:
-    """One request: when it was sent, through which host, and its answer."""
+    """The outcome of one request: when it was sent, to which host, and the body of the answer.
+
+    ``kind`` is "whole" or "partial" for an answer, "unreachable" when the connect failed,
+    "connection_lost" when no answer arrived, and otherwise the reason of the refusal.
+    """
 
     sent_at: float
     host: int
@@ -23,7 +28,11 @@
 
 
 class Load:
-    """Two callers a host; a caller whose host refuses as shutting down goes to the next."""
+    """Threads that search without a pause, ``callers`` of them starting at each host.
+
+    A caller goes to the next host when its host is unreachable, when the connection is lost, or
+    when the host refuses a request because it is shutting down.
+    """
 
     def __init__(self, fleet: Fleet, services: list[str], callers: int = 2) -> None:
         self.fleet = fleet
@@ -45,11 +54,15 @@
             thread.join()
 
     def run(self, host: int) -> None:
+        """Search until the load is stopped, at ``host`` first."""
         while not self.stopped.is_set():
             host = self.search_repeatedly(host)
 
     def search_repeatedly(self, host: int) -> int:
-        """Use one connection to a host until it fails; return the host to use next."""
+        """Search on one connection until the caller has to leave its host; return the next host.
+
+        The next host is the same one when the load was stopped.
+        """
         connection = http.client.HTTPConnection(
             self.fleet.caller_addresses[host], timeout=CALL_TIMEOUT_SECONDS
         )
@@ -69,6 +82,7 @@
         return host
 
     def search(self, connection: http.client.HTTPConnection, host: int) -> Outcome:
+        """Send one search, and return its outcome."""
         fields = {"services": self.services, "text": "lamp", "remaining_ms": 1000.0}
         sent_at = time.monotonic()
         try:
@@ -86,13 +100,13 @@
             self.outcomes.append(outcome)
 
     def missing_services(self) -> set[tuple[str, str, str, str]]:
-        """Return the services that partial answers lack, and why."""
+        """Return the services that partial answers lack, each with reason, step and peer."""
         partial = [outcome for outcome in self.outcomes if outcome.kind == "partial"]
         missing = [entry for outcome in partial for entry in outcome.body["missing"]]
         return {(m["service"], m["reason"], m["step"], m["peer"]) for m in missing}
 
     def count_kinds(self, since: float = 0.0) -> dict[str, int]:
-        """Return how often each outcome occurred among requests sent since then."""
+        """Return how often each kind occurred among requests sent at ``since`` or later."""
         with self.lock:
             kinds = [o.kind for o in self.outcomes if o.sent_at >= since]
         return {kind: kinds.count(kind) for kind in set(kinds)}
--- a/tests/standins/relay.py
+++ b/tests/standins/relay.py
@@ -1,4 +1,7 @@
-"""A TCP relay before one host, which a test can cut for some of the hosts that connect."""
+"""A TCP relay in front of one host, which can block connections from chosen other hosts.
+
+Tests use relays to partition the network between hosts.
+"""
 
 import socket
 import struct
@@ -9,10 +12,14 @@
 
 CHUNK_BYTES = 65_536
 HELLO_TIMEOUT_SECONDS = 5.0
+"""Bounds the wait for a hello, the first message on a connection, which names its sender."""
 
 
 class Relay:
-    """Forwards connections to ``target``, but for those whose hello names a blocked host."""
+    """Relays connections from ``address`` to ``target``, except those of blocked hosts.
+
+    The host at the other end is known from its hello. Each connection has threads of its own.
+    """
 
     def __init__(self, address: str, target: str) -> None:
         self.target = split_address(target)
@@ -23,12 +30,14 @@
         Thread(target=self.accept_connections, daemon=True).start()
 
     def accept_connections(self) -> None:
+        """Start a thread for each connection until the listener is closed."""
         with suppress(OSError):
             while True:
                 incoming, _ = self.listener.accept()
                 Thread(target=self.serve_connection, args=(incoming,), daemon=True).start()
 
     def serve_connection(self, incoming: socket.socket) -> None:
+        """Read the hello, and relay the connection unless its host is blocked."""
         with suppress(OSError), incoming:
             incoming.settimeout(HELLO_TIMEOUT_SECONDS)
             length_prefix = incoming.recv(4, socket.MSG_WAITALL)
@@ -47,23 +56,26 @@
             self.connections.pop(incoming, None)
 
     def block_hosts(self, hosts: set[str]) -> None:
-        """Break the connections of ``hosts`` and refuse them; an empty set heals."""
+        """Close the connections of ``hosts``, and refuse new ones.
+
+        Hosts that were blocked before and are not in ``hosts`` may connect again.
+        """
         with self.lock:
             self.blocked_hosts = frozenset(hosts)
-            ends = [end for end, host in self.connections.items() if host in hosts]
-        for end in ends:
+            blocked = [connection for connection, host in self.connections.items() if host in hosts]
+        for connection in blocked:
             with suppress(OSError):
-                end.shutdown(socket.SHUT_RDWR)
+                connection.shutdown(socket.SHUT_RDWR)
 
     def stop(self) -> None:
-        """Stop listening."""
+        """Stop listening; connections that are open stay open."""
         with suppress(OSError):
             self.listener.shutdown(socket.SHUT_RDWR)
         self.listener.close()
 
 
 def copy_bytes(source: socket.socket, sink: socket.socket) -> None:
-    """Pass on what arrives until one end closes; then close the other."""
+    """Copy bytes from ``source`` to ``sink`` until one of them closes, then shut down both."""
     with suppress(OSError):
         while data := source.recv(CHUNK_BYTES):
             sink.sendall(data)
--- a/tests/standins/searcher.py
+++ b/tests/standins/searcher.py
@@ -1,4 +1,7 @@
-"""A stand-in for searchers: slots, a queue, service times and behaviour for faults."""
+"""A stand-in for searchers, with slots, a queue, random service times and faults set by a test.
+
+A slot is the capacity to run one request at a time.
+"""
 
 import asyncio
 import random
@@ -11,30 +14,73 @@
 
 @dataclass
 class Behaviour:
-    """What a test may turn; durations in milliseconds, shares from 0 to 1."""
+    """How a searcher treats requests; a test may change each field while the searcher runs.
+
+    Durations are in milliseconds, and shares are from 0 to 1.
+    """
 
     service_ms: float = 20.0
+    """The mean service time, without the delay of stragglers."""
+
     spread: str = "exponential"
+    """The distribution of service times: "exponential", or "fixed" if all are the mean."""
+
     spread_share: float = 0.5
+    """The share of the mean that varies exponentially; the rest is constant."""
+
     straggler_share: float = 0.0
+    """The share of requests that take ``straggler_ms`` longer."""
+
     straggler_ms: float = 0.0
+
     loss_share: float = 0.0
+    """The share of requests whose connection is closed on arrival, without an answer."""
+
     error_share: float = 0.0
+    """The share of searches that are answered with status 500."""
+
     draining: bool = False
+    """Whether the searcher reports that it drains, and refuses requests for this reason."""
+
     shed_above: int = 1000
+    """Refuse a request as shed, for overload, when at least this many are in the queue."""
+
     cold_until: float = 0.0
+    """Refuse requests as cold (not warmed up) until this time of the event loop, in seconds."""
+
     frozen: bool = False
+    """Whether new requests are received but never answered."""
+
     lost: bool = False
+    """Whether connections are refused, and those of new and running requests are closed.
+
+    Setting it back does not open the server again.
+    """
+
     held: list[int] = field(default_factory=lambda: [1])
+    """The versions of the snapshots that the searcher holds; it answers 410 for others."""
+
     wrong_version: int = 0
+    """The version named in answers to searches instead of the requested one; 0 for none."""
+
     reported_load: int = -1
+    """The load in reports; a negative number stands for the true load."""
+
     incarnation: str = "1"
+    """The id of the searcher's process in reports and refusals; it changes with a restart."""
+
     close_after_booking: bool = False
+    """Whether a booking is carried out, but its connection closed without an answer."""
+
     shards: dict[str, dict[str, list[str]]] = field(default_factory=dict)
 
 
 class Searcher:
-    """One searcher of one service on one address."""
+    """One searcher of one service on one address.
+
+    ``counts`` holds the number of requests by what happened to them, and the largest number of
+    connections that were open at once. ``search_log`` holds the searches that were answered.
+    """
 
     def __init__(
         self, searcher_id: str, service: str, slots: int, connections: int, behaviour: Behaviour
@@ -54,7 +100,7 @@
         self.server: asyncio.Server | None = None
 
     def close_server(self) -> None:
-        """Refuse connections from now on; whatever is in progress is cut."""
+        """Refuse new connections; ``Behaviour.lost`` ends the requests on open ones."""
         if self.server is not None:
             self.server.close()
 
@@ -62,10 +108,12 @@
         self.counts[event] = self.counts.get(event, 0) + number
 
     def record_connection_change(self, change: int) -> None:
+        """Record that a connection opened (1) or closed (-1)."""
         self.open_connections += change
         self.counts["most_open"] = max(self.open_connections, self.counts.get("most_open", 0))
 
     def handle(self, exchange: Exchange) -> None:
+        """Answer a request for the load; refuse, lose or queue any other request."""
         behaviour = self.behaviour
         if exchange.url == "/load":
             load = len(self.queue) + self.running
@@ -95,10 +143,13 @@
             self.enqueue(exchange)
 
     def refuse(self, exchange: Exchange, reason: str) -> None:
+        """Answer that the request was not run, and count it under ``reason``."""
         self.count(reason)
         exchange.answer(503, {"reason": reason, "incarnation": self.behaviour.incarnation})
 
     def enqueue(self, exchange: Exchange) -> None:
+        """Queue a request, which leaves the queue when its connection closes."""
+
         def remove_from_queue() -> None:
             if exchange in self.queue:
                 self.queue.remove(exchange)
@@ -109,6 +160,7 @@
         self.start_next()
 
     def start_next(self) -> None:
+        """Start queued requests while slots are free."""
         while self.queue and self.running < self.slots:
             exchange = self.queue.popleft()
             self.running += 1
@@ -118,6 +170,7 @@
             exchange.on_close = lambda e=exchange, t=timer: self.cancel(e, t)
 
     def cancel(self, exchange: Exchange, timer: asyncio.TimerHandle) -> None:
+        """End a running request whose connection closed; a booking is carried out all the same."""
         if not timer.cancelled():
             timer.cancel()
             self.count("cancelled")
@@ -127,6 +180,7 @@
             self.start_next()
 
     def service_seconds(self) -> float:
+        """Draw the service time of a request."""
         behaviour = self.behaviour
         mean = behaviour.service_ms / 1000
         seconds = mean
@@ -138,6 +192,7 @@
         return seconds
 
     def complete(self, exchange: Exchange) -> None:
+        """Answer a request whose service time is over, or close its connection."""
         exchange.on_close = None
         self.running -= 1
         if self.behaviour.lost:
@@ -153,6 +208,7 @@
         self.start_next()
 
     def record_booking(self, exchange: Exchange) -> dict[str, Any]:
+        """Record that a booking was carried out, and return the record."""
         body = exchange.json()
         record = {
             "ticket": body["ticket"],
@@ -163,6 +219,7 @@
         return record
 
     def answer_booking(self, exchange: Exchange) -> None:
+        """Carry out a booking and answer it, unless the behaviour is to lose the answer."""
         record = self.record_booking(exchange)
         if self.behaviour.close_after_booking:
             exchange.close()
@@ -170,6 +227,7 @@
             exchange.answer(200, {"booked": len(self.bookings), **record})
 
     def answer_search(self, exchange: Exchange) -> None:
+        """Answer with one hit per shard, or with 410 when the snapshot is not held."""
         body = exchange.json()
         snapshot = body["snapshot"]
         if snapshot not in self.behaviour.held:
@@ -192,12 +250,15 @@
 
 
 def hash_text(text: str) -> int:
-    """Return the same small number for the same text in every process."""
+    """Return a number for ``text`` that is the same in every process, unlike ``hash``."""
     return sum(ord(letter) * (index + 7) for index, letter in enumerate(text))
 
 
 async def serve_searchers(searchers: dict[str, Searcher], control: str) -> None:
-    """Serve every searcher on its address, and the behaviour of all on ``control``."""
+    """Serve each searcher on its address, and control calls of tests on ``control``.
+
+    A GET returns the reports of all searchers, and a POST changes the behaviour of some or all.
+    """
 
     def handle_control(exchange: Exchange) -> None:
         if exchange.method == "GET":
@@ -222,7 +283,10 @@
 
 
 def make_report(searcher: Searcher, include_search_log: bool) -> dict[str, Any]:
-    """Return what a test or the bench may count, with the log of searches if asked."""
+    """Return counts and bookings of a searcher for a test or the bench.
+
+    The last 2,000 entries of its search log are included when ``include_search_log`` is set.
+    """
     return {
         "service": searcher.service,
         "counts": searcher.counts,
