--- a/src/masticgate/process/_detector.py
+++ b/src/masticgate/process/_detector.py
@@ -15,14 +15,14 @@
 """A suspect host that stays silent is declared dead after this many further intervals."""
 
 PAUSE_INTERVALS = 2.5
-"""A longer gap than this many intervals between two checks means that this process was paused."""
+"""A gap of more than this many intervals between two checks shows that this process was paused."""
 
 MAX_TIMEOUT_FACTOR = 16
 """The largest factor by which the timeout for a host is lengthened.
 
 Each time this host suspects another, it doubles the timeout for it, so that a slow host that
-refutes the suspicion is not suspected again and again. The timeout is normal again once the host
-has sent something within an interval.
+refutes the suspicion is not suspected again and again. The timeout is reset when a check finds the
+host silent for at most one interval.
 """
 
 
@@ -30,9 +30,12 @@
     """Declares silent neighbours suspect or dead; called only by the heartbeat task.
 
     The neighbours of a host are the other hosts that it watches. ``last_received`` returns when a
-    host last sent something, or ``None`` if there is no link to it. Silence is counted from then,
-    from ``watched_since`` or from ``resumed_at``, whichever is latest. A suspect host that is alive
-    refutes by a membership update.
+    host last sent something, or ``None`` if there is no link to it.
+
+    The silence of a host is counted from the latest of three times: when it last sent something,
+    ``watched_since`` (when it became a neighbour, or was last found without a link) and
+    ``resumed_at`` (when this process started, or last resumed after a pause). A suspect host that
+    is alive refutes the suspicion by a membership update.
     """
 
     def __init__(
--- a/src/masticgate/process/_host_list.py
+++ b/src/masticgate/process/_host_list.py
@@ -1,6 +1,6 @@
 """Conversion of the platform's host list to entries for the membership table.
 
-The list lags behind and doesn't name incarnations (runs of a host's process).
+The list may be out of date, and doesn't say which incarnation (run of a host's process) it means.
 """
 
 from collections.abc import Callable, Iterable
@@ -11,16 +11,17 @@
 from ._messages import Member, MemberState
 
 MAX_HOST_LIST_LAG = Millis(10_000.0)
-"""The longest time by which the host list may lag behind."""
+"""The longest time by which the host list may be out of date."""
 
 
 class HostList:
     """Converts each read of the host list; called only by the task that reads the list.
 
-    A host that the list marks as leaving becomes leaving only if its incarnation has been known
-    for ``MAX_HOST_LIST_LAG``. For a younger one the mark may be late and mean the incarnation
-    before it. ``known_since`` holds when the current incarnation of each listed host was first
-    seen.
+    A host that the list marks as leaving becomes leaving only if its current incarnation has been
+    known for ``MAX_HOST_LIST_LAG``. Until then the mark may be out of date and mean the previous
+    incarnation. All other entries get incarnation 0, so they never replace one that the host itself
+    has sent. ``known_since`` holds the current incarnation of each listed host and when it was
+    first seen.
     """
 
     def __init__(self, get_member: Callable[[HostId], Member | None]) -> None:
--- a/src/masticgate/process/_host_runtime.py
+++ b/src/masticgate/process/_host_runtime.py
@@ -20,7 +20,7 @@
 from ._versions import VersionStore
 
 LINKED_OWNERS_PER_SERVICE = 2
-"""A request for a service opens links to this many hosts, the first by the service's ranking."""
+"""A request for a service opens links to this many of the hosts that rank first for the service."""
 
 
 class HostRuntime:
@@ -58,19 +58,22 @@
         self.table_hosts: list[HostId] = []
 
     def refresh_owner_table(self) -> None:
-        """Compute the owners of all services again, after a change of the configuration."""
+        """Compute the owners of all services from the current configuration and usable hosts."""
         configuration = self.versions.configuration
         if configuration is not None:
             self.table_hosts = self.members.list_usable()
             self.owner_table = owner_table(configuration, self.table_hosts)
 
     def refresh_if_hosts_changed(self) -> None:
-        """Compute the owners of all services again if the usable hosts changed."""
+        """Compute the owners of all services again if the usable hosts changed.
+
+        The list of usable hosts is a new object after each change.
+        """
         if self.members.list_usable() is not self.table_hosts:
             self.refresh_owner_table()
 
     def owned_services(self) -> set[ServiceId]:
-        """Return the services whose owner is this host, as far as it knows the other hosts."""
+        """Return the services whose owner is this host according to its own owner table."""
         return {
             service for service, hosts in self.owner_table.items() if hosts[:1] == [self.own_host]
         }
@@ -82,17 +85,25 @@
     def choose_snapshot(
         self, services: Sequence[ServiceId], tried: frozenset[SnapshotVersion]
     ) -> Snapshot | None:
-        """Return the snapshot in which to search ``services``, other than those in ``tried``."""
+        """Return a snapshot in which to search ``services``, but none that is in ``tried``.
+
+        Return ``None`` if there is no other one.
+        """
         return self.versions.choose_snapshot(services, tried)
 
     def record_version_gone(
         self, service: ServiceId, snapshot: SnapshotVersion, held: Sequence[SnapshotVersion]
     ) -> None:
-        """Record that ``service`` holds the snapshots ``held``, and ``snapshot`` no longer."""
+        """Record that the searchers of ``service`` hold ``held`` and do not hold ``snapshot``."""
         self.versions.record_version_gone(service, snapshot, held)
 
     def admit(self, rank: Rank, admission_number: float, scope: Scope) -> NotRun | None:
-        """Return a refusal if this host is stopping or the services couldn't finish the query."""
+        """Return why a query is refused, or ``None`` to admit it.
+
+        It is refused if this host is stopping. If admission depends on the capacity, it is also
+        refused if ``admission_number``, the random number of the query, is not below the share of
+        the queries of ``rank`` that a service of ``scope`` can admit.
+        """
         if self.owner.stopping:
             return NotRun(Reason.SHUTTING_DOWN, Step.ADMISSION, peer=self.own_host)
         match self.policy.admission:
@@ -118,6 +129,7 @@
     ) -> NotRun | None:
         """Send ``message`` to ``host``, which may be this host; replies go to ``inbox``."""
         if host == self.own_host and isinstance(message, Forward):
+            # An earlier incarnation of this host minted the ticket, and its records are lost.
             return NotRun(Reason.MINTER_LOST, Step.FORWARD, peer=host)
         if isinstance(message, Ask):
             self.repeat_budget.earn(len(message.parts))
@@ -132,23 +144,23 @@
         return refusal
 
     def discard_replies(self, query: QueryId) -> None:
-        """Drop the replies to ``query`` that arrive from now on."""
+        """Discard replies to ``query`` that arrive from now on."""
         self.reply_router.unregister_query(query)
 
     def is_silent(self, host: HostId) -> bool:
-        """Return whether ``host`` has sent nothing for longer than a live host would."""
+        """Return whether ``host`` has no link, or has left a heartbeat unanswered for too long."""
         return host != self.own_host and self.links.is_silent(host)
 
     def allow_repeats(self, parts: int) -> bool:
-        """Spend ``parts`` of the budget for repeats, and return whether it covers them.
+        """Spend ``parts`` of the budget for repeats; return ``False`` if it is too small for them.
 
         A repeat sends parts of a search to a second owner while the first, silent owner may still
-        answer.
+        answer. Each part that is sent to an owner adds to the budget.
         """
         return self.repeat_budget.spend(parts)
 
     def probe(self, host: HostId) -> None:
-        """Ask ``host`` for a reply, which tells a slow host from one that is lost."""
+        """Request a reply from ``host``, to distinguish a slow host from a lost one."""
         if host != self.own_host:
             self.links.probe(host)
 
@@ -176,7 +188,7 @@
         self.reply_router.deliver(self.own_host, reply)
 
     def _reachable_owners(self, service: ServiceId) -> list[HostId]:
-        """Return the ranked hosts with an open link, silent ones last, else any reachable host."""
+        """Return the reachable owners of ``service``, silent ones last, or else other hosts."""
         ranked = self.owner_table.get(service, [])
         self._open_links(ranked[:LINKED_OWNERS_PER_SERVICE])
         reachable = [host for host in ranked if self._is_reachable(host)]
@@ -192,6 +204,10 @@
         return host == self.own_host or self.links.is_open(host)
 
     def _rank_reachable_hosts(self, service: ServiceId) -> list[HostId]:
+        """Return all reachable usable hosts, ranked; if there are none, this host.
+
+        Return no host if there are none and this host is stopping.
+        """
         hosts = [host for host in self.members.list_usable() if self._is_reachable(host)]
         ranked = rank_hosts(f"service:{service}", hosts)
         if ranked or self.owner.stopping:
--- a/src/masticgate/process/_links.py
+++ b/src/masticgate/process/_links.py
@@ -15,7 +15,7 @@
 PROBE_DELAY = Millis(20.0)
 """A host that has sent nothing for longer than this is sent a heartbeat before the next request.
 
-The reply to the heartbeat tells a slow host from one that is lost.
+The reply to the heartbeat distinguishes a slow host from a lost one.
 """
 
 RESPONSIVE_WINDOW = Millis(1000.0)
--- a/src/masticgate/process/_member_rules.py
+++ b/src/masticgate/process/_member_rules.py
@@ -27,7 +27,7 @@
 """The number of values of a hashed host id."""
 
 USABLE_STATES = (MemberState.ALIVE, MemberState.SUSPECT)
-"""The states in which a host may own services; a suspect host may yet refute."""
+"""The states in which a host may own services; a suspect host may still be alive."""
 
 
 def is_usable(member: Member) -> bool:
--- a/src/masticgate/process/_status.py
+++ b/src/masticgate/process/_status.py
@@ -11,7 +11,7 @@
 
 
 def status_fields(runtime: HostRuntime, role: WatchRole, metrics: Metrics) -> dict[str, Any]:
-    """Return the status that ``masticgate status`` shows, as JSON values."""
+    """Return the status that ``masticgate status`` shows, in types that JSON can represent."""
     configuration = runtime.versions.configuration
     return {
         "host": runtime.own_host,
--- a/src/masticgate/process/_versions.py
+++ b/src/masticgate/process/_versions.py
@@ -1,4 +1,4 @@
-"""The store of the configuration and snapshot catalogue in force, whose versions only rise."""
+"""The store of the configuration and snapshot catalogue in force, replaced only by newer ones."""
 
 from collections.abc import Callable, Mapping, Sequence
 from enum import Enum
@@ -32,14 +32,17 @@
 """
 
 MAX_REFUSED_REVISIONS = 64
-"""The number of refused revisions that are kept, the highest, so that they aren't fetched again."""
+"""The most refused revisions that are kept, so that they are not fetched again.
+
+The lowest are dropped first.
+"""
 
 
 class OfferResult(Enum):
     """What the store did with a configuration text that was offered to it."""
 
     IN_FORCE = "in_force"
-    """The text was accepted."""
+    """The text was accepted; it is in force unless this host is still starting."""
 
     NOT_NEWER = "not_newer"
     """The text is no newer than the accepted one, or was refused before."""
@@ -48,20 +51,23 @@
     """The text is invalid."""
 
     OTHER_BASE = "other_base"
-    """The changes are relative to a revision that this host doesn't have."""
+    """The changes are relative to another revision than the one that this host has accepted."""
 
     OTHER_TEXT = "other_text"
-    """This host has another text than the sender at the revision that the changes start from."""
+    """At the revision that the changes are relative to, this host's text isn't the sender's."""
 
 
 class VersionStore:
     """Holds the configuration and the snapshot catalogue in force.
 
-    The configuration is parsed from a text that operators publish under a rising revision. With
-    ``starting`` set, a text may be accepted, but is not in force until :meth:`activate`. The text
-    is split into sections, so that peers are sent only those that changed.
-    ``on_configuration`` is called with each configuration that comes into force. ``unavailable``
-    holds, for each service, the published snapshots that its searchers lack.
+    The configuration is parsed from a text that operators publish, each time under a higher
+    revision. With ``starting`` set, a text may be accepted, but is not in force until
+    :meth:`activate`. The text is split into sections, so that peers are sent only those that
+    changed. ``on_configuration`` is called with each configuration that comes into force.
+
+    ``problems`` lists why the highest refused revision was refused; it is empty once a higher
+    revision is accepted. ``unavailable`` holds, for each service, the published snapshots that its
+    searchers lack.
     """
 
     def __init__(
@@ -156,13 +162,16 @@
     def choose_snapshot(
         self, services: Sequence[ServiceId], tried: frozenset[SnapshotVersion]
     ) -> Snapshot | None:
-        """Return the snapshot in which to search ``services``, other than those in ``tried``."""
+        """Return a snapshot in which to search ``services``, but none that is in ``tried``.
+
+        Return ``None`` if there is no other one.
+        """
         return self.catalogue.choose_snapshot(services, self.unavailable, tried)
 
     def record_version_gone(
         self, service: ServiceId, snapshot: SnapshotVersion, held: Sequence[SnapshotVersion]
     ) -> None:
-        """Record that ``service`` lacks ``snapshot`` and all published ones but ``held``."""
+        """Record that ``service`` lacks ``snapshot`` and all published ones not in ``held``."""
         with self.lock:
             published = {s.version for s in self.catalogue.snapshots}
             lacking = (published - set(held)) | {snapshot}
@@ -216,7 +225,11 @@
             del self.digests_by_revision[min(self.digests_by_revision)]
 
     def _notify_configuration(self) -> None:
-        """Call ``on_configuration``, under a lock so that the last call has the latest one."""
+        """Call ``on_configuration`` with the configuration in force, if there is one.
+
+        The lock makes concurrent calls follow one another, so the last one passes the latest
+        configuration.
+        """
         with self.notify_lock:
             configuration = self.configuration
             if configuration is not None:
--- a/src/masticgate/process/_watch.py
+++ b/src/masticgate/process/_watch.py
@@ -23,7 +23,7 @@
 """The time between two reads of the host list."""
 
 MIN_READ_INTERVAL = Millis(200.0)
-"""The delay after each new value, so that a flood of edits is read at a bounded rate."""
+"""The delay after each new value, which bounds the rate of reads when values change quickly."""
 
 WATCHED_KEYS = 2
 """The number of watched keys: those of the configuration text and of the snapshot catalogue."""
@@ -36,14 +36,15 @@
     """Return the most reads of the platform within ``duration``, however many hosts there are.
 
     Each of the ``WATCHERS_PER_DOMAIN`` watchers of a failure domain reads the host list once in
-    ``HOST_LIST_INTERVAL``, each key once in ``WATCH_TIMEOUT`` and once again after each of
-    ``changes`` new values. One further read of each may fall into the duration at its edge. Each
-    of ``starts`` starting hosts reads the host list and each key once.
-
-    In an outage of the platform, a watcher retries each of its three reads after half to all of
-    ``MAX_RETRY_DELAY``. Even if the platform is down and every host is cut off from all others,
-    and so is a watcher itself, the rate is at most hosts x 3 / 5 s: 1,980 reads a second for
-    3,300 hosts.
+    ``HOST_LIST_INTERVAL`` and each key once in ``WATCH_TIMEOUT``, and reads once more after each
+    of ``changes`` new values. Since ``duration`` may begin just before a read, one further read
+    of the list and of each key is counted. ``starts`` is the number of hosts that start; each of
+    them reads the list and each key once.
+
+    In a long outage of the platform, a watcher retries each of its three reads after half to all
+    of ``MAX_RETRY_DELAY``, so after 5 s at the earliest. If every host is also cut off from all
+    others, every host becomes a watcher; the rate is then at most 3 reads in 5 s for each host:
+    1,980 reads a second for 3,300 hosts.
     """
     watchers = domains * WATCHERS_PER_DOMAIN
     list_reads = ceil(duration / HOST_LIST_INTERVAL) + 1
@@ -82,7 +83,7 @@
         self.lost = False
 
     def run(self) -> None:
-        """Watch the key whenever this host is a watcher, until the process stops."""
+        """Watch the key while this host is a watcher, until the process stops."""
         while self.role.wait_until_watching(self.reader.allow_requests):
             self.role.wait(self.read_once())
         self.reader.close()
@@ -96,6 +97,7 @@
         started = self.clock.now()
         result = self.reader.watch(self.key, self.revision, WATCH_TIMEOUT)
         if isinstance(result, Unknown) and not self.role.watching:
+            # Reads are aborted when this host stops being a watcher.
             return Millis(0.0)
         self._record_lost(isinstance(result, Unknown))
         match result:
@@ -132,7 +134,10 @@
         self.backoff = Backoff()
 
     def run(self) -> None:
-        """Read the list whenever this host is a watcher; a failed read changes nothing."""
+        """Read the list while this host is a watcher, until the process stops.
+
+        A failed read leaves the known hosts as they are.
+        """
         while self.role.wait_until_watching(self.reader.allow_requests):
             self.role.wait(self.read_once())
         self.reader.close()
--- a/src/masticgate/process/_watch_role.py
+++ b/src/masticgate/process/_watch_role.py
@@ -8,11 +8,11 @@
 from ._timeline import EventKind, Timeline
 
 ROLE_CHECK_INTERVAL = Millis(60_000.0)
-"""The longest single wait of a task for the role; a change of the role ends the wait at once."""
+"""A task that waits for the role checks it this often, and at once when it changes."""
 
 
 class WatchRole:
-    """Whether this host is a watcher; the watch tasks wait here while other hosts are watchers."""
+    """States whether this host is a watcher; the tasks that read the platform wait until it is."""
 
     def __init__(self, timeline: Timeline) -> None:
         self.timeline = timeline
@@ -34,9 +34,9 @@
     def wait_until_watching(self, allow: Callable[[], None]) -> bool:
         """Wait until this host is a watcher, then call ``allow``; return ``False`` after a stop.
 
-        ``allow`` lets a reader read again that was aborted when the role was lost. It is called
-        under the lock that a change of the role takes, so that an abort that follows the loss of
-        the role cannot be undone by a late ``allow``.
+        A reader is aborted after this host stops being a watcher, and reads nothing until
+        ``allow`` is called. Both the check of the role and the call hold the lock under which the
+        role changes, so ``allow`` cannot undo the abort that follows a change.
         """
         with self.condition:
             while not self.watching and not self.stopped:
--- a/tests/process/test_departure.py
+++ b/tests/process/test_departure.py
@@ -68,7 +68,7 @@
     def test_host_listed_as_leaving_gives_up_its_services_and_still_answers(self, fleet):
         """Guard against a host that returns to alive when the list no longer marks it as leaving.
 
-        The host list lags behind, so leaving holds for the rest of the host's incarnation.
+        The host list may be out of date, so leaving holds for the rest of the host's incarnation.
         """
         leaving = [{**host, "leaving": index == 0} for index, host in enumerate(fleet.hosts)]
         with Load(fleet, ["desk/1"], callers=1) as load:
--- a/tests/process/test_members.py
+++ b/tests/process/test_members.py
@@ -114,6 +114,7 @@
         assert len(choose_neighbours(member("a"), others)) == 6
 
     def test_each_host_has_a_bounded_number_of_neighbours_if_many(self):
+        """A host watches the 6 hosts after it on the ring of hashed ids, and 2 in other domains."""
         hosts = [member(f"h{n}", domain=f"d{n % 17}") for n in range(400)]
         watchers = {host.host: 0 for host in hosts}
         for own_member in hosts:
@@ -203,9 +204,9 @@
 
 
 class MembershipMachine(RuleBasedStateMachine):
-    """Three hosts declare states of hosts, and send each other updates, of which some are lost.
+    """Three hosts declare states of hosts, and send each other updates, some of which are lost.
 
-    Comparing digests must then bring their tables into agreement on the usable hosts.
+    After they have compared digests, their tables must agree on the usable hosts.
     """
 
     def __init__(self):
@@ -221,6 +222,7 @@
 
     @rule(sender=st.integers(0, 2), about=st.sampled_from("abcxy"), state=st.sampled_from([1, 3]))
     def declare_state(self, sender, about, state):
+        """Let one host declare the host ``about`` suspect (1) or dead (3)."""
         target = self.hosts[sender].get(HostId(about)) or member(about)
         self.hosts[sender].declare(target, MemberState(state))
 
@@ -249,6 +251,7 @@
 
     @invariant()
     def own_state_is_alive_or_leaving(self):
+        """A host never accepts that it is suspect or dead; once it has left, it stays leaving."""
         for host in self.hosts:
             assert host.own_member.state in (MemberState.ALIVE, MemberState.LEAVING)
             assert (host.own_member.host in self.hosts_that_left) <= (
--- a/tests/process/test_owner_faults.py
+++ b/tests/process/test_owner_faults.py
@@ -1,6 +1,6 @@
 """An owner of services, its searchers and their limits under faults, with real processes.
 
-The owner of a service queues its work and holds the connections to its searchers. The operators'
+The owner of a service queues its work and holds the connections to its searchers. The configuration
 text limits the connections that all hosts together may open to a searcher.
 """
 
@@ -16,7 +16,7 @@
 
 
 class Load:
-    """Searches through some hosts of a fleet; each task runs one search after another."""
+    """Sends searches to some hosts of a fleet; each task runs one search after another."""
 
     def __init__(self, fleet, hosts=(0, 1, 2), tasks=12):
         self.fleet = fleet
@@ -64,7 +64,7 @@
         """Guard against more connections to a searcher than its limit, summed over all hosts.
 
         Several hosts may act as the owner of a service at once, for instance when the owner is
-        paused or lost, when it comes back, or when the configuration changes meanwhile.
+        paused or lost, when it comes back, or when the configuration changes.
         """
         owner = find_owner(fleet, "desk/1")
         name = fleet.hosts[owner]["host"]
@@ -96,7 +96,10 @@
 
 class TestShareOfOneOwner:
     def test_holds_while_text_changes_under_load(self):
-        """Guard against connections beyond the share when a new text reconfigures the pool."""
+        """Guard against connections beyond the owner's share when a new text changes the pool.
+
+        The hosts share the connections that a searcher allows; this only host may open all 3.
+        """
         text = SMALL.replace('"connections": 25', '"connections": 3')
         with Fleet(text, hosts=1, behaviour={"service_ms": 30.0}) as fleet, Load(fleet, [0]):
             for floor in (0.1, 0.2, 0.3):
--- a/tests/request/test_booking.py
+++ b/tests/request/test_booking.py
@@ -13,7 +13,11 @@
 
 
 class BookingHarness:
-    """The ticket table of the host h9, and a runtime whose owners respond as ``respond`` says."""
+    """The ticket table of the host h9, and a runtime whose owners respond as ``respond`` says.
+
+    ``runtime.own_tickets`` holds the tickets that the runtime's host minted; a booking under any
+    other ticket, such as ``h9~4~1~x``, is forwarded to its minter.
+    """
 
     def __init__(self, respond=lambda host, message, deliver: None):
         self.runtime = ScriptedRuntime(SMALL, respond)
--- a/tests/request/test_search_faults.py
+++ b/tests/request/test_search_faults.py
@@ -1,7 +1,7 @@
 """Searches under combinations of faults.
 
-The coverage of each answer is compared with a recount, and the hits of a whole answer with a search
-of every searcher one after the other.
+The coverage of each answer is computed again from its hits. The hits of a whole (complete) answer
+are compared with those that a direct search of each searcher finds.
 """
 
 import itertools
@@ -30,6 +30,8 @@
     "failure",
     "owner lost",
 )
+"""Faults of one service; a slow reply still arrives within ``TIMEOUT_MS``, a late one does not."""
+
 TIMEOUT_MS = 230.0
 
 
@@ -90,7 +92,7 @@
         service=st.sampled_from(SERVICES), fault=st.sampled_from(FAULTS), keep_latest=st.booleans()
     )
     def set_faults(self, service, fault, keep_latest):
-        """Set one fault of a service, in addition to its latest one if ``keep_latest`` is set."""
+        """Set one fault of a service; with ``keep_latest``, keep its latest one as well."""
         self.faults[service] = [*self.faults[service][-1:], fault] if keep_latest else [fault]
 
     @rule(host=st.sampled_from(["h0", "h1", "h2"]), kind=st.sampled_from(["unreachable", "silent"]))
@@ -173,7 +175,7 @@
         assert answer.whole == (expected == 1.0)
 
     def search_naively(self, snapshot):
-        """Return the sorted hits of all searchers, which are searched directly one by one."""
+        """Return the sorted hits of all services, found by searching each one directly."""
         found = []
         for service in SERVICES:
             found += self.searchers.hits(snapshot.version, snapshot.shards_of(service), "lamp")
