--- a/bench/connection/__init__.py
+++ b/bench/connection/__init__.py
@@ -1,4 +1,4 @@
-"""Code for one connection: a caller's connection, and the costs of links and messages."""
+"""Code and state that last for one connection: callers, and the costs of links and messages."""
 
 from ._caller import Caller as Caller
 from ._connection_memory import COUNTS as COUNTS
--- a/bench/process/__init__.py
+++ b/bench/process/__init__.py
@@ -1,1 +1,1 @@
-"""Programs that run as processes of their own: the load generator, the bench and the demo."""
+"""Code and state that last for a process: the load processes, the bench and the demo."""
--- a/bench/process/_cpu.py
+++ b/bench/process/_cpu.py
@@ -10,7 +10,7 @@
 MACHINE = "machine"
 STOLEN = "stolen"
 TICKS_A_SECOND = os.sysconf("SC_CLK_TCK")
-"""The unit of the figures in ``/proc``."""
+"""The number of ticks per second; the figures in ``/proc`` are in ticks."""
 
 USER_TICKS, SYSTEM_TICKS = 11, 12
 """Indices of fields in ``/proc/PID/stat``, counted after the bracket that closes the command."""
@@ -69,8 +69,8 @@
         return max(0.0, after[name] - before[name]) / seconds
 
     largest = {
-        kind: max(use(name) for name in before if name.startswith(beginning))
-        for kind, beginning in KINDS.items()
+        kind: max(use(name) for name in before if name.startswith(prefix))
+        for kind, prefix in KINDS.items()
     }
     own = sum(use(name) for name in before if name not in (MACHINE, STOLEN))
     totals = {
--- a/bench/process/_figures.py
+++ b/bench/process/_figures.py
@@ -1,6 +1,7 @@
 """Computes the figures of each rank from the results of a run's arrivals.
 
-An arrival is one search that a load process sends at a time drawn before the run.
+An arrival is one search that a load process sends at a time drawn before the run. The rank of a
+search is its priority: urgent, standard or bulk.
 """
 
 from collections import Counter
--- a/bench/process/_load.py
+++ b/bench/process/_load.py
@@ -61,7 +61,7 @@
         results: list[Result] = []
         for number, process in enumerate(self.processes):
             if process.wait(self.seconds + FINISH_GRACE_SECONDS) != 0:
-                raise RuntimeError("a load process failed")
+                raise RuntimeError("a load process ended with an error")
             rows = json.loads(self._results(number).read_text())
             results += [Result(**row) for row in rows]
         return results
--- a/bench/process/_scenario.py
+++ b/bench/process/_scenario.py
@@ -9,11 +9,15 @@
 from ._events import Depart, Event, KillHost, LoseSearcher, PauseHost, PlatformDown, Repartition
 
 MIX = {"urgent": 0.2, "standard": 0.5, "bulk": 0.3}
-"""The share of each rank in an ordinary load."""
+"""The share of each rank, which is the priority of a query, in an ordinary load."""
 
 STRAGGLERS = {"straggler_share": 0.02, "straggler_ms": 180.0}
+"""Settings of searchers that delay 2 % of the searches by 180 ms."""
+
 BULK_FLOOD = {"urgent": 0.3, "standard": 0.2, "bulk": 6.0}
 URGENT_FLOOD = {"urgent": 6.0, "standard": 0.2, "bulk": 0.2}
+"""The rates of both floods, as shares of the saturation."""
+
 SATURATED = "saturated"
 
 
@@ -60,3 +64,4 @@
 )
 SCENARIOS = {scenario.name: scenario for scenario in ALL_SCENARIOS}
 QUICK = ("calm-50", "calm-80", SATURATED, "stragglers", "flood-bulk", "host-killed")
+"""The scenarios that the bench runs with ``--quick``."""
--- a/bench/process/_trial.py
+++ b/bench/process/_trial.py
@@ -60,8 +60,9 @@
 class Observed:
     """The measurements of one run of load.
 
-    ``results`` has the result of every arrival, and ``started`` is the number of searches that the
-    searchers of the wide service started. The other fields are those of :class:`Trial`.
+    ``results`` has the result of every arrival, and ``started`` is the number of searches that
+    were started by the searchers that the wide search needs. The other fields are those of
+    :class:`Trial`.
     """
 
     results: list[Result]
--- a/bench/request/__init__.py
+++ b/bench/request/__init__.py
@@ -1,4 +1,4 @@
-"""Code for one request of the load: its arrival, its result and the check of its answer."""
+"""Code and data that last for one request: its arrival, its result and the check of its answer."""
 
 from ._arrivals import RANKS as RANKS
 from ._arrivals import Arrival as Arrival
--- a/bench/version/__init__.py
+++ b/bench/version/__init__.py
@@ -1,4 +1,4 @@
-"""Code for one version: the configuration texts of deployments, and the costs of a version."""
+"""Code and data that last for one version: the texts of deployments and their costs."""
 
 from ._deployment import DEPLOYMENTS as DEPLOYMENTS
 from ._deployment import SEARCHER_BEHAVIOUR as SEARCHER_BEHAVIOUR
--- a/bench/version/_version_costs.py
+++ b/bench/version/_version_costs.py
@@ -54,7 +54,7 @@
     before = split_sections(accept_configuration(scaled_text(copies)))
     after = split_sections(accept_configuration(scaled_text(copies, edited=True)))
     known = before.digests
-    after.digests  # noqa: B018  Computed once for each revision.
+    after.digests  # noqa: B018  Not part of the cost: a host computes them once for each revision.
     return lambda: after.changes_since(Revision(1), known, Revision(2))
 
 
