--- a/tests/process/test_timeline.py
+++ b/tests/process/test_timeline.py
@@ -12,7 +12,7 @@
     return Timeline(HostId(host), ManualClock(Millis(start)))
 
 
-class TestTimeLine:
+class TestTimeline:
     def test_keeps_a_bounded_number_of_events(self):
         timeline = line("h1")
         for _ in range(MAX_EVENTS + 10):
