--- a/src/masticgate/process/_heartbeats.py
+++ b/src/masticgate/process/_heartbeats.py
@@ -22,7 +22,7 @@
 """With at most this many usable hosts, heartbeats are sent at the short interval."""
 
 HEARTBEATS_PER_KEEPALIVE = 2
-"""The number of rounds from one heartbeat to the next for a linked host that is no neighbour.
+"""The number of rounds from one heartbeat to the next for a linked host that is not a neighbour.
 
 The heartbeats keep the link to it open.
 """
--- a/src/masticgate/process/_links.py
+++ b/src/masticgate/process/_links.py
@@ -19,13 +19,13 @@
 """
 
 RESPONSIVE_WINDOW = Millis(1000.0)
-"""A host that has sent something within this time keeps its link although it is declared dead.
+"""A host that has sent something within this time keeps its link even if it is declared dead.
 
 Over the link it can refute that it is dead.
 """
 
 LINK_IDLE_TIMEOUT = Millis(30_000.0)
-"""A link to a host that is no neighbour is closed after this long without a request."""
+"""A link to a host that is not a neighbour is closed after this long without a request."""
 
 
 class Links:
@@ -87,7 +87,7 @@
         return link is None or self._unanswered_time(link) > SILENCE_TIMEOUT
 
     def probe(self, host: HostId) -> None:
-        """Send ``host`` a heartbeat unless it sent something lately or one is unanswered."""
+        """Send ``host`` a heartbeat unless it sent something recently or one is unanswered."""
         link = self.links.get(host)
         if link is None or link.unanswered_since is not None:
             return
@@ -95,7 +95,7 @@
             link.send(self.handler.probe_heartbeat())
 
     def is_responsive(self, host: HostId) -> bool:
-        """Return whether ``host`` sent something lately, whatever its member state is."""
+        """Return whether ``host`` sent something recently, whatever its member state is."""
         link = self.links.get(host)
         return link is not None and self.clock.now() - link.last_received < RESPONSIVE_WINDOW
 
--- a/src/masticgate/process/_member_rules.py
+++ b/src/masticgate/process/_member_rules.py
@@ -47,7 +47,7 @@
 
 
 def needs_correction(received: Member, known: Member) -> bool:
-    """Return whether a host that holds ``received`` would route otherwise than by ``known``."""
+    """Return whether the difference between ``received`` and ``known`` affects routing."""
     return received.incarnation != known.incarnation or is_usable(received) != is_usable(known)
 
 
--- a/src/masticgate/process/_messages.py
+++ b/src/masticgate/process/_messages.py
@@ -80,7 +80,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RefusedCount:
-    """The number of sub-queries of one service and rank that an entry host refused lately."""
+    """The number of sub-queries of one service and rank that an entry host refused recently."""
 
     service: ServiceId
     rank: Rank
--- a/src/masticgate/process/_peer_service.py
+++ b/src/masticgate/process/_peer_service.py
@@ -66,7 +66,7 @@
         """Record that the link to ``peer`` is open, and send it a first heartbeat.
 
         The heartbeat carries what this host last knew of the peer if that is outdated, so that a
-        peer that was declared dead refutes it.
+        peer that was declared dead can refute that.
         """
         self.timeline.add(EventKind.LINK_OPENED, peer.host, f"incarnation {peer.incarnation}")
         corrections = self.members.merge([member_from_hello(peer)])
--- a/src/masticgate/process/_versions.py
+++ b/src/masticgate/process/_versions.py
@@ -51,7 +51,7 @@
     """The text is invalid."""
 
     OTHER_BASE = "other_base"
-    """The changes are relative to another revision than the one that this host has accepted."""
+    """The changes are relative to a revision other than the one that this host has accepted."""
 
     OTHER_TEXT = "other_text"
     """At the revision that the changes are relative to, this host's text isn't the sender's."""
--- a/tests/request/test_booking_faults.py
+++ b/tests/request/test_booking_faults.py
@@ -110,7 +110,7 @@
 
 
 class BookingMachine(RuleBasedStateMachine):
-    """Submits bookings under faults, and restarts the minter and the owners meanwhile.
+    """Submits bookings under faults, and restarts the minter and the owners between them.
 
     ``results`` holds the ticket, the request and the outcome of each booking.
     """
