--- a/src/masticgate/process/gateway/_hedge_delays.py
+++ b/src/masticgate/process/gateway/_hedge_delays.py
@@ -10,7 +10,7 @@
 HEDGE_PERCENTILE = 90.0
 """The percentile of a route's latencies from which its hedge delay is computed."""
 
-HEDGE_MARGIN = 1.2
+HEDGE_DELAY_FACTOR = 1.2
 """The factor from that percentile to the hedge delay."""
 
 INITIAL_DELAY_SHARE = 0.25
@@ -35,7 +35,7 @@
         usual = window.percentile(HEDGE_PERCENTILE) if window is not None else None
         if usual is None:
             return Millis(route.objective * INITIAL_DELAY_SHARE)
-        return Millis(min(usual * HEDGE_MARGIN, route.objective * MAX_DELAY_SHARE))
+        return Millis(min(usual * HEDGE_DELAY_FACTOR, route.objective * MAX_DELAY_SHARE))
 
     def record(self, route: RouteId, latency: Millis, now: Millis, *, first_attempt: bool) -> float:
         """Return the ratio of ``latency`` to the median of its route, 1 while that is unknown.
--- a/src/masticgate/process/gateway/_shares.py
+++ b/src/masticgate/process/gateway/_shares.py
@@ -7,13 +7,13 @@
 MIN_ASSUMED_GATEWAYS = 8
 """The lowest number of gateways that is assumed to share, since some may not be known yet."""
 
-RATIO_MARGIN = 0.85
+USED_RATIO_SHARE = 0.85
 """The part of the allowed ratio of repeats that is used.
 
 The rest is a margin, since the bound holds for a sliding window.
 """
 
-SLACK_MARGIN = 0.8
+USED_SLACK_SHARE = 0.8
 """The part of the allowed slack that is used."""
 
 PEER_REPEAT_SHARE = 0.1
@@ -45,8 +45,8 @@
 
     def repeat_limits(self, bounds: RepeatBounds, *, shard: bool) -> tuple[float, float]:
         """Return the ratio and slack that bound this gateway's repeats for one service."""
-        slack = bounds.slack * SLACK_MARGIN / self._gateway_count(shard)
-        return bounds.ratio * RATIO_MARGIN, slack
+        slack = bounds.slack * USED_SLACK_SHARE / self._gateway_count(shard)
+        return bounds.ratio * USED_RATIO_SHARE, slack
 
     def peer_repeat_limits(self, bounds: RepeatBounds) -> tuple[float, float]:
         """Return the ratio and slack that bound the queries that are gathered again."""
