--- a/src/masticgate/platform/_node_file.py
+++ b/src/masticgate/platform/_node_file.py
@@ -32,18 +32,18 @@
 def _decode_settings(fields: Fields, metrics_port: int | None) -> GatewaySettings:
     bounds = fields.table("bounds")
     listen = fields.table("bindAddresses")
-    metrics = None
+    metrics_address = None
     if metrics_port is not None:
-        metrics = Address(f"{fields.text('ip')}:{metrics_port}")
+        metrics_address = Address(f"{fields.text('ip')}:{metrics_port}")
     return GatewaySettings(
         host=HostId(fields.text("nodeName")),
         domain=FailureDomainId(fields.text("zone")),
-        callers=Address(listen.text("front")),
-        readiness=Address(listen.text("ready")),
-        metrics=metrics,
-        peers=Address(listen.text("control")) if "control" in listen.values else None,
+        caller_address=Address(listen.text("front")),
+        readiness_address=Address(listen.text("ready")),
+        metrics_address=metrics_address,
+        peer_address=Address(listen.text("control")) if "control" in listen.values else None,
         seeds=tuple(Address(seed) for seed in fields.text_list("seedNodes")),
-        catalogue=Address(fields.table("platform").text("address")),
+        store_address=Address(fields.table("platform").text("address")),
         grace=Millis(bounds.number("graceS") * MILLIS_PER_SECOND),
         drain=Millis(bounds.number("drainMs")),
         repeats=RepeatBounds(
--- a/src/masticgate/platform/_serve.py
+++ b/src/masticgate/platform/_serve.py
@@ -38,7 +38,9 @@
     for number in (signal.SIGTERM, signal.SIGINT, signal.SIGHUP):
         signal.signal(number, enqueue_signal)
     try:
-        gateway = Gateway(settings, HEADER_NAMES, PlatformStore(settings.catalogue, SystemClock()))
+        gateway = Gateway(
+            settings, HEADER_NAMES, PlatformStore(settings.store_address, SystemClock())
+        )
     except OSError as error:
         print(f"masticgate: cannot listen: {error}", file=sys.stderr)
         raise SystemExit(EXIT_START_FAILED) from error
--- a/src/masticgate/process/gateway/_follower.py
+++ b/src/masticgate/process/gateway/_follower.py
@@ -210,14 +210,14 @@
         If the platform has just become available again, the listing may only have expired while it
         was unavailable. The searcher is then kept until ``RELIST_TIMEOUT`` has passed.
         """
-        if self._has_just_recovered():
+        if self._was_recently_unavailable():
             self.held_searchers.add(searcher)
             self.log.write(LogEvent.SEARCHER_HELD, searcher=searcher, why=why)
         else:
             self.catalogue.add(SearcherUnlisted(searcher))
             self.fleet.remove_searcher(searcher, why)
 
-    def _has_just_recovered(self) -> bool:
+    def _was_recently_unavailable(self) -> bool:
         if self.unavailable_since is not None:
             return True
         if self.recovered_at is None:
@@ -225,7 +225,7 @@
         return self.clock.now() - self.recovered_at < RELIST_TIMEOUT
 
     def _remove_held(self) -> None:
-        if self._has_just_recovered():
+        if self._was_recently_unavailable():
             return
         self.recovered_at = None
         for searcher in self.held_searchers:
--- a/src/masticgate/process/gateway/_gateway.py
+++ b/src/masticgate/process/gateway/_gateway.py
@@ -101,22 +101,26 @@
         )
         self.ended = Event()
         self.was_ready = False
-        self.readiness = self._listen(settings.readiness, header_names, self._ready_page)
+        self.readiness = self._listen(settings.readiness_address, header_names, self._ready_page)
         self.callers = self._listen(
-            settings.callers,
+            settings.caller_address,
             header_names,
             self.service.handle,
             max_connections=MAX_CALLER_CONNECTIONS,
         )
         self.listeners = [self.readiness, self.callers]
-        if settings.peers is not None:
-            self.listeners.append(self._listen_to_peers(settings.peers, header_names))
-        if settings.metrics is not None:
-            self.listeners.append(self._listen(settings.metrics, header_names, self._metrics_page))
+        if settings.peer_address is not None:
+            self.listeners.append(self._listen_to_peers(settings.peer_address, header_names))
+        if settings.metrics_address is not None:
+            self.listeners.append(
+                self._listen(settings.metrics_address, header_names, self._metrics_page)
+            )
 
     def start(self) -> None:
         """Start the tasks that run until the process ends."""
-        self.log.write(LogEvent.STARTED, domain=self.settings.domain, callers=self.settings.callers)
+        self.log.write(
+            LogEvent.STARTED, domain=self.settings.domain, callers=self.settings.caller_address
+        )
         tasks = [self.log.run, self.follower.run, self._run_maintenance]
         for run in (*tasks, *(listener.run for listener in self.listeners)):
             Thread(target=run, daemon=True).start()
--- a/src/masticgate/process/gateway/_log.py
+++ b/src/masticgate/process/gateway/_log.py
@@ -73,7 +73,7 @@
         self.ready = Condition()
         self.queue: deque[str] = deque()
         self.window_started_at = clock.now()
-        self.written: Counter[LogEvent] = Counter()
+        self.line_counts: Counter[LogEvent] = Counter()
         self.dropped: Counter[LogEvent] = Counter()
         self.stopping = False
 
@@ -81,9 +81,9 @@
         """Queue one line with ``fields``, or drop it if a limit is reached; never block."""
         with self.ready:
             self._roll_window()
-            self.written[event] += 1
+            self.line_counts[event] += 1
             full = len(self.queue) >= MAX_QUEUED_LINES
-            if full or self.written[event] > MAX_LINES_PER_SECOND:
+            if full or self.line_counts[event] > MAX_LINES_PER_SECOND:
                 self.dropped[event] += 1
                 return
             self.queue.append(self._format_line(event, fields))
@@ -124,7 +124,7 @@
             counts = {event.value: count for event, count in self.dropped.items()}
             self.queue.append(self._format_line(LogEvent.DROPPED, counts))
         self.window_started_at = now
-        self.written.clear()
+        self.line_counts.clear()
         self.dropped.clear()
 
     def _write_lines(self, lines: list[str]) -> None:
--- a/src/masticgate/process/gateway/_peers.py
+++ b/src/masticgate/process/gateway/_peers.py
@@ -121,7 +121,7 @@
         fleet: Fleet,
         clock: Clock,
         log: EventLog,
-        table: Callable[[], RouteTable | None],
+        current_table: Callable[[], RouteTable | None],
         is_ready: Callable[[], bool],
         is_platform_reachable: Callable[[], bool],
     ) -> None:
@@ -129,7 +129,7 @@
         self.fleet = fleet
         self.clock = clock
         self.log = log
-        self.table = table
+        self.current_table = current_table
         self.is_ready = is_ready
         self.is_platform_reachable = is_platform_reachable
         self.lock = Lock()
@@ -142,7 +142,7 @@
     def start(self) -> None:
         """Start a heartbeat task for each seed except this gateway."""
         for seed in self.settings.seeds:
-            if seed != self.settings.peers:
+            if seed != self.settings.peer_address:
                 Thread(target=self._run_heartbeats, args=(seed,), daemon=True).start()
 
     def handle_heartbeat(self, request: Request) -> LocalPage:
@@ -184,7 +184,7 @@
 
     def update_gathering(self) -> None:
         """Choose where queries are gathered, and apply this gateway's shares; called regularly."""
-        table = self.table()
+        table = self.current_table()
         if table is None:
             return
         with self.lock:
--- a/src/masticgate/process/gateway/_settings.py
+++ b/src/masticgate/process/gateway/_settings.py
@@ -21,21 +21,22 @@
 class GatewaySettings:
     """The addresses, the failure domain and the time limits of one gateway.
 
-    ``callers``, ``readiness``, ``metrics`` and ``peers`` are the addresses to listen on, the last
-    one for other gateways. ``seeds`` are the ``peers`` addresses of a few gateways; some may be out
-    of date. ``catalogue`` is the address of the platform's store. ``grace`` is the time from the
+    The gateway listens for callers on ``caller_address``, for readiness checks on
+    ``readiness_address``, for readers of its metrics on ``metrics_address`` and for other gateways
+    on ``peer_address``. ``seeds`` has the peer addresses of a few gateways; some may be out of
+    date. ``store_address`` is the address of the platform's store. ``grace`` is the time from the
     request to stop until the process is killed, and ``drain`` how long a leaving searcher may still
     be sent requests.
     """
 
     host: HostId
     domain: FailureDomainId
-    callers: Address
-    readiness: Address
-    metrics: Address | None
-    peers: Address | None
+    caller_address: Address
+    readiness_address: Address
+    metrics_address: Address | None
+    peer_address: Address | None
     seeds: tuple[Address, ...]
-    catalogue: Address
+    store_address: Address
     grace: Millis
     drain: Millis
     repeats: RepeatBounds
@@ -43,4 +44,4 @@
     @property
     def is_seed(self) -> bool:
         """Return whether this gateway gathers queries and reads the platform for others."""
-        return self.peers is not None and self.peers in self.seeds
+        return self.peer_address is not None and self.peer_address in self.seeds
--- a/tests/platform/test_node_file.py
+++ b/tests/platform/test_node_file.py
@@ -31,10 +31,10 @@
         path.write_text(TEXT)
         settings = read_node_file(path, 9464)
         assert (settings.host, settings.domain) == ("front-tvm-1", "tvm")
-        assert settings.callers == "10.1.0.9:8104"
-        assert settings.peers == "10.1.0.9:8106"
+        assert settings.caller_address == "10.1.0.9:8104"
+        assert settings.peer_address == "10.1.0.9:8106"
         assert settings.seeds == ("10.1.0.9:8106", "10.2.0.9:8106")
-        assert settings.metrics == "10.1.0.9:9464"
+        assert settings.metrics_address == "10.1.0.9:9464"
         assert (settings.grace, settings.drain) == (6000.0, 3000.0)
         assert (settings.repeats.ratio, settings.repeats.slack) == (0.2, 52.0)
 
