--- a/src/masticgate/request/gateway/_forward.py
+++ b/src/masticgate/request/gateway/_forward.py
@@ -21,7 +21,7 @@
 The answer to a request that may have run must not have one of them.
 """
 
-RELAYED_FAILURES = frozenset(range(300, 600)) - NOT_RUN_STATUSES
+RELAYED_ERROR_STATUSES = frozenset(range(300, 600)) - NOT_RUN_STATUSES
 """HTTP statuses of a searcher's error that are relayed to the caller unchanged."""
 
 
@@ -90,7 +90,7 @@
     def _build_reply(self) -> Reply:
         attempts = self.attempts
         answer = attempts.answer
-        if answer is not None and (answer.is_success or answer.status in RELAYED_FAILURES):
+        if answer is not None and (answer.is_success or answer.status in RELAYED_ERROR_STATUSES):
             return Relayed(answer, attempts.describe_attempts())
         failure = attempts.build_failure()
         attempts.cancel()
--- a/src/masticgate/request/gateway/_gather.py
+++ b/src/masticgate/request/gateway/_gather.py
@@ -134,11 +134,13 @@
         missing_causes = tuple(
             attempts.describe_missing_answer() for attempts in self.unanswered[:MAX_LOGGED_SHARDS]
         )
-        irregular_parts = (answer for answer in answers if not answer.receive_info.is_regular)
-        received = tuple(
-            f"{a.searcher}: {a.receive_info}" for a in islice(irregular_parts, MAX_LOGGED_SHARDS)
+        irregular_answers = (answer for answer in answers if not answer.receive_info.is_regular)
+        irregular_parts = tuple(
+            f"{a.searcher}: {a.receive_info}" for a in islice(irregular_answers, MAX_LOGGED_SHARDS)
+        )
+        return Merged(
+            stamps, self.shard_count - len(answers), records, missing_causes, irregular_parts
         )
-        return Merged(stamps, self.shard_count - len(answers), records, missing_causes, received)
 
     def _build_failure(self) -> Reply:
         detail = f"{len(self.answered)} of {self.shard_count} shards answered"
--- a/src/masticgate/version/_placement.py
+++ b/src/masticgate/version/_placement.py
@@ -23,9 +23,9 @@
 """Number of hosts among which the connections to one searcher are divided, at most."""
 
 
-def department_group_size(services: int) -> int:
-    """Return the number of hosts that own the ``services`` services of a department."""
-    return max(MIN_GROUP_HOSTS, ceil(services / SERVICES_PER_OWNER))
+def department_group_size(service_count: int) -> int:
+    """Return the number of hosts that own the services of a department, given their number."""
+    return max(MIN_GROUP_HOSTS, ceil(service_count / SERVICES_PER_OWNER))
 
 
 def rank_hosts(key: str, hosts: Iterable[HostId]) -> list[HostId]:
@@ -34,10 +34,10 @@
 
 
 def department_group(
-    department: DepartmentId, services: int, hosts: Iterable[HostId]
+    department: DepartmentId, service_count: int, hosts: Iterable[HostId]
 ) -> list[HostId]:
-    """Return the hosts that own the ``services`` services of ``department``."""
-    return rank_hosts(f"department:{department}", hosts)[: department_group_size(services)]
+    """Return the hosts that own the ``service_count`` services of ``department``."""
+    return rank_hosts(f"department:{department}", hosts)[: department_group_size(service_count)]
 
 
 def connections_per_owner(searcher: Searcher, listed_hosts: int) -> int:
--- a/src/masticgate/version/_text.py
+++ b/src/masticgate/version/_text.py
@@ -60,7 +60,9 @@
         validated = ConfigurationText.model_validate(document.value)
     except ValidationError as error:
         return Refused(tuple(_schema_problems(document, error)))
-    problems = tuple(_problem(document, path, text) for path, text in _find_conflicts(validated))
+    problems = tuple(
+        _problem(document, path, message) for path, message in _find_conflicts(validated)
+    )
     if problems:
         return Refused(problems)
     return Accepted(_build(validated, revision))
@@ -109,11 +111,11 @@
 
 
 def _find_duplicate_searchers(validated: ConfigurationText) -> Iterator[tuple[Path, str]]:
-    owners: dict[str, str] = {}
+    used_by: dict[str, str] = {}
     for name, service in validated.services.items():
         for index, searcher in enumerate(service.searchers):
             for key, value in (("id", searcher.id), ("address", searcher.address)):
-                other = owners.setdefault(f"{key} {value}", name)
+                other = used_by.setdefault(f"{key} {value}", name)
                 if other != name or _is_repeated(service, index, key, value):
                     place: Path = ("services", name, "searchers", index, key)
                     yield place, f"searcher {key} {value!r} is already used by {other!r}"
--- a/tests/version/test_sections.py
+++ b/tests/version/test_sections.py
@@ -93,7 +93,7 @@
         return [h for h in usable if should_watch(h, self.domain, usable, reachable)]
 
     @pytest.mark.parametrize("count", [1, 2, 3, 9])
-    def test_are_two_whatever_the_host_count(self, count):
+    def test_are_two_or_the_only_host(self, count):
         assert len(self.watchers(self.hosts, self.hosts[:count])) == min(2, count)
 
     def test_are_replaced_if_none_is_reachable(self):
