--- a/src/masticgate/connection/_address.py
+++ b/src/masticgate/connection/_address.py
@@ -17,8 +17,8 @@
 
 def split_address(address: Address) -> tuple[str, int]:
     """Return the IP address and the port of ``address``."""
-    number, _, port = address.rpartition(":")
-    return number, int(port)
+    ip, _, port = address.rpartition(":")
+    return ip, int(port)
 
 
 def open_socket(address: Address, timeout: Millis) -> socket.socket:
--- a/src/masticgate/connection/_caller_app.py
+++ b/src/masticgate/connection/_caller_app.py
@@ -33,7 +33,7 @@
 """The maximum number of services that one search may name."""
 
 MAX_TEXT_CHARACTERS = 4000
-MAX_LIMIT = 1000
+MAX_HITS = 1000
 """The maximum number of hits that one search may ask for."""
 
 
@@ -52,7 +52,7 @@
     rank: str = "standard"
     remaining_ms: float = Field(gt=0, le=MAX_REMAINING_MS, allow_inf_nan=False)
     minimum_coverage: float = Field(default=0.0, ge=0, le=1)
-    limit: int = Field(default=10, ge=1, le=MAX_LIMIT)
+    limit: int = Field(default=10, ge=1, le=MAX_HITS)
 
 
 class BookingBody(_Body):
