--- a/src/masticgate/connection/_caller_server.py
+++ b/src/masticgate/connection/_caller_server.py
@@ -227,7 +227,7 @@
             _refuse_connection(connection)
 
     def serve(self, connection: socket.socket, peer: Any) -> None:
-        """Serve one connection until the caller closes it or sends nothing for the timeout."""
+        """Serve one connection until the caller closes it or sends nothing within the timeout."""
         try:
             CallerConnection(connection, peer, self)  # type: ignore[arg-type]
         except OSError:
@@ -268,7 +268,7 @@
                 connection.shutdown(socket.SHUT_RDWR)
 
     def await_closed(self, timeout: Millis) -> bool:
-        """Wait until all connections are closed; return ``False`` if some are open in the end."""
+        """Wait until all connections are closed; return ``False`` if ``timeout`` passes first."""
         with self.lock:
             return self.lock.wait_for(
                 lambda: not self.open_connections, timeout / MILLIS_PER_SECOND
@@ -276,7 +276,7 @@
 
 
 def _shut_down_reading(connection: socket.socket) -> None:
-    """Let the task of the connection read the bytes that arrived, and then the end."""
+    """End the input of the connection, after the bytes that have already arrived."""
     with suppress(OSError):
         connection.shutdown(socket.SHUT_RD)
 
--- a/src/masticgate/connection/_http_connection.py
+++ b/src/masticgate/connection/_http_connection.py
@@ -36,8 +36,9 @@
 class HttpConnection:
     """Sends one request at a time over one connection; any task may call :meth:`abort`.
 
-    A request whose body was read is never sent again. If a kept-alive connection closes before the
-    response, libcurl would send a POST again on its own, and no budget for retries would count it.
+    libcurl resends a POST on its own if a kept-alive connection closes before the response, and no
+    retry budget would count that. The body therefore comes from a function that supplies it only
+    once, so that a request is never sent again after libcurl has read its body.
     """
 
     def __init__(self, address: Address) -> None:
@@ -143,6 +144,7 @@
         return self.request_body.read(size)
 
     def _append_to_response(self, chunk: bytes) -> int | None:
+        """Append to the response body; return 0, which ends the request, if too large."""
         if self.response_body.tell() + len(chunk) > MAX_BODY_BYTES:
             return 0
         self.response_body.write(chunk)
--- a/src/masticgate/connection/_platform.py
+++ b/src/masticgate/connection/_platform.py
@@ -16,7 +16,7 @@
 from ._http_connection import HttpConnection, HttpReply
 
 READ_TIMEOUT = Millis(1000.0)
-"""The time limit of a read; a watch is given this in addition to its own wait."""
+"""The time limit of a read; for a watch, the time that the platform may wait is added."""
 
 
 class _ValueBody(BaseModel):
--- a/src/masticgate/connection/_request_structs.py
+++ b/src/masticgate/connection/_request_structs.py
@@ -35,7 +35,7 @@
 
 
 def write_ask(target: Any, ask: Ask) -> None:
-    """Write an ask, by which an entry host has an owner run parts of a search."""
+    """Write an ask, with which the entry host asks an owner to run parts of a search."""
     target.query = ask.query
     target.rank = ask.rank.value
     target.remaining = ask.remaining
@@ -67,7 +67,7 @@
 
 
 def write_reply(target: Any, reply: Reply) -> None:
-    """Write the reply to an ask for one service."""
+    """Write a reply, which holds the result of one service of an ask."""
     target.query = reply.query
     target.service = reply.service
     result = target.result
@@ -85,7 +85,7 @@
 
 
 def read_reply(source: Any) -> Reply:
-    """Read the reply to an ask for one service."""
+    """Read a reply, which holds the result of one service of an ask."""
     return Reply(QueryId(source.query), ServiceId(source.service), _read_result(source.result))
 
 
--- a/src/masticgate/connection/_searcher.py
+++ b/src/masticgate/connection/_searcher.py
@@ -28,7 +28,7 @@
 from ._http_connection import HttpConnection, HttpFailure, HttpReply
 
 RESPONSE_GRACE = Millis(5.0)
-"""How long a response is waited for after the deadline of the work.
+"""How long to wait for a response after the deadline of the work.
 
 The searcher stops at the same deadline, and its response takes a moment to arrive.
 """
@@ -41,7 +41,7 @@
     "shed": Reason.SEARCHER_SHED,
     "cold": Reason.SEARCHER_SHED,
 }
-"""The reasons in a refusal that state that the searcher did not run the work."""
+"""The reasons in a refusal which mean that the searcher did not run the work."""
 
 
 class _HitItem(BaseModel):
@@ -78,7 +78,10 @@
 
 
 def run_searcher_connection(pool: ServicePool, searcher: Searcher, clock: Clock) -> None:
-    """Do work of ``pool`` over one connection to ``searcher`` until the pool closes it."""
+    """Run work from ``pool`` over a connection to ``searcher`` until the pool closes it.
+
+    If the pool needs the connection again by then, another one is opened.
+    """
     wanted = True
     while wanted:
         connection = HttpConnection(searcher.address)
--- a/src/masticgate/connection/_socket.py
+++ b/src/masticgate/connection/_socket.py
@@ -71,10 +71,10 @@
             if not prefix:
                 return
             if len(prefix) < LENGTH_PREFIX.size:
-                raise BadFrameError("truncated length")
+                raise BadFrameError("truncated length prefix")
             (length,) = LENGTH_PREFIX.unpack(prefix)
             if length > MAX_FRAME_BYTES:
-                raise BadFrameError(f"frame of {length} bytes")
+                raise BadFrameError(f"a frame of {length} bytes is too large")
             data = self._read(length, deadline_s)
             if len(data) < length:
                 raise BadFrameError("truncated frame")
--- a/src/masticgate/connection/gateway/_caller.py
+++ b/src/masticgate/connection/gateway/_caller.py
@@ -36,17 +36,21 @@
 CONTINUE_RESPONSE = b"HTTP/1.1 100 Continue\r\n\r\n"
 
 Handler = Callable[[Request, Inbox], Reply]
-"""Serves one request; the inbox tells it which calls finished and whether the caller left."""
+"""Serves one request and returns the reply.
+
+The inbox reports which calls to searchers have finished, and whether the caller has closed its
+connection.
+"""
 
 
 @dataclass(frozen=True, slots=True)
 class CallerSettings:
     """The settings that all connections of one listener share.
 
-    ``limits`` returns the limits in force for the size and the duration of a request. If
-    ``is_closing`` returns ``True``, each reply announces the end of its connection.
-    ``callers_are_gateways`` is set if the callers are other gateways; a request from one counts as
-    arrived ``transit_time`` before it was received.
+    ``limits`` returns the size limits and timeouts in force. If ``is_closing`` returns ``True``,
+    each reply announces the end of its connection. ``callers_are_gateways`` is set if the callers
+    are other gateways. A request counts as received ``transit_time`` before it arrived, to allow
+    for the time that the request and its reply spend between two gateways.
     """
 
     handler: Handler
@@ -71,7 +75,7 @@
 
 
 class CallerConnection:
-    """The connection of one caller, with the parser and the buffer that serve it."""
+    """The connection of one caller, whose requests are served one after another."""
 
     def __init__(self, connection: socket.socket, settings: CallerSettings) -> None:
         connection.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
@@ -144,7 +148,10 @@
         return True
 
     def _read_request(self) -> ParsedRequest | None:
-        """Return the next request, or ``None`` if the connection has to be closed."""
+        """Return the next request, or ``None`` if the connection has to be closed.
+
+        If the idle timeout changes during the wait, the longest value counts.
+        """
         idle_limit = self.settings.limits().idle_timeout
         while not self.parser.ready:
             if self.parse_error is not None:
--- a/src/masticgate/connection/gateway/_catalogue_codec.py
+++ b/src/masticgate/connection/gateway/_catalogue_codec.py
@@ -1,4 +1,4 @@
-"""The JSON form of the catalogue in which one gateway relays it to others.
+"""The JSON format in which a gateway relays the catalogue to other gateways.
 
 The platform publishes the catalogue: the configuration with its routes, and a listing for each
 searcher, which is a server that runs requests of one service.
@@ -72,7 +72,7 @@
 
 
 def decode_changes(body: bytes) -> CatalogueUpdate:
-    """Return the catalogue update in the body of a relay's response.
+    """Return the catalogue update in the body of another gateway's response.
 
     :raises InvalidCatalogueError: the body is not in the format of this release.
     """
--- a/src/masticgate/connection/gateway/_client.py
+++ b/src/masticgate/connection/gateway/_client.py
@@ -159,8 +159,8 @@
         """Send as many bytes as possible without waiting, and return their number.
 
         Any task may call this. The kernel reports a reset of the connection only once: if a send
-        has failed, the next receive looks like an orderly end of the response. The failure of a
-        send is therefore recorded in ``aborted``, under the lock.
+        has failed, the next receive returns no bytes, as if the server had closed the connection
+        normally. The failure of a send is therefore recorded in ``aborted``, under the lock.
 
         :raises BlockingIOError: the send buffer of the socket is full.
         :raises OSError: the connection is closed.
@@ -177,7 +177,7 @@
                 raise
 
     def closed_cleanly(self) -> bool:
-        """Return whether the server ended the connection in order.
+        """Return whether the server closed the connection normally.
 
         To be called after a receive returned no bytes. After a reset, or after :meth:`abort`, the
         result is ``False``.
--- a/src/masticgate/connection/gateway/_encoding.py
+++ b/src/masticgate/connection/gateway/_encoding.py
@@ -38,8 +38,9 @@
 ) -> bytes:
     """Return the bytes of ``reply`` to another gateway.
 
-    The reply has two additions. The id of the request shows the other gateway to which request
-    the reply belongs; a header marks a refused request as not run.
+    Compared with a reply to a caller, a header with the id of the request is added, which shows
+    the other gateway to which request the reply belongs. If the request was refused, another
+    header marks it as not run.
     """
     status_line, _, rest = encode_reply(reply, header_names, close=close).partition(b"\r\n")
     extra_headers = b"%s: %s\r\n" % (header_names.request_id, request.id.encode("latin-1"))
--- a/src/masticgate/connection/gateway/_header_names.py
+++ b/src/masticgate/connection/gateway/_header_names.py
@@ -14,11 +14,11 @@
     ``caller_timeout`` names the header with the milliseconds that the sender still waits for the
     answer. ``stamp`` names the header by which a searcher authenticates its answer.
     ``expected_searcher`` names the header with the id of the searcher that the request is meant
-    for. ``load`` names the header with three numbers of a searcher: the requests that it runs, the
-    requests that wait, and its slots, which is how many it runs at the same time. ``not_run``
-    names the header that marks a request as not run. ``included_stamps`` and ``missing_shards``
-    name the headers of a merged answer with the stamps of its parts and the number of shards that
-    are missing from it.
+    for. ``load`` names the header with three numbers: how many requests the searcher is running,
+    how many are waiting, and how many it can run at the same time, which are its slots.
+    ``not_run`` names the header that marks a request as not run. ``included_stamps`` and
+    ``missing_shards`` name the headers of a merged answer with the stamps of its parts and the
+    number of shards that are missing from it.
     """
 
     request_id: bytes
@@ -32,12 +32,12 @@
 
 
 CONFIGURATION_VERSION_HEADER = b"x-gateway-version"
-"""Between gateways: the version of the configuration that a query is served by."""
+"""Between gateways: the version of the configuration by which a query is served."""
 
 NETWORK_TIME_HEADER = b"x-gateway-network-ms"
-"""Between gateways: the milliseconds of the latency objective spent on the caller's network.
+"""Between gateways: the estimated network time between the caller and the first gateway.
 
-They are an estimate and cover both directions.
+It is a part of the latency objective, in milliseconds, and covers both directions.
 """
 
 MISSING_SHARDS_HEADER = b"x-gateway-missing"
--- a/src/masticgate/connection/gateway/_inbox.py
+++ b/src/masticgate/connection/gateway/_inbox.py
@@ -1,6 +1,7 @@
-"""The means by which the task of a caller's connection waits for several events at once.
+"""The wait of a caller's connection task for several events at once.
 
-It waits until calls to searchers finish, the caller closes its connection, or a deadline passes.
+The task waits until calls to searchers finish, the caller closes its connection, or a deadline
+passes.
 """
 
 import os
@@ -21,8 +22,8 @@
 class WakeableSocket:
     """The connection of one caller and a pipe that wakes the task that polls both.
 
-    A call may finish after the connection was closed, when the numbers of the closed descriptors
-    may belong to other files. The lock keeps a late :meth:`wake` from writing to those.
+    A call may finish after the connection and the pipe were closed. The number of the pipe's
+    descriptor may then belong to another file; the lock keeps :meth:`wake` from writing to that.
     """
 
     def __init__(self, connection: socket.socket, clock: Clock) -> None:
@@ -72,10 +73,10 @@
                 self.connection.close()
 
     def stop_reading(self) -> None:
-        """Make a read in progress return the end of the connection; any task may call this.
+        """End the input of the connection, also for a read in progress; any task may call this.
 
-        A request that was read just before is still served, since it was not the caller that ended
-        the connection.
+        A request that was read just before is still served: that the input ended does not count as
+        the caller closing its connection.
         """
         with self.lock:
             self.reading_stopped = True
@@ -103,8 +104,8 @@
 class RequestInbox:
     """The finished calls of one request, in the order in which they finished.
 
-    The task of the request waits for them, and is woken only after a batch of calls or after a
-    call without success.
+    The task of the request waits for them. It is woken once a batch of calls has finished, or as
+    soon as a call finishes without success.
     """
 
     def __init__(self, wakeable_socket: WakeableSocket) -> None:
@@ -120,7 +121,7 @@
             self.wakeable_socket.wake()
 
     def set_batch_size(self, number: int) -> None:
-        """Wake a waiting task only after ``number`` calls finished or one did without success."""
+        """Wake the task only once ``number`` calls have finished, or one without success."""
         self.batch_size = number
 
     def wait(self, deadline: Millis) -> Call | CallerDisconnected | None:
--- a/src/masticgate/connection/gateway/_parser.py
+++ b/src/masticgate/connection/gateway/_parser.py
@@ -68,15 +68,15 @@
 
 
 def parse_number(text: bytes) -> int | None:
-    """Return ``text`` as a number of digits only, or ``None`` if it is not one or is too long."""
+    """Return the number in ``text``, or ``None`` if it is not all digits or has too many."""
     digits = text.strip()
     return int(digits) if len(digits) <= MAX_NUMBER_DIGITS and digits.isdigit() else None
 
 
 def end_to_end_headers(headers: list[Header] | tuple[Header, ...]) -> tuple[Header, ...]:
-    """Return the headers to forward: all but those that concern one connection only.
+    """Return the headers to forward.
 
-    Those are the hop-by-hop headers, and the ones that a ``Connection`` header names.
+    Left out are :data:`HOP_BY_HOP_HEADERS` and the headers that a ``Connection`` header names.
     """
     dropped = set(HOP_BY_HOP_HEADERS)
     for key, value in headers:
@@ -89,7 +89,7 @@
     """Collects complete requests in ``ready`` from the bytes that one caller sends.
 
     More than one may be ready, since a caller may send requests without waiting for the response.
-    The limits are the sizes of a request's head and of its body, in bytes.
+    ``header_bytes`` and ``body_bytes`` are the maximum sizes of a request's head and body.
     """
 
     def __init__(self, header_bytes: int, body_bytes: int) -> None:
@@ -107,7 +107,7 @@
         try:
             self.parser.feed_data(data)
         except httptools.HttpParserUpgrade:
-            return Malformed("upgrade")
+            return Malformed("protocol upgrades are not supported")
         except httptools.HttpParserError as error:
             if self.size_error is not None:
                 return self.size_error
@@ -118,7 +118,7 @@
 
     @property
     def idle(self) -> bool:
-        """Return whether no part of another request has been received."""
+        """Return whether no part of the next request has been received."""
         return not self.in_message
 
     def _reset(self) -> None:
--- a/src/masticgate/connection/gateway/_response_parser.py
+++ b/src/masticgate/connection/gateway/_response_parser.py
@@ -1,7 +1,7 @@
 """A parser for HTTP/1.1 responses, based on httptools, that rejects mixed responses.
 
 If a server stops within a response and then sends another, the bytes of the second would complete
-the first. Such a response is detected by the head of another one within it.
+the first. The parser detects this by the head of the second response within the first one.
 """
 
 import re
@@ -34,7 +34,10 @@
 """
 
 EXTRA_HEAD_BYTES = 256
-"""The bytes that another response's head may have beyond twice the size of this one's headers."""
+"""Added to twice the size of a response's headers: the length of a possible head that is checked.
+
+A possible head begins at a status line in the body of the response.
+"""
 
 MAX_CHUNK_OVERHEAD = 0.5
 """The maximum number of bytes of chunk framing for each byte of content.
@@ -84,7 +87,7 @@
         try:
             self.parser.feed_data(data)
         except httptools.HttpParserUpgrade:
-            return Malformed("upgrade")
+            return Malformed("protocol upgrades are not supported")
         except httptools.HttpParserError as error:
             self._drop_truncated()
             return Malformed(str(error.__context__ or error))
@@ -94,7 +97,7 @@
             self.received_bytes - self.body_size
             > MAX_HEAD_BYTES + self.body_size * MAX_CHUNK_OVERHEAD
         ):
-            return Malformed("too many bytes around the body")
+            return Malformed("too many bytes of heads and framing")
         return None
 
     def reset_byte_counts(self) -> None:
@@ -103,7 +106,10 @@
         self.body_size = 0
 
     def feed_eof(self) -> None:
-        """Complete a response that ends with its connection, which the server closed in order."""
+        """Complete a response that states no length, which ends with its connection.
+
+        To be called only if the server closed the connection normally.
+        """
         if (
             self.in_message
             and self.in_body
--- a/src/masticgate/connection/gateway/_searcher_task.py
+++ b/src/masticgate/connection/gateway/_searcher_task.py
@@ -3,9 +3,10 @@
 A searcher is a server that runs requests of one service. A call is one attempt to have a request
 run by one searcher.
 
-The task opens the connection and then reads responses from it. The task of the caller's connection
-sends the request, so that a call takes only one hand-over between threads. Since the task of the
-connection always reads, it detects at once that the searcher closed an idle connection.
+The task opens the connection, sends the call that it was opened for, if any, and then reads
+responses. The tasks of the callers' connections send all further calls, so that a call takes only
+one hand-over between threads. Since the connection's own task always reads, it detects at once that
+the searcher closed an idle connection.
 """
 
 import select
@@ -100,8 +101,9 @@
     """One connection to one searcher, which carries one call at a time.
 
     ``initial_call`` is the call that the connection is opened for, if any. ``number`` identifies
-    the connection in log lines. ``idle_since`` and ``keep_alive_timeout`` are guarded by the lock
-    of the handler.
+    the connection in log lines. ``skipped`` counts the responses that were skipped since the
+    last answered call. ``idle_since`` and ``keep_alive_timeout`` are guarded by the lock of the
+    handler.
     """
 
     def __init__(
@@ -193,7 +195,9 @@
         return call.started
 
     def _send(self, call: Call) -> None:
-        """Send the request of a call; if that fails, the task that reads detects the end.
+        """Send the request of a call; if that fails, abort the connection.
+
+        The task that reads then detects the end of the connection.
 
         A response may arrive before the request is sent completely. The lock makes the next call
         on the connection wait until the rest of this request is sent.
@@ -281,7 +285,7 @@
         return True
 
     def _outcome_at_close(self) -> Outcome:
-        """Return the outcome of the present call after the searcher ended the connection.
+        """Return the outcome of the current call after the searcher closed the connection.
 
         The end of the connection completes a response that states no length.
         """
--- a/tests/connection/test_http_connection.py
+++ b/tests/connection/test_http_connection.py
@@ -1,4 +1,7 @@
-"""A kept-alive connection to a server that records the requests it read and may close it."""
+"""An HTTP connection that is reused, against a server that may close it after a request.
+
+The server records the requests that it reads, which shows whether one was sent twice.
+"""
 
 import socket
 from concurrent.futures import ThreadPoolExecutor
