--- a/src/masticgate/platform/_items.py
+++ b/src/masticgate/platform/_items.py
@@ -1,4 +1,4 @@
-"""Decoding of the items in the platform's store: the configuration and the listings."""
+"""Decoding of the items in the platform's store: the configuration and the searchers' listings."""
 
 import json
 from base64 import b64decode
@@ -56,6 +56,7 @@
 
 
 def _decode_entry(searcher: SearcherId, fields: Fields) -> SearcherEntry:
+    # The version and the sequence are not used, but a listing without them is invalid.
     fields.text("version")
     fields.integer("sequence")
     phase = PHASES.get(fields.text("state"))
--- a/src/masticgate/platform/_store.py
+++ b/src/masticgate/platform/_store.py
@@ -18,14 +18,17 @@
 from ._names import ALL_KEYS_PREFIX, CONFIGURATION_KEY
 
 READ_TIMEOUT = Millis(1_000.0)
-"""The timeout of a read, which takes a few milliseconds, or some hundred at a slow store."""
+"""The timeout of a read.
+
+A read usually takes a few milliseconds, and a few hundred if the store is slow.
+"""
 
 WATCH_MARGIN = Millis(700.0)
-"""How much longer than its wait a watch may take."""
+"""The timeout of a watch is its wait plus this margin."""
 
 CONNECT_TIMEOUT = Millis(500.0)
 HISTORY_GONE = 410
-"""The status of a watch after a revision from which changes are no longer available."""
+"""The status of the response to a watch if changes after its revision are no longer available."""
 
 
 class PlatformStore:
--- a/src/masticgate/process/gateway/_catalogue.py
+++ b/src/masticgate/process/gateway/_catalogue.py
@@ -12,14 +12,14 @@
 from ...version.gateway import RouteTable
 
 PEER_SERVICE = ServiceId("gateways")
-"""The service name under which the fleet holds the gateways that gather queries for this one.
+"""The service name of the gateways that gather queries for this one; they count as its searchers.
 
 To gather a query is to send it to one searcher of each shard and to merge the answers.
 """
 
 
 class SearcherPhase(Enum):
-    """Whether a searcher accepts requests, as its listing states."""
+    """Whether a searcher accepts requests or drains before its stop, as its listing states."""
 
     READY = "ready"
     DRAINING = "draining"
@@ -90,7 +90,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Changes:
-    """The changes since the last read or watch, up to ``revision`` and in their order."""
+    """The changes after the revision of the watch, in order and up to ``revision``."""
 
     changes: tuple[Change, ...]
     revision: Revision
--- a/src/masticgate/process/gateway/_fleet.py
+++ b/src/masticgate/process/gateway/_fleet.py
@@ -1,6 +1,7 @@
 """The searchers of all services: their listings, their connections and the choice among them.
 
-The module also enforces the budgets for hedges and retries, which are both called repeats.
+The module also enforces the budgets for repeats. A repeat is a hedge, which is sent while the first
+attempt has no response yet, or a retry, which is sent after an attempt failed.
 """
 
 from dataclasses import dataclass
@@ -33,7 +34,7 @@
 from ._shares import GatewayShares
 
 RETRY_RESERVE = 1.0
-"""The number of repeats that hedges leave in a budget for retries."""
+"""The number of repeats in each budget that hedges may not spend, so that retries can."""
 
 DEFAULT_CONNECTIONS = 8
 """The connection limit for a searcher whose service the configuration does not name."""
@@ -64,10 +65,13 @@
 """An expired idle connection is replaced if its searcher was sent a request within this time."""
 
 LAST_RESORT_SHARE = 0.5
-"""The part of the drain time for which a leaving searcher is used if there is no other."""
+"""The part of the ``drain`` setting for which a leaving searcher is used if there is no other."""
 
 MAX_DRAINED_SEARCHERS = 2_000
-"""The number of drained searchers that are remembered; ordinary releases reach it in days."""
+"""The number of drained searchers that are remembered.
+
+At an ordinary rate of releases, it takes days until that many searchers have drained.
+"""
 
 
 @dataclass(slots=True)
@@ -86,12 +90,15 @@
 class Fleet:
     """All searchers that the platform lists, and the gatherers; one lock guards their state.
 
-    It chooses a searcher for each call, and opens, reuses and closes the connections. The tasks of
-    the connections report what happens through the ``handle_`` methods.
+    A gatherer is a gateway that sends queries over many shards to the searchers for this gateway,
+    which treats it as a searcher. The fleet chooses a searcher for each call, and opens, reuses and
+    closes the connections. The tasks of the connections call the ``handle_`` methods and
+    :meth:`record_violation`.
 
-    ``accepted_connections`` is the number of connections that one searcher of a service accepts
-    from all gateways together. ``drained_start_times`` has the start of each searcher that drained,
-    so that a late listing of that start does not put it back into use.
+    ``accepted_connections`` has, for each service, the number of connections that one searcher
+    accepts from all gateways together. ``drained_start_times`` has the start time of each searcher
+    that drained, so that a listing of the same start that arrives late does not put the searcher
+    back into use.
     """
 
     def __init__(
@@ -136,9 +143,10 @@
     def send(self, call: Call, tried: set[SearcherId]) -> DispatchedCall | NotRun:
         """Send ``call`` to the best searcher of its service that is not in ``tried``.
 
-        If all others are ejected, a request that failed at one searcher is still sent to one of
-        them, unless it is a hedge. Return why the call was not sent if no searcher is usable, all
-        connections are busy, or no task can be started.
+        A searcher whose ejection is not over is sent the call only if no other is usable, the
+        request was sent to a searcher before, and the call is not a hedge. Return why the call was
+        not sent if there is no searcher for it, all connections are busy, or no task can be
+        started.
         """
         while True:
             with self.lock:
@@ -184,7 +192,7 @@
             return self.budgets.spend(service, self.clock.now())
 
     def handle_open(self, task: SearcherTask) -> None:
-        """Keep a connection for later calls that was opened without one."""
+        """Keep a connection that was opened without a call as idle, for later calls."""
         self.metrics.count("connections_opened")
         with self.lock:
             self._keep_idle(self.tasks[task], task)
@@ -301,8 +309,8 @@
     ) -> None:
         """Stop using a searcher whose listing was removed; ``why`` is written to the log.
 
-        For ``usable_time`` it is still used if there is no other; by default for a part of the
-        drain time.
+        It is still used for ``usable_time`` if there is no other; the default is
+        ``LAST_RESORT_SHARE`` of the ``drain`` setting.
         """
         with self.lock:
             replica = self.replicas.get(searcher)
@@ -472,8 +480,9 @@
     def _is_outdated(self, known: Replica | None, entry: SearcherEntry) -> bool:
         """Return whether a listing is older than what is known of its searcher.
 
-        It is if it belongs to an earlier start of the searcher, or if the searcher is not in use
-        and has begun to drain, or had begun to drain before.
+        The listing of a known searcher is outdated if it belongs to an earlier start. That of an
+        unknown searcher is outdated if it says that the searcher drains, or if the searcher has
+        already drained since that start or a later one.
         """
         if known is not None and entry.born < known.entry.born:
             return True
--- a/src/masticgate/process/gateway/_follower.py
+++ b/src/masticgate/process/gateway/_follower.py
@@ -30,13 +30,14 @@
 WATCH_TIMEOUT = Millis(1_800.0)
 """How long one watch waits for changes.
 
-An unresponsive connection is noticed within this time plus the margin of the client.
+An unresponsive connection is noticed within this time plus the short time for which the client of
+the source waits beyond it.
 """
 
 BATCH_INTERVAL = Millis(400.0)
 """The pause after a watch that returned changes, so that the next one returns several at a time.
 
-A change has to be in force within 3 s.
+It is far below the 3 s within which a change has to be in force.
 """
 
 MAX_RECENT_TABLES = 4
@@ -66,9 +67,9 @@
 class Follower:
     """Keeps the route table and the fleet up to date; :meth:`run` is its task.
 
-    While the platform is unavailable, the last known state stays in force. ``held_searchers`` are
-    those whose listing was removed while or just after the platform was unavailable; they stay in
-    use until ``RELIST_TIMEOUT`` has passed.
+    While the platform is unavailable, the last known state stays in force. ``held_searchers`` has
+    the searchers whose listing was removed while or just after the platform was unavailable; they
+    stay in use until ``RELIST_TIMEOUT`` has passed.
     """
 
     def __init__(
@@ -105,7 +106,7 @@
         self.stopping.set()
 
     def find_table(self, version: ConfigurationVersion) -> RouteTable | None:
-        """Return the configuration of that version, if it is one of the last few."""
+        """Return the configuration of that version, or ``None`` if it is not kept."""
         return next((table for table in self.recent_tables if table.version == version), None)
 
     def age(self) -> Millis:
@@ -218,6 +219,7 @@
             self.fleet.remove_searcher(searcher, why)
 
     def _was_recently_unavailable(self) -> bool:
+        """Return whether the platform is unavailable, or was less than ``RELIST_TIMEOUT`` ago."""
         if self.unavailable_since is not None:
             return True
         if self.recovered_at is None:
--- a/src/masticgate/process/gateway/_hedge_delays.py
+++ b/src/masticgate/process/gateway/_hedge_delays.py
@@ -1,6 +1,7 @@
 """The delays after which requests are hedged, derived from recent latencies.
 
-A hedge repeats a request at another searcher while the first attempt has no response yet.
+A hedge repeats a request at another searcher while the first attempt has no response yet. The
+objective of a route is the latency that its answers should have.
 """
 
 from ..._ids import Millis, RouteId
@@ -11,7 +12,7 @@
 """The percentile of a route's latencies from which its hedge delay is computed."""
 
 HEDGE_DELAY_FACTOR = 1.2
-"""The factor from that percentile to the hedge delay."""
+"""The hedge delay is that percentile times this factor."""
 
 INITIAL_DELAY_SHARE = 0.25
 """The hedge delay as a share of the route's objective while no latencies are known."""
@@ -38,9 +39,9 @@
         return Millis(min(usual * HEDGE_DELAY_FACTOR, route.objective * MAX_DELAY_SHARE))
 
     def record(self, route: RouteId, latency: Millis, now: Millis, *, first_attempt: bool) -> float:
-        """Return the ratio of ``latency`` to the median of its route, 1 while that is unknown.
+        """Record the latency of an answer, and return its ratio to the median of its route.
 
-        The latency is recorded if it is that of a first attempt.
+        The latency of a repeat is not recorded. The ratio is 1 while no median is known.
         """
         window = self.windows.setdefault(route, LatencyWindow())
         usual = window.percentile(TYPICAL_PERCENTILE)
--- a/src/masticgate/process/gateway/_log.py
+++ b/src/masticgate/process/gateway/_log.py
@@ -19,7 +19,7 @@
 STANDARD_OUTPUT = 1
 MAX_QUEUED_LINES = 2_000
 MAX_LINES_PER_SECOND = 40
-"""The number of lines for each event in one second; a busy host writes a tenth of it."""
+"""The limit for the lines of each event in one second; a busy host writes a tenth of that."""
 
 BATCH_INTERVAL_S = 0.2
 """How long the writing task waits for more lines before it writes a batch."""
@@ -64,7 +64,10 @@
 
 
 class EventLog:
-    """Queues log lines; :meth:`run` is the task that writes them to ``descriptor``."""
+    """Queues log lines; :meth:`run` is the task that writes them to ``descriptor``.
+
+    ``line_counts`` counts the lines of each event in the present window, also the dropped ones.
+    """
 
     def __init__(self, host: HostId, clock: Clock, descriptor: int = STANDARD_OUTPUT) -> None:
         self.host = host
@@ -78,7 +81,11 @@
         self.stopping = False
 
     def write(self, event: LogEvent, **fields: Any) -> None:
-        """Queue one line with ``fields``, or drop it if a limit is reached; never block."""
+        """Queue one line with ``fields``, or drop it if a limit is reached.
+
+        Never wait for the output. The line is written after the next call of :meth:`wake` at the
+        latest.
+        """
         with self.ready:
             self._roll_window()
             self.line_counts[event] += 1
--- a/src/masticgate/process/gateway/_network_times.py
+++ b/src/masticgate/process/gateway/_network_times.py
@@ -15,7 +15,8 @@
 INITIAL_ROUND_TRIP = Millis(6.0)
 """The round trip that is assumed while none is known.
 
-It is a typical round trip between neighbouring sites, and rather too long than too short.
+It is a typical round trip between neighbouring sites; an estimate that is too long is preferred to
+one that is too short.
 """
 
 
@@ -42,7 +43,10 @@
 
 
 class NetworkTimes:
-    """Estimates the part of a route's objective that passes on the network to the caller."""
+    """Estimates the network time of each request between its caller and the gateway.
+
+    It is a part of the route's objective, which is the latency that an answer should have.
+    """
 
     def __init__(self) -> None:
         self.lock = Lock()
--- a/src/masticgate/process/gateway/_peers.py
+++ b/src/masticgate/process/gateway/_peers.py
@@ -4,7 +4,7 @@
 gateway sends heartbeats to the seeds, which are the few gateways that its settings name. A seed
 counts the gateways from which it receives heartbeats. If a searcher accepts too few connections for
 all gateways, only the seeds connect to the searchers of shards, and they gather the queries for the
-other gateways.
+other gateways. A gateway that gathers queries for others is called a gatherer.
 """
 
 import json
@@ -42,13 +42,17 @@
 """The timeouts for the connection to a seed, and for its reply to a heartbeat."""
 
 MAX_MISSED_HEARTBEATS = 2
-"""The number of missed heartbeats after which a gatherer is no longer used, about a second."""
+"""A gatherer is no longer used after this many missed heartbeats, which is about a second."""
 
 MEMBER_TTL = Millis(5_000.0)
 """How long a gateway counts as running after its last heartbeat."""
 
 WARM_UP_DELAY = Millis(2_000.0)
-"""How long a starting gateway waits to learn of the others before it opens connections ahead."""
+"""How long a starting gateway waits for the number of gateways before it warms up connections.
+
+It waits twice as long if it is not a seed and knows of no other gateway. To warm up is to open a
+connection to each searcher of a shard before there is a request for it.
+"""
 
 MIN_MEMBERS_TO_RELAY = 13
 """With at least this many gateways, the seeds read the platform's catalogue for the others.
@@ -170,10 +174,10 @@
         return LocalPage(200, json.dumps(reply).encode())
 
     def find_relays(self) -> list[Address]:
-        """Return the seeds that relay the platform's catalogue, those of the own domain first.
+        """Return the seeds that relay the platform's catalogue, those in the own domain first.
 
-        Return none if there are few gateways: each then reads from the platform itself, which saves
-        one hop of delay.
+        Return an empty list if this gateway is a seed, or if there are few gateways: each then
+        reads from the platform itself, which saves one hop of delay.
         """
         with self.lock:
             if self.settings.is_seed or self.members < MIN_MEMBERS_TO_RELAY:
--- a/src/masticgate/process/gateway/_relay.py
+++ b/src/masticgate/process/gateway/_relay.py
@@ -1,4 +1,4 @@
-"""Relays the platform's catalogue between gateways, so that only few of them read the platform.
+"""Relays the platform's catalogue between gateways, so that only a few read from the platform.
 
 The catalogue is the configuration and the listings of the searchers. A relay keeps the catalogue
 and its latest changes, and serves them to the other gateways over HTTP.
@@ -42,7 +42,10 @@
 """The Host header by which a relay recognizes a read or a watch of the catalogue."""
 
 MAX_CHANGES = 2_000
-"""The number of changes that a relay keeps; a gateway that is further behind reads everything."""
+"""The number of changes that a relay keeps.
+
+A gateway that is further behind has to read the whole catalogue.
+"""
 
 MAX_WATCH_WAIT = Millis(5_000.0)
 """The upper bound on the wait that a watch may request."""
@@ -55,18 +58,21 @@
 
 READ_TIMEOUT = Millis(1_000.0)
 WATCH_MARGIN = Millis(500.0)
-"""How much longer than its wait a watch may take."""
+"""The timeout of a watch is its wait plus this margin."""
 
 CONNECT_TIMEOUT = Millis(300.0)
 START_ATTEMPTS = 2
-"""How often a starting gateway waits for a relay before it reads from the platform."""
+"""The number of times that a starting gateway waits for a relay before it reads the platform."""
 
 RELAY_WAIT_S = 0.4
 """How long a starting gateway waits in each attempt to learn which seeds relay."""
 
 RELAY_POLL_INTERVAL_S = 0.1
 MANY_SERVICES = 100
-"""With fewer services, a starting gateway reads from the platform at once, in a few calls."""
+"""With fewer services, a starting gateway does not wait for a relay.
+
+It reads the catalogue from the platform at once, since that takes only a few calls.
+"""
 
 HTTP_GONE = 410
 
@@ -182,8 +188,9 @@
     def watch(self, after: Revision, wait: Millis) -> Changes | HistoryGone | Unavailable:
         """Wait at most ``wait`` for changes after the revision ``after``, and return them.
 
-        If the relay fails or no longer relays, or if a relay can replace the platform, return
-        :class:`HistoryGone`, so that the caller reads everything from another source.
+        Return :class:`HistoryGone` to make the caller read the whole catalogue from another source:
+        if the present relay fails or no longer relays, or if the platform is the present source and
+        a relay may be used again.
         """
         if self.client is None:
             if self.relays() and self.clock.now() >= self.relay_retry_at:
--- a/src/masticgate/process/gateway/_replica.py
+++ b/src/masticgate/process/gateway/_replica.py
@@ -1,4 +1,4 @@
-"""The state of one searcher as one gateway sees it, and its cost in the choice of a searcher."""
+"""The state of one searcher as one gateway sees it, and the cost by which it is chosen."""
 
 from enum import Enum
 
@@ -19,12 +19,15 @@
 """The weight of the latest answer in the smoothed latency ratio."""
 
 MAX_LATENCY_RATIO = 4.0
-"""The bound on the ratio of one answer, so that a single pause does not divert later requests."""
+"""The bound on the latency ratio of one answer.
+
+It keeps a single pause of a searcher from diverting later requests to others.
+"""
 
 LATENCY_RATIO_TTL = Millis(2_000.0)
 """How long the latency ratio of an idle searcher counts after its last answer.
 
-After that, a ratio over 1 is no longer held against it.
+After that, a ratio over 1 counts as 1.
 """
 
 FAILURE_RATE_WEIGHT = 0.2
@@ -39,7 +42,7 @@
 FAILURE_COST = 4.0
 """The cost of a failed attempt relative to a successful one.
 
-A failed attempt costs a repeat and a part of the budget for repeats.
+A failed attempt has to be repeated, and each repeat uses a part of the budget for repeats.
 """
 
 LOAD_REPORT_TTL = Millis(300.0)
@@ -68,8 +71,8 @@
 
     ``latency_ratio`` is its latency relative to the usual latency of the same route, and
     ``failure_rate`` is the share of its attempts that were refused or failed; both are smoothed.
-    ``other_requests`` is the number of requests of other callers at the searcher, by its own
-    report.
+    ``other_requests`` is the number of requests at the searcher that this gateway did not send, by
+    the searcher's latest report.
     """
 
     def __init__(self, entry: SearcherEntry, max_connections: int, now: Millis) -> None:
--- a/src/masticgate/process/gateway/_service.py
+++ b/src/masticgate/process/gateway/_service.py
@@ -35,8 +35,9 @@
 LOG_SAMPLE_INTERVAL = 16
 """One in this many ordinary requests is logged.
 
-A request is ordinary if its reply is whole, was ready within the objective, and came from answers
-that stated where they end and came alone on their connections.
+A request is ordinary if its reply is whole and was ready within the route's objective, which is
+the latency that it should have, and if its answers came in the usual way: each stated where it
+ends, and no answers to other requests were discarded before it on its connection.
 """
 
 
@@ -44,7 +45,8 @@
     """Distributes the requests of a route among services by smooth weighted round robin.
 
     ``credits`` has, for each route and configuration version, the credit of each service: every
-    request adds the weights, and the service with the highest credit pays the sum of the weights.
+    request adds to each credit the weight of the service, and then subtracts the sum of the weights
+    from the highest credit, whose service is chosen.
     The credits start at random values, so that not every gateway starts with the same service.
     """
 
@@ -73,7 +75,7 @@
 class GatewayView:
     """The state by which a request is served.
 
-    ``age`` is the time since the last successful read of the platform's catalogue.
+    ``age`` is the time since the last successful read or watch of the platform's catalogue.
     """
 
     table: RouteTable | None
@@ -168,9 +170,10 @@
     def _gather(
         self, request: Request, table: RouteTable, route: Route, shards: Shards, inbox: Inbox
     ) -> Reply:
-        """Gather the query here or at a peer; also here if no peer began to gather it.
+        """Gather the query in this gateway, or forward it to another gateway that gathers it.
 
-        If a peer was lost while it gathered, the query is gathered again here within the budget.
+        If no other gateway began to gather it, it is gathered here. If the other gateway was lost
+        while it gathered, the query is gathered again here, if the budget for repeats allows it.
         """
         match self.peers.gathering:
             case GatherHere():
@@ -253,9 +256,10 @@
 
 
 def _is_ordinary(reply: Reply) -> bool:
-    """Return whether every answer in the reply stated where it ends and came alone.
+    """Return whether every answer in the reply came in the usual way.
 
-    An answer came alone if no answers to other requests preceded it on its connection.
+    It did if it stated where it ends and no answers to other requests were discarded before it on
+    its connection.
     """
     match reply:
         case Relayed(answer=answer):
--- a/src/masticgate/process/gateway/_settings.py
+++ b/src/masticgate/process/gateway/_settings.py
@@ -43,5 +43,5 @@
 
     @property
     def is_seed(self) -> bool:
-        """Return whether this gateway gathers queries and reads the platform for others."""
+        """Return whether this gateway gathers queries and relays the catalogue for others."""
         return self.peer_address is not None and self.peer_address in self.seeds
--- a/src/masticgate/process/gateway/_shares.py
+++ b/src/masticgate/process/gateway/_shares.py
@@ -5,7 +5,7 @@
 from ._settings import RepeatBounds
 
 MIN_ASSUMED_GATEWAYS = 8
-"""The lowest number of gateways that is assumed to share, since some may not be known yet."""
+"""The shares are computed for at least this many gateways, since some may not be known yet."""
 
 USED_RATIO_SHARE = 0.85
 """The part of the allowed ratio of repeats that is used.
@@ -14,7 +14,7 @@
 """
 
 USED_SLACK_SHARE = 0.8
-"""The part of the allowed slack that is used."""
+"""The part of the allowed slack that is used; the rest is a margin."""
 
 PEER_REPEAT_SHARE = 0.1
 """The part of the allowed ratio for queries that are repeated because their gatherer was lost."""
