--- a/src/masticgate/process/gateway/_hedge_delays.py
+++ b/src/masticgate/process/gateway/_hedge_delays.py
@@ -33,10 +33,10 @@
     def delay(self, route: Route) -> Millis:
         """Return the age at which a request on ``route`` is hedged."""
         window = self.windows.get(route.id)
-        usual = window.percentile(HEDGE_PERCENTILE) if window is not None else None
-        if usual is None:
+        percentile = window.percentile(HEDGE_PERCENTILE) if window is not None else None
+        if percentile is None:
             return Millis(route.objective * INITIAL_DELAY_SHARE)
-        return Millis(min(usual * HEDGE_DELAY_FACTOR, route.objective * MAX_DELAY_SHARE))
+        return Millis(min(percentile * HEDGE_DELAY_FACTOR, route.objective * MAX_DELAY_SHARE))
 
     def record(self, route: RouteId, latency: Millis, now: Millis, *, first_attempt: bool) -> float:
         """Record the latency of an answer, and return its ratio to the median of its route.
@@ -44,10 +44,10 @@
         The latency of a repeat is not recorded. The ratio is 1 while no median is known.
         """
         window = self.windows.setdefault(route, LatencyWindow())
-        usual = window.percentile(TYPICAL_PERCENTILE)
+        median = window.percentile(TYPICAL_PERCENTILE)
         if first_attempt:
             window.record(now, latency)
-        return latency / usual if usual else 1.0
+        return latency / median if median else 1.0
 
     def retain_routes(self, routes: set[RouteId]) -> None:
         """Drop the latencies of all routes that are not in ``routes``."""
