--- a/src/masticgate/connection/_caller_app.py
+++ b/src/masticgate/connection/_caller_app.py
@@ -172,7 +172,7 @@
             endpoint, _ = URLS.bind_to_environ(request.environ).match()
             return self._dispatch(endpoint, request)
         except RequestEntityTooLarge:
-            return failure_response(NotRun(Reason.TOO_LARGE, Step.READ, detail="body"))
+            return failure_response(NotRun(Reason.TOO_LARGE, Step.READ, detail="the request body"))
         except HTTPException as error:
             return _json_response(
                 error.code or 500,
--- a/src/masticgate/connection/_caller_server.py
+++ b/src/masticgate/connection/_caller_server.py
@@ -66,7 +66,7 @@
         if length > self.server.app.max_body_bytes:
             self.close_connection = True
             self._send_response(
-                failure_response(NotRun(Reason.TOO_LARGE, Step.READ, detail="body"))
+                failure_response(NotRun(Reason.TOO_LARGE, Step.READ, detail="the request body"))
             )
             self._discard(min(length, MAX_DISCARDED_BYTES))
             return
--- a/src/masticgate/connection/_process_structs.py
+++ b/src/masticgate/connection/_process_structs.py
@@ -1,7 +1,8 @@
 """Functions that convert messages about hosts and their load to and from Cap'n Proto structs.
 
 Each ``target`` and ``source`` is a struct of ``peer.capnp``. In these messages, a member is a host
-of the deployment, and an incarnation identifies one run of a host's process.
+of the deployment, and an incarnation identifies one run of a host's process. An entry host is one
+that received a request from its caller.
 """
 
 from typing import Any
@@ -90,14 +91,14 @@
 
 
 def write_refused(target: Any, refused: RefusedCount) -> None:
-    """Write how many sub-queries of one service and rank were refused."""
+    """Write how many queries to one service, of one rank, an entry host refused."""
     target.service = refused.service
     target.rank = refused.rank.value
     target.count = refused.count
 
 
 def read_refused(source: Any) -> RefusedCount:
-    """Read how many sub-queries of one service and rank were refused."""
+    """Read how many queries to one service, of one rank, an entry host refused."""
     return RefusedCount(ServiceId(source.service), Rank(source.rank), source.count)
 
 
