--- a/src/masticgate/_clock.py
+++ b/src/masticgate/_clock.py
@@ -16,7 +16,7 @@
         ...
 
     def wall(self) -> Millis:
-        """Return the time since the Unix epoch, for display and for time lines of events."""
+        """Return the time since the Unix epoch, for display and for timelines of events."""
         ...
 
 
--- a/src/masticgate/process/_command_timeline.py
+++ b/src/masticgate/process/_command_timeline.py
@@ -1,4 +1,4 @@
-"""``masticgate timeline``: merges the events of all hosts into one time line."""
+"""``masticgate timeline``: merges the events of all hosts into one timeline."""
 
 import json
 from datetime import UTC, datetime
@@ -34,7 +34,7 @@
     "--html", type=click.Path(path_type=Path), help="Also write an HTML page to this file."
 )
 def timeline(hosts: tuple[str, ...], as_json: bool, html: Path | None) -> None:
-    """Merge the events of the entry HOSTs (address:port) into one time line.
+    """Merge the events of the entry HOSTs (address:port) into one timeline.
 
     An event comes after all events of other hosts that its host knew of, even if clocks differ.
     Exit status 6: a host did not answer; the events of the others are still shown.
@@ -50,7 +50,7 @@
                 events.extend(_read_event(item) for item in items if _is_event(item))
             case CallerReply():
                 unreachable = True
-                click.echo(f"{host}: its answer holds no time line", err=True)
+                click.echo(f"{host}: its answer holds no timeline", err=True)
             case HttpFailure(message=message):
                 unreachable = True
                 click.echo(f"{host}: no answer: {message}", err=True)
@@ -100,7 +100,7 @@
     head = "".join(f"<th>{escape(host)}</th>" for host in hosts)
     rows = "\n".join(_render_row(event, hosts) for event in events)
     return f"""<!DOCTYPE html>
-<html lang="en"><head><meta charset="utf-8"><title>masticgate time line</title>
+<html lang="en"><head><meta charset="utf-8"><title>masticgate timeline</title>
 <style>
 body {{ font: 13px sans-serif; }}
 table {{ border-collapse: collapse; }}
--- a/src/masticgate/process/_messages.py
+++ b/src/masticgate/process/_messages.py
@@ -53,7 +53,7 @@
 class Heartbeat:
     """Shows that the sender is alive; carries membership updates and the sender's versions.
 
-    ``events`` is the sequence number of the latest event on the sender's time line. ``versions``
+    ``events`` is the sequence number of the latest event on the sender's timeline. ``versions``
     names the revision of the configuration and the snapshot catalogue that the sender has.
     ``digest`` is a digest of the hosts that the sender knows as usable; it is empty if the
     heartbeat carries none.
--- a/src/masticgate/process/_startup.py
+++ b/src/masticgate/process/_startup.py
@@ -84,7 +84,7 @@
             return StartState.PARTIAL if answered else StartState.ALONE
 
     def describe(self, state: StartState) -> str:
-        """Return a one-line summary for the time line."""
+        """Return a one-line summary for the timeline."""
         own = self.versions.versions()
         domains = {domain for domain, _ in self.peer_versions.values()}
         platform = "the platform" if self.platform_answered else "no platform"
--- a/src/masticgate/process/_timeline.py
+++ b/src/masticgate/process/_timeline.py
@@ -1,4 +1,4 @@
-"""The time line of one process: its latest changes of state, in order."""
+"""The timeline of one process: its latest changes of state, in order."""
 
 from collections import deque
 from collections.abc import Callable, Mapping
--- a/src/masticgate/process/_timeline_merge.py
+++ b/src/masticgate/process/_timeline_merge.py
@@ -1,4 +1,4 @@
-"""Merging of the time lines of several hosts into one, in causal order."""
+"""Merging of the timelines of several hosts into one, in causal order."""
 
 from collections.abc import Iterable
 from typing import Any
--- a/tests/process/test_distribution.py
+++ b/tests/process/test_distribution.py
@@ -39,7 +39,7 @@
 
 
 def events(fleet: Fleet, index: int, kind: str) -> list[str]:
-    """Return the details of the events of ``kind`` on one host's time line."""
+    """Return the details of the events of ``kind`` on one host's timeline."""
     found = call(fleet.caller_addresses[index], "GET", "/v1/events").body["events"]
     return [event["detail"] for event in found if event["kind"] == kind]
 
--- a/tests/process/test_timeline.py
+++ b/tests/process/test_timeline.py
@@ -1,4 +1,4 @@
-"""The time line of a host, and the merge of those of hosts whose clocks differ."""
+"""The timeline of a host, and the merge of those of hosts whose clocks differ."""
 
 from hypothesis import given, settings
 from hypothesis import strategies as st
