--- a/src/masticgate/__init__.py
+++ b/src/masticgate/__init__.py
@@ -1,4 +1,4 @@
-"""A query tier over many sharded searchers, configured by one text of the operators."""
+"""A query tier over many sharded searchers, configured by one text that operators write."""
 
 from ._clock import Clock as Clock
 from ._clock import ManualClock as ManualClock
--- a/src/masticgate/_clock.py
+++ b/src/masticgate/_clock.py
@@ -1,4 +1,4 @@
-"""Clocks in milliseconds: those of the machine, and one that a test moves by hand."""
+"""Clocks in milliseconds: the clocks of the machine, and a clock that a test sets."""
 
 import time
 from typing import Protocol
@@ -33,7 +33,7 @@
 
 
 class ManualClock:
-    """A clock that a test moves by hand."""
+    """A clock that changes only when a test sets or advances it."""
 
     def __init__(self, start: Millis = Millis(0.0)) -> None:
         self.current = start
--- a/src/masticgate/_failures.py
+++ b/src/masticgate/_failures.py
@@ -1,4 +1,4 @@
-"""Failures as values: the reason, the step of the request and the peer that was involved.
+"""Failures that are returned instead of raised, with their reason, step and peer.
 
 The type of a failure says whether the work certainly did not run or may have run.
 """
@@ -8,7 +8,12 @@
 
 
 class Step(Enum):
-    """The step of a request at which a failure occurred."""
+    """The step of a request at which a failure occurred.
+
+    ``READ`` is the reading of input, ``PIN`` the choice of a snapshot, and ``ROUTE`` the choice of
+    a service's host or searcher. ``FORWARD`` is sending to another host, and ``TICKET`` the use
+    of a booking's ticket.
+    """
 
     READ = "read"
     ADMISSION = "admission"
@@ -24,7 +29,18 @@
 
 
 class Reason(Enum):
-    """The reason for a failure."""
+    """The reason for a failure.
+
+    An owner is the host that sends requests to a service's searchers, and a minter the host that
+    issued a ticket. A host or searcher is lost if it is unreachable or gave no whole response; a
+    minter is also lost if it has restarted. A silent owner is not connected, or left a heartbeat
+    unanswered for too long. A searcher that sheds work declines it without running it.
+    ``SEARCHER_REFUSED`` means that nothing could be sent to the searcher.
+
+    ``VERSION_GONE`` means that searchers do not hold the snapshot, and ``WRONG_VERSION`` that a
+    searcher answered from another one. ``BUDGET`` means that the budget for hedges and retries was
+    used up, and ``COVERAGE`` that too few of the shards answered.
+    """
 
     BAD_REQUEST = "bad_request"
     TOO_LARGE = "too_large"
--- a/src/masticgate/_ids.py
+++ b/src/masticgate/_ids.py
@@ -15,10 +15,10 @@
 TicketId = NewType("TicketId", str)
 
 Incarnation = NewType("Incarnation", int)
-"""The number of one run of a host; a later run has a higher number."""
+"""The number of one run of a host's process; a later run has a higher number."""
 
 Revision = NewType("Revision", int)
-"""The platform's number of one version of the operators' text."""
+"""The number that the platform gave to one version of the operators' text."""
 
 SnapshotVersion = NewType("SnapshotVersion", int)
 """The number of one published index snapshot."""
@@ -27,12 +27,12 @@
 """A duration or a point on a clock, in milliseconds."""
 
 ConfigurationVersion = NewType("ConfigurationVersion", int)
-"""The operators' number of one published configuration; a later one has a higher number."""
+"""The number that operators gave to one published configuration; a later one has a higher one."""
 
 RequestId = NewType("RequestId", str)
-"""The caller's id of one attempt at a request."""
+"""The caller's id of a request; if the caller repeats the request, it uses another id."""
 
 RouteId = NewType("RouteId", str)
 
 ConnectionNumber = NewType("ConnectionNumber", int)
-"""The ordinal number of a connection to a searcher within one process, used in log lines."""
+"""The number of a connection to a searcher, counted within one process, for log lines."""
--- a/src/masticgate/request/_booking.py
+++ b/src/masticgate/request/_booking.py
@@ -133,7 +133,11 @@
 
 
 def _send_once(booking: Booking, attempt: Attempt, runtime: Runtime) -> BookingOutcome:
-    """Send the booking to an owner, unless its service runs no bookings or is leaving."""
+    """Send the booking to an owner of its service.
+
+    It is refused if the service is unknown, runs no bookings, or belongs to a department that is
+    leaving.
+    """
     configuration = runtime.configuration()
     service = configuration.services.get(booking.service) if configuration else None
     if configuration is None or service is None or not service.bookings:
--- a/src/masticgate/request/_messages.py
+++ b/src/masticgate/request/_messages.py
@@ -42,9 +42,9 @@
 
 @dataclass(frozen=True, slots=True)
 class VersionGone:
-    """The searchers of a service do not hold ``snapshot``, no longer or not yet.
+    """The searchers of a service no longer hold ``snapshot``, or do not hold it yet.
 
-    ``held`` lists the versions that they hold.
+    ``held`` lists the versions of the index that they hold.
     """
 
     snapshot: SnapshotVersion
@@ -66,9 +66,9 @@
 class Ask:
     """Asks an owner to run ``parts`` of one search.
 
-    ``remaining`` is the remaining time for the search in milliseconds. ``admission_number`` is
-    drawn once for each query, uniformly from [0, 1), so that all owners order the queries in
-    overloaded queues in the same way.
+    ``remaining`` is the remaining time for the search in milliseconds, and ``text`` the caller's
+    search text. ``admission_number`` is drawn once for each query, uniformly from [0, 1), so that
+    all owners order the queries in overloaded queues in the same way.
     """
 
     query: QueryId
--- a/src/masticgate/request/_runtime.py
+++ b/src/masticgate/request/_runtime.py
@@ -54,8 +54,9 @@
         ...
 
     def admit(self, rank: Rank, admission_number: float, scope: Scope) -> NotRun | None:
-        """Return a refusal if the services of ``scope`` could not finish the query, else ``None``.
+        """Return why a query is refused, or ``None`` to admit it.
 
+        A query is refused if this host is stopping or a service of ``scope`` lacks the capacity.
         ``admission_number`` is the random number of the query, as in :class:`Ask`.
         """
         ...
@@ -82,7 +83,7 @@
         ...
 
     def is_silent(self, host: HostId) -> bool:
-        """Return whether ``host`` has sent nothing for longer than a live host would."""
+        """Return whether ``host`` is not connected, or left a heartbeat unanswered for too long."""
         ...
 
     def allow_repeats(self, parts: int) -> bool:
--- a/src/masticgate/request/_search.py
+++ b/src/masticgate/request/_search.py
@@ -50,7 +50,11 @@
 
 @dataclass(frozen=True, slots=True)
 class Query:
-    """A caller's search; ``deadline`` is a point on this host's monotonic clock."""
+    """A caller's search.
+
+    ``deadline`` is a point on this host's monotonic clock. ``admission_number`` is the random
+    number of the query, as in :class:`Ask`. ``limit`` is the greatest number of hits to return.
+    """
 
     id: QueryId
     rank: Rank
@@ -66,7 +70,8 @@
 
     All hits of the answer come from one snapshot. If searchers no longer hold this snapshot, the
     whole search restarts on another one. If the deadline does not allow that, or no other snapshot
-    is left, the answer is the one with the highest coverage so far.
+    is left, the answer is the one with the highest coverage so far. The coverage is the share of
+    the needed shards, by weight, that the answer includes.
     """
     configuration = runtime.configuration()
     if configuration is None:
@@ -103,6 +108,7 @@
 class _SnapshotSearch:
     """One run of a query over one snapshot.
 
+    ``id`` identifies this run in messages to owners; each snapshot has a new one.
     ``tried_snapshots`` holds every snapshot that was tried for the query, this one included.
     ``tried`` lists the owners that were tried for each service, in order, and ``unanswered`` holds
     those that have not replied.
@@ -129,7 +135,7 @@
         self.next_silence_check = Millis(runtime.clock.now() + SILENCE_CHECK_INTERVAL)
 
     def run(self) -> bool:
-        """Send the parts to owners and collect replies until all are there or time is up.
+        """Send the parts to owners and collect replies until all have arrived or time is up.
 
         Return ``False`` if the search should restart on another snapshot.
         """
@@ -226,7 +232,7 @@
             self.merge.add_failure(service, failure)
 
     def _replace_silent_owners(self, now: Millis) -> None:
-        """Send the parts at silent owners to other owners too, if the budget for repeats allows."""
+        """Send the parts of silent owners to others too, if the budget for repeats allows it."""
         self.next_silence_check = Millis(now + SILENCE_CHECK_INTERVAL)
         for owner in {self.tried[service][-1] for service in self.merge.pending}:
             self.runtime.probe(owner)
@@ -239,7 +245,10 @@
             self._ask_next_owners(silent)
 
     def _cancel_unanswered(self) -> None:
-        """Cancel every part without a reply, also at silent owners that were replaced."""
+        """Cancel every part without a reply, also at silent owners that were replaced.
+
+        Each service that is still pending is recorded as failed.
+        """
         for host in {host for _, host in self.unanswered}:
             self.runtime.send(host, Cancel(self.id), None)
         for service in tuple(self.merge.pending):
--- a/src/masticgate/request/gateway/_attempts.py
+++ b/src/masticgate/request/gateway/_attempts.py
@@ -26,9 +26,10 @@
     """Sends one request to searchers of one service, at most as often as the route allows.
 
     ``tried`` holds the searchers to which the request was sent. ``reached_searcher`` says whether
-    one of them received it and ``possibly_ran`` whether one may have run it, both by the outcomes
-    so far. ``failure`` is the latest reason for which there is no answer, and ``repeat_failure``
-    the reason for which the latest repeat was not sent.
+    one of them may have received it, and ``possibly_ran`` whether one may have run it, both
+    according to the outcomes so far. ``cancelled_after_start`` says whether an attempt was
+    cancelled after sending may have begun. ``failure`` is the latest reason for which there is no
+    answer, and ``repeat_failure`` the reason for which the latest repeat was not sent.
     """
 
     def __init__(
--- a/src/masticgate/request/gateway/_exchange.py
+++ b/src/masticgate/request/gateway/_exchange.py
@@ -26,13 +26,14 @@
 class Request:
     """A request as a gateway received it, from a caller or from another gateway.
 
-    ``id`` is the caller's name for this attempt at the request. ``target`` is the path with its
-    query string, as received; ``headers`` are those to forward. ``caller_timeout`` is how long the
-    caller waits for its answer, counted from ``arrived_at``, in milliseconds.
-    ``is_first_on_connection`` is whether the caller opened its connection for this request.
-    ``network_time`` is the estimated part of the route's objective that the network between caller
-    and gateway takes, both directions together. A request from another gateway names the
-    ``version`` of the configuration by which it is served.
+    ``id`` is the caller's id of the request; if the caller repeats it, the repeat has another id.
+    ``target`` is the path with its query string, as received, and ``headers`` holds the headers to
+    forward. ``caller_timeout`` is how long the caller waits for its answer, counted from
+    ``arrived_at``, in milliseconds. ``is_first_on_connection`` says whether this is the first
+    request on its connection. ``network_time`` is the estimated time that the request and its
+    answer spend on the network between caller and gateway; the route's objective includes it.
+    ``version`` is set if another gateway sent the request: it is the version of the configuration
+    with which the request has to be served.
     """
 
     id: RequestId
@@ -185,7 +186,7 @@
         ...
 
     def set_batch_size(self, number: int) -> None:
-        """End a wait only when ``number`` calls have finished, or one without success."""
+        """End a wait only when ``number`` calls, or one without success, have finished."""
         ...
 
     def wait(self, deadline: Millis) -> Call | CallerDisconnected | None:
@@ -219,16 +220,16 @@
         ...
 
     def hedge_delay(self, route: Route) -> Millis:
-        """Return how long after its start an attempt on ``route`` is hedged."""
+        """Return how long after its arrival a request on ``route`` is hedged."""
         ...
 
     def allow_hedge(self, service: ServiceId) -> bool:
-        """Spend one repeat of the budget of ``service`` on a hedge, and return whether it may.
+        """Return whether a hedge may be sent, and if so, spend a repeat of the service's budget.
 
         A hedge may not use the part of the budget that is reserved for retries.
         """
         ...
 
     def allow_retry(self, service: ServiceId) -> bool:
-        """Spend one repeat of the budget of ``service`` on a retry, and return whether it may."""
+        """Return whether a retry may be sent, and if so, spend a repeat of the service's budget."""
         ...
--- a/src/masticgate/request/gateway/_forward.py
+++ b/src/masticgate/request/gateway/_forward.py
@@ -12,7 +12,8 @@
 RETRY_AFTER = Millis(50.0)
 """Time in milliseconds after which a refused caller should try again.
 
-A slot of a full searcher is free again after about half the running time of one request.
+A searcher runs a limited number of requests at once. If that many are running, one of them ends
+after about half the running time of a request.
 """
 
 NOT_RUN_STATUSES = frozenset({408, 421, 429, 503})
@@ -22,7 +23,7 @@
 """
 
 RELAYED_ERROR_STATUSES = frozenset(range(300, 600)) - NOT_RUN_STATUSES
-"""HTTP statuses of a searcher's error that are relayed to the caller unchanged."""
+"""HTTP statuses other than success that are relayed from a searcher to the caller unchanged."""
 
 
 def run_forward(
@@ -30,8 +31,8 @@
 ) -> Reply:
     """Send ``request`` to one searcher of ``service`` and return the reply for its caller.
 
-    An idempotent request may be sent to another searcher while an attempt is slow or after one
-    failed. Any other request is repeated only if it did not run.
+    An idempotent request may be sent to another searcher while an attempt is slow, as a hedge, or
+    after an attempt failed, as a retry. Any other request is repeated only if it did not run.
     """
     return _Forward(request, route, service, upstream, inbox).run()
 
--- a/src/masticgate/request/gateway/_gather.py
+++ b/src/masticgate/request/gateway/_gather.py
@@ -1,7 +1,7 @@
 """Serves a query over many shards: sends it to every shard, hedges slow ones, merges records.
 
 The services of a query's route are the shards. A record is a fixed number of bytes, and the
-greatest records of all shards are the answer.
+greatest records of all shards, compared byte by byte, are the answer.
 """
 
 from collections.abc import Iterable
@@ -41,7 +41,7 @@
 def run_gather(
     request: Request, route: Route, shards: Shards, upstream: UpstreamClient, inbox: Inbox
 ) -> Reply:
-    """Send ``request`` to one searcher of each shard and merge the answers that are in time."""
+    """Send ``request`` to one searcher of each shard and merge the answers that arrive in time."""
     return _Gather(request, route, shards, upstream, inbox).run()
 
 
@@ -62,6 +62,7 @@
         remaining = route.objective - request.network_time - ANSWER_MARGIN
         answer_time = Millis(max(MIN_ANSWER_TIME, remaining))
         self.answer_at = min(self.deadline, Millis(request.arrived_at + answer_time))
+        # Without the subtraction, a rounding error could require one more shard.
         self.min_answers = max(1, ceil(shards.min_shard_ratio * len(shards.services) - 1e-9))
         self.hedge_at: Millis | None = Millis(request.arrived_at + upstream.hedge_delay(route))
         self.unanswered = [
--- a/src/masticgate/request/gateway/_reply.py
+++ b/src/masticgate/request/gateway/_reply.py
@@ -9,7 +9,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Relayed:
-    """A searcher's answer, relayed unchanged; ``attempts_summary`` describes its attempts."""
+    """A searcher's answer, relayed unchanged.
+
+    ``attempts_summary`` describes the attempts at the request, for the log.
+    """
 
     answer: Answered
     attempts_summary: str = field(default="", compare=False)
@@ -19,10 +22,12 @@
 class Merged:
     """The merged records of the shards that answered.
 
-    ``stamps`` holds the stamps of the merged answers and ``missing`` counts the shards without an
-    answer. ``missing_causes`` says why some of these shards are missing, or which gateway gathered
-    the answer. ``irregular_parts`` describes how some parts were received that ended with their
-    connection or came after responses to other requests.
+    ``stamps`` holds the stamps that authenticate the merged answers, and ``missing`` counts the
+    shards without an answer. ``missing_causes`` and ``irregular_parts`` are for the log.
+    ``missing_causes`` says why some of these shards are missing or, if another gateway merged the
+    answers, names that gateway. ``irregular_parts`` describes how some of the merged answers were
+    received whose end was marked only by the end of the connection, or before which answers to
+    other requests were discarded.
     """
 
     stamps: tuple[str, ...]
--- a/src/masticgate/version/_difference.py
+++ b/src/masticgate/version/_difference.py
@@ -9,7 +9,8 @@
 def compare_configurations(before: Configuration, after: Configuration) -> list[str]:
     """Return one line of text for each change from ``before`` to ``after``.
 
-    A line for a department that leaves is followed by the services that depend on it.
+    The line of a department that starts to leave is followed by one line for each service of
+    another department that depends on it directly.
     """
     return [
         *_department_changes(before, after),
--- a/src/masticgate/version/_jsonc.py
+++ b/src/masticgate/version/_jsonc.py
@@ -126,6 +126,7 @@
 
 
 def _blank_comments(source: bytes, root: Node) -> str:
+    """Return the text with spaces for comments, so that line numbers of errors stay the same."""
     blanked = bytearray(source)
     pending = [root]
     while pending:
--- a/src/masticgate/version/_messages.py
+++ b/src/masticgate/version/_messages.py
@@ -51,8 +51,8 @@
 class SectionsPush:
     """The sections that differ between the revisions ``base`` and ``revision``.
 
-    ``digest`` is the digest of all sections at ``revision``. A receiver that computes another one
-    had another text at ``base``, and asks for the whole text.
+    ``digest`` is the digest of all sections at ``revision``. A receiver that computes a different
+    digest had a different text at ``base``, and asks for the whole text.
     """
 
     base: Revision
--- a/src/masticgate/version/_placement.py
+++ b/src/masticgate/version/_placement.py
@@ -43,9 +43,10 @@
 def connections_per_owner(searcher: Searcher, listed_hosts: int) -> int:
     """Return the number of connections that one owner may open to ``searcher``.
 
-    One connection more than the searcher has slots hides the round trip. The sum over all candidate
-    owners stays within the searcher's limit, since several of them may consider themselves the
-    owner at the same time. ``listed_hosts`` is the number of hosts in the host list.
+    A searcher runs as many requests at once as it has slots. One more connection than slots hides
+    the network round trip between requests. The sum over all candidate owners stays within the
+    searcher's limit, since several of them may consider themselves the owner at the same time.
+    ``listed_hosts`` is the number of hosts in the host list.
     """
     candidates = max(1, min(listed_hosts, MAX_OWNER_CANDIDATES))
     return max(1, min(searcher.slots + 1, searcher.connections // candidates))
@@ -63,8 +64,8 @@
     The first host of each list is the owner. The others follow in the order in which requests are
     sent to them if the owner is unreachable.
 
-    No host owns more than an even share of the services of a department. Otherwise the owner with
-    the most services would limit the rate of searches of the whole department.
+    No host owns more than an even share, rounded up, of the services of a department. Otherwise the
+    owner with the most services would limit the rate of searches of the whole department.
     """
     department_services: dict[DepartmentId, list[ServiceId]] = {}
     for service in configuration.services.values():
--- a/src/masticgate/version/_schema.py
+++ b/src/masticgate/version/_schema.py
@@ -11,7 +11,7 @@
 
 MAX_PORT = 65535
 MAX_FLOOR_SUM = 0.9
-"""Share of a service's work that the floors may reserve for the lower ranks together."""
+"""Greatest share of a service's work that the floors of the lower ranks may reserve together."""
 
 
 def check_address(text: str) -> str:
@@ -38,14 +38,14 @@
 
 
 class FloorsText(StrictModel):
-    """The share of each service's work that is reserved for a lower rank under overload."""
+    """The floors: shares of each service's work reserved for the lower ranks under overload."""
 
     standard: float = Field(default=0.1, ge=0.0, le=0.5)
     bulk: float = Field(default=0.1, ge=0.0, le=0.5)
 
 
 class DepartmentText(StrictModel):
-    """A department, and whether and when it leaves."""
+    """A department; ``leaving`` says whether it is leaving, and ``leaves_on`` on which date."""
 
     leaving: bool = False
     leaves_on: DateText | None = None
--- a/src/masticgate/version/_sections.py
+++ b/src/masticgate/version/_sections.py
@@ -45,9 +45,10 @@
     def changes_since(
         self, base: Revision, base_digests: Mapping[SectionId, Digest], revision: Revision
     ) -> SectionsPush:
-        """Return the changes since the revision ``base``, from the digests of its sections.
+        """Return the changes from the revision ``base`` to ``revision``.
 
-        ``revision`` is the revision of these sections.
+        ``base_digests`` holds the digests of the sections at ``base``, and ``revision`` is the
+        revision of these sections.
         """
         changed = [id for id, digest in self.digests.items() if base_digests.get(id) != digest]
         return SectionsPush(
--- a/src/masticgate/version/_snapshot.py
+++ b/src/masticgate/version/_snapshot.py
@@ -1,7 +1,7 @@
 """Index snapshots with their shard maps, and the catalogue of published snapshots.
 
-The shard map gives the weight of every shard. The sum of the weights of the needed shards is the
-denominator of the coverage of an answer.
+The shard map gives the weight of every shard. The coverage of an answer is the weight of the shards
+that it includes, divided by the weight of all shards that the search needs.
 """
 
 from collections.abc import Iterable, Mapping
@@ -61,11 +61,11 @@
         unavailable: Mapping[ServiceId, frozenset[SnapshotVersion]],
         tried: frozenset[SnapshotVersion],
     ) -> Snapshot | None:
-        """Return the newest snapshot that is available at all of ``services`` and not in ``tried``.
+        """Return the newest snapshot not in ``tried`` that no service is known to lack.
 
         ``unavailable`` lists, for each service, the versions that its searchers are known not to
-        hold. If none is available at all services, return the newest one that is not in ``tried``,
-        or ``None`` if there is none.
+        hold. If each untried snapshot is among those of one of ``services``, return the newest
+        untried one, or ``None`` if all were tried.
         """
         needed = tuple(services)
         untried = [snapshot for snapshot in self.snapshots if snapshot.version not in tried]
--- a/src/masticgate/version/_text.py
+++ b/src/masticgate/version/_text.py
@@ -1,7 +1,8 @@
 """Validates the operators' text and builds the configuration from it.
 
-The text is JSON with comments and lists departments, services, searchers and floors. The result
-depends on the text alone, so that every host accepts or refuses the same texts.
+The text is JSON with comments and lists departments, services, their searchers, and floors, the
+shares of work that are reserved for the lower ranks under overload. The result depends on the text
+alone, so that every host accepts or refuses the same texts.
 """
 
 from collections.abc import Iterator
--- a/src/masticgate/version/gateway/_routes.py
+++ b/src/masticgate/version/gateway/_routes.py
@@ -23,7 +23,7 @@
 
 @dataclass(frozen=True, slots=True)
 class WeightedService:
-    """One service of a split; its share of the requests is its weight over the sum of weights."""
+    """One service of a split; its share of the requests is proportional to its weight."""
 
     service: ServiceId
     weight: float
@@ -41,7 +41,7 @@
     """Sends every request of a route to all services and merges their answers.
 
     Each service is one shard. The merged answer holds the greatest ``top`` records. The request
-    fails if less than ``min_shard_ratio`` of the shards answer, a share from 0 to 1.
+    fails if the share of the shards that answer, from 0 to 1, is below ``min_shard_ratio``.
     """
 
     services: tuple[ServiceId, ...]
@@ -56,9 +56,10 @@
 class Route:
     """How the requests for one host name and path prefix are served.
 
-    ``attempts`` is the number of searchers to which one request may be sent, for each shard.
+    ``kind`` says whether a request may run more than once. ``attempts`` is the number of searchers
+    to which one request may be sent; a route with shards may send to as many for each shard.
     ``timeout`` and ``objective`` are counted from the arrival of the request, in milliseconds; the
-    objective is the latency that an answer should have. ``rank`` 0 is the most urgent.
+    objective is the latency that an answer should not exceed. ``rank`` 0 is the most urgent.
     """
 
     id: RouteId
--- a/tests/request/test_booking_faults.py
+++ b/tests/request/test_booking_faults.py
@@ -191,6 +191,7 @@
 
     @invariant()
     def not_run_is_final_and_ran_is_true(self):
+        """A request with outcome ``NotRun`` never runs; ``Ran`` means one run under its ticket."""
         for ticket, request, outcome in self.results:
             if isinstance(outcome, NotRun):
                 assert request not in self.runs[ticket]
