--- a/src/masticgate/process/_distribution.py
+++ b/src/masticgate/process/_distribution.py
@@ -236,5 +236,5 @@
         return isinstance(host, str) and not self.links.is_closed(HostId(host))
 
 
-def _is_newer(peer_versions: Versions, own: Versions) -> bool:
-    return peer_versions.revision > own.revision or peer_versions.catalogue > own.catalogue
+def _is_newer(versions: Versions, other: Versions) -> bool:
+    return versions.revision > other.revision or versions.catalogue > other.catalogue
--- a/src/masticgate/process/_heartbeats.py
+++ b/src/masticgate/process/_heartbeats.py
@@ -21,19 +21,19 @@
 MAX_SHORT_INTERVAL_HOSTS = 16
 """With at most this many usable hosts, heartbeats are sent at the short interval."""
 
-HEARTBEATS_PER_KEEPALIVE = 2
+ROUNDS_PER_KEEPALIVE = 2
 """The number of rounds from one heartbeat to the next for a linked host that is not a neighbour.
 
 The heartbeats keep the link to it open.
 """
 
-HEARTBEATS_PER_DIGEST = 4
+ROUNDS_PER_DIGEST = 4
 """The number of rounds from one digest of the usable hosts to the next.
 
 Each digest is sent to one neighbour, in turn.
 """
 
-HEARTBEATS_PER_PROBE = 4
+ROUNDS_PER_PROBE = 4
 """The number of rounds from one probe of a dead host to the next; dead hosts take turns."""
 
 
@@ -81,11 +81,11 @@
         self.detector.check(self._watched_members(), self.interval())
         for member in self._watched_members():
             self.links.ensure(member.host, member.address)
-        send_to_all = self.sequence % HEARTBEATS_PER_KEEPALIVE == 0
+        send_to_all = self.sequence % ROUNDS_PER_KEEPALIVE == 0
         for host in self.links.open_hosts():
             if send_to_all or host in self.neighbours:
                 self._send(host, with_digest=host == self._digest_peer())
-        if self.sequence % HEARTBEATS_PER_PROBE == 0:
+        if self.sequence % ROUNDS_PER_PROBE == 0:
             self._probe_dead()
         self.links.close_idle(self.neighbours)
         self.members.remove_expired()
@@ -109,7 +109,7 @@
 
     def _digest_peer(self) -> HostId | None:
         """Return the neighbour that is sent a digest in this round, ``None`` if none is due."""
-        turn, rest = divmod(self.sequence, HEARTBEATS_PER_DIGEST)
+        turn, rest = divmod(self.sequence, ROUNDS_PER_DIGEST)
         if rest or not self.neighbours:
             return None
         return self.neighbours[turn % len(self.neighbours)]
@@ -129,12 +129,14 @@
         Seeds that are not in the membership table are tried too.
         """
         dead = [m for m in self.members.list_members() if m.state is MemberState.DEAD]
-        known = {member.host for member in dead}
+        dead_hosts = {member.host for member in dead}
         dead += [
-            s for s in self.seeds if s.host not in known and not self._is_presumed_alive(s.host)
+            s
+            for s in self.seeds
+            if s.host not in dead_hosts and not self._is_presumed_alive(s.host)
         ]
         if dead:
-            member = dead[self.sequence // HEARTBEATS_PER_PROBE % len(dead)]
+            member = dead[self.sequence // ROUNDS_PER_PROBE % len(dead)]
             self.links.ensure(member.host, member.address)
 
     def _is_presumed_alive(self, host: HostId) -> bool:
--- a/src/masticgate/process/_members.py
+++ b/src/masticgate/process/_members.py
@@ -162,14 +162,14 @@
             corrections.append(known)
 
     def _merge_own(self, member: Member, changed: list[Member], corrections: list[Member]) -> None:
-        refutation = self._refutation(member)
-        if refutation is not None:
-            self._store(refutation)
-            changed.append(refutation)
-        if refutation is not None or needs_correction(member, self.own_member):
+        updated = self._updated_own_member(member)
+        if updated is not None:
+            self._store(updated)
+            changed.append(updated)
+        if updated is not None or needs_correction(member, self.own_member):
             corrections.append(self.own_member)
 
-    def _refutation(self, member: Member) -> Member | None:
+    def _updated_own_member(self, member: Member) -> Member | None:
         """Return this host's own entry as changed by ``member``, ``None`` if it stays as it is.
 
         A report that this host is suspect or dead is refuted by a higher counter; a report that it
--- a/src/masticgate/process/_peer_service.py
+++ b/src/masticgate/process/_peer_service.py
@@ -139,6 +139,8 @@
             )
 
 
-def member_from_hello(peer: Hello) -> Member:
-    """Return the membership entry of the host that sent ``peer``: alive, in its incarnation."""
-    return Member(peer.host, peer.address, peer.failure_domain, peer.incarnation, MemberState.ALIVE)
+def member_from_hello(hello: Hello) -> Member:
+    """Return the membership entry of the host that sent ``hello``: alive, in its incarnation."""
+    return Member(
+        hello.host, hello.address, hello.failure_domain, hello.incarnation, MemberState.ALIVE
+    )
--- a/tests/process/test_admission.py
+++ b/tests/process/test_admission.py
@@ -111,8 +111,8 @@
         load = ServiceLoad(Millis(0.0))
         for n in range(100):
             load.record_arrivals(Rank.BULK, 100)
-            for half in range(20):
-                load.record_completion(Millis(n * 200.0 + half * 10.0), slots=4, backlog=True)
+            for i in range(20):
+                load.record_completion(Millis(n * 200.0 + i * 10.0), slots=4, backlog=True)
             load.update(PoolSample(Millis((n + 1) * 200.0), 4, 4, 0, Millis(0.0)))
         return load
 
--- a/tests/process/test_recovery.py
+++ b/tests/process/test_recovery.py
@@ -94,14 +94,14 @@
         index = {"minter": minter, "owner": owner}[stopped]
         process = fleet.processes[fleet.hosts[index]["host"]]
         ticket = fleet.mint(minter)
-        before = started(fleet)
+        before = count_started(fleet)
         replies = []
         thread = Thread(
             target=lambda: replies.append(fleet.book(minter, ticket, "orders", remaining_ms=8000.0))
         )
         thread.start()
         fleet.wait_until(
-            lambda: started(fleet) > before, SETTLE_SECONDS, "the booking did not start"
+            lambda: count_started(fleet) > before, SETTLE_SECONDS, "the booking did not start"
         )
         process.send_signal(signal.SIGTERM)
         thread.join()
@@ -111,7 +111,7 @@
         fleet.wait_until(fleet.is_ready, SETTLE_SECONDS, "the host did not come back")
 
 
-def started(fleet):
+def count_started(fleet):
     """Return how many bookings the searchers of the booking service have started."""
     counts = [s["counts"] for s in fleet.searcher_reports().values() if s["service"] == "orders"]
     return sum(count.get("started", 0) for count in counts)
