--- a/src/masticgate/process/gateway/_fleet.py
+++ b/src/masticgate/process/gateway/_fleet.py
@@ -512,6 +512,11 @@
         return replica
 
     def _update(self, replica: Replica, entry: SearcherEntry, now: Millis) -> None:
+        """Apply a listing to its searcher; the lock is held.
+
+        A searcher that was leaving is active again, unless the listing or the one before it says
+        that the searcher drains.
+        """
         previous_phase = replica.entry.phase
         replica.entry = entry
         if entry.phase is SearcherPhase.DRAINING:
