--- a/src/masticgate/request/_booking.py
+++ b/src/masticgate/request/_booking.py
@@ -178,12 +178,12 @@
     The cancel is sent before the deadline, so that the owner can still confirm that the booking
     did not run.
     """
-    end = Millis(booking.deadline - ANSWER_RESERVE)
-    reserve = min(CANCEL_TIMEOUT, (end - runtime.clock.now()) / 2)
-    outcome = _await_reply(inbox, Millis(end - reserve), runtime)
+    reply_deadline = Millis(booking.deadline - ANSWER_RESERVE)
+    cancel_time = min(CANCEL_TIMEOUT, (reply_deadline - runtime.clock.now()) / 2)
+    outcome = _await_reply(inbox, Millis(reply_deadline - cancel_time), runtime)
     if outcome is None:
         runtime.send(owner, Cancel(booking.id), None)
-        outcome = _await_reply(inbox, end, runtime)
+        outcome = _await_reply(inbox, reply_deadline, runtime)
     return outcome or Unknown(Reason.DEADLINE, Step.FORWARD, peer=owner)
 
 
--- a/src/masticgate/request/_search.py
+++ b/src/masticgate/request/_search.py
@@ -110,8 +110,8 @@
 
     ``id`` identifies this run in messages to owners; each snapshot has a new one.
     ``tried_snapshots`` holds every snapshot that was tried for the query, this one included.
-    ``tried`` lists the owners that were tried for each service, in order, and ``unanswered`` holds
-    those that have not replied.
+    ``tried_owners`` lists the owners that were tried for each service, in order, and ``unanswered``
+    holds those that have not replied.
     """
 
     def __init__(
@@ -129,7 +129,7 @@
         self.snapshot = snapshot
         self.merge = Merge(scope, snapshot)
         self.inbox: Inbox = runtime.open_inbox()
-        self.tried: dict[ServiceId, list[HostId]] = defaultdict(list)
+        self.tried_owners: dict[ServiceId, list[HostId]] = defaultdict(list)
         self.unanswered: set[tuple[ServiceId, HostId]] = set()
         self.restart_needed = False
         self.next_silence_check = Millis(runtime.clock.now() + SILENCE_CHECK_INTERVAL)
@@ -147,10 +147,10 @@
                 break
             if now >= self.next_silence_check:
                 self._replace_silent_owners(now)
-            wake = min(collection_end, self.next_silence_check)
+            wake_at = min(collection_end, self.next_silence_check)
             with suppress(Empty):
                 self._handle_delivery(
-                    self.inbox.get(timeout=remaining_seconds(wake, self.runtime.clock))
+                    self.inbox.get(timeout=remaining_seconds(wake_at, self.runtime.clock))
                 )
         self._cancel_unanswered()
         self.runtime.discard_replies(self.id)
@@ -170,7 +170,7 @@
 
     def _ask_owner(self, owner: HostId, services: list[ServiceId]) -> None:
         for service in services:
-            self.tried[service].append(owner)
+            self.tried_owners[service].append(owner)
             self.unanswered.add((service, owner))
         parts = tuple(ServicePart(s, tuple(self.snapshot.shards_of(s))) for s in services)
         query = self.query
@@ -189,13 +189,13 @@
             self._ask_next_owners(services)
 
     def _next_owner(self, service: ServiceId) -> HostId | None:
-        tried = self.tried[service]
+        tried = self.tried_owners[service]
         if len(tried) >= MAX_OWNERS_TRIED:
             return None
         return next((host for host in self.runtime.owners(service) if host not in tried), None)
 
     def _no_owner_failure(self, service: ServiceId) -> Failure:
-        tried = self.tried[service]
+        tried = self.tried_owners[service]
         if not tried:
             return NotRun(Reason.NO_OWNER, Step.ROUTE, peer=service)
         return Unknown(Reason.OWNER_LOST, Step.FORWARD, peer=tried[-1])
@@ -224,7 +224,7 @@
 
     def _handle_failure(self, service: ServiceId, failure: Failure, source: HostId) -> None:
         """Try another owner after a failure of the owner ``source``, or record the failure."""
-        if service not in self.merge.pending or self.tried[service][-1] != source:
+        if service not in self.merge.pending or self.tried_owners[service][-1] != source:
             return
         if failure.reason in OWNER_FAILURES and self._next_owner(service) is not None:
             self._ask_next_owners((service,))
@@ -234,12 +234,12 @@
     def _replace_silent_owners(self, now: Millis) -> None:
         """Send the parts of silent owners to others too, if the budget for repeats allows it."""
         self.next_silence_check = Millis(now + SILENCE_CHECK_INTERVAL)
-        for owner in {self.tried[service][-1] for service in self.merge.pending}:
+        for owner in {self.tried_owners[service][-1] for service in self.merge.pending}:
             self.runtime.probe(owner)
         silent = [
             service
             for service in self.merge.pending
-            if self.runtime.is_silent(self.tried[service][-1]) and self._next_owner(service)
+            if self.runtime.is_silent(self.tried_owners[service][-1]) and self._next_owner(service)
         ]
         if silent and self.runtime.allow_repeats(len(silent)):
             self._ask_next_owners(silent)
@@ -252,7 +252,7 @@
         for host in {host for _, host in self.unanswered}:
             self.runtime.send(host, Cancel(self.id), None)
         for service in tuple(self.merge.pending):
-            owner = self.tried[service][-1]
+            owner = self.tried_owners[service][-1]
             silent = self.runtime.is_silent(owner)
             reason = Reason.OWNER_SILENT if silent else Reason.DEADLINE
             self.merge.add_failure(service, Unknown(reason, Step.FORWARD, peer=owner))
--- a/src/masticgate/request/gateway/_attempts.py
+++ b/src/masticgate/request/gateway/_attempts.py
@@ -134,11 +134,11 @@
                 f"{self.service}: {describe_failure(self.failure)}, "
                 f"attempts: {self.attempt_count}"
             )
-        asked = ", ".join(
-            f"{s.searcher}{'' if s.call.started else ' (connecting)'}"
-            for s in self.in_flight_calls.values()
+        searchers = ", ".join(
+            f"{c.searcher}{'' if c.call.started else ' (connecting)'}"
+            for c in self.in_flight_calls.values()
         )
-        return f"{self.service}: no answer yet from {asked}, {self.describe_attempts()}"
+        return f"{self.service}: no answer yet from {searchers}, {self.describe_attempts()}"
 
     def cancel(self) -> None:
         """Cancel every attempt without an outcome; one that has not been sent never will be."""
--- a/tests/request/test_booking_faults.py
+++ b/tests/request/test_booking_faults.py
@@ -121,7 +121,7 @@
         self.runs = defaultdict(list)
         self.results = []
         self.tickets = []
-        self.requests = 0
+        self.request_count = 0
         self.incarnation = 0
         self.owners = {host: OwnerHost(self.runtime, self.runs) for host in self.runtime.hosts}
 
@@ -160,16 +160,16 @@
         """Submit a booking under a ticket, as a new request or as a duplicate of an earlier one."""
         ticket = self.tickets[-1] if newest else data.draw(st.sampled_from(self.tickets))
         earlier = [request for used, request, _ in self.results if used == ticket]
-        self.requests += 1
-        name = earlier[-1] if duplicate and earlier else QueryId(f"q{self.requests}")
+        self.request_count += 1
+        query = earlier[-1] if duplicate and earlier else QueryId(f"q{self.request_count}")
         self.plan = plan
-        outcome = run_booking(self.booking(ticket, name), self.table, self.runtime)
-        self.results.append((ticket, name, outcome))
+        outcome = run_booking(self.booking(ticket, query), self.table, self.runtime)
+        self.results.append((ticket, query, outcome))
 
-    def booking(self, ticket, name):
+    def booking(self, ticket, query):
         deadline = Millis(self.runtime.clock.now() + 200.0)
         incarnation = Incarnation(self.incarnation)
-        return Booking(name, ticket, MINTER, incarnation, "orders", Rank.URGENT, deadline, "{}")
+        return Booking(query, ticket, MINTER, incarnation, "orders", Rank.URGENT, deadline, "{}")
 
     def respond(self, host, message, deliver):
         """Deliver each copy of a message; copies in transit to an owner that restarts are lost."""
--- a/tests/version/test_sections.py
+++ b/tests/version/test_sections.py
@@ -29,7 +29,7 @@
     return accept_text(text, Revision(revision)).configuration
 
 
-def edit_of(text: str) -> str:
+def mark_department_leaving(text: str) -> str:
     edited = text.replace('"work-orders": {"leaving": false}', LEAVING)
     assert edited != text
     return edited
@@ -52,11 +52,11 @@
     def test_push_contains_only_the_edited_department(self):
         text = example("kerala")
         before = split_sections(configuration_of(text))
-        after = split_sections(configuration_of(edit_of(text), 2))
+        after = split_sections(configuration_of(mark_department_leaving(text), 2))
         push = after.changes_since(Revision(1), before.digests, Revision(2))
         assert [section.id for section in push.changed] == ["work-orders"]
         assert before.apply(push) == after
-        whole = encode_message(TextPush(Revision(2), edit_of(text)))
+        whole = encode_message(TextPush(Revision(2), mark_department_leaving(text)))
         assert len(encode_message(push)) * 10 < len(whole)
         assert decode_message(encode_message(push)) == push
 
