--- a/src/masticgate/request/_booking.py
+++ b/src/masticgate/request/_booking.py
@@ -175,8 +175,8 @@
 def _await_owner(booking: Booking, owner: HostId, inbox: Inbox, runtime: Runtime) -> BookingOutcome:
     """Wait for the owner's outcome, and cancel the booking if none arrives in time.
 
-    The cancel is sent before the deadline, so that the owner can still confirm that the booking
-    did not run.
+    The cancel message is sent before the deadline, so that the owner can still confirm that the
+    booking did not run.
     """
     reply_deadline = Millis(booking.deadline - ANSWER_RESERVE)
     cancel_time = min(CANCEL_TIMEOUT, (reply_deadline - runtime.clock.now()) / 2)
--- a/src/masticgate/request/gateway/_exchange.py
+++ b/src/masticgate/request/gateway/_exchange.py
@@ -116,7 +116,7 @@
 
     @property
     def is_success(self) -> bool:
-        """Return whether the answer may be returned to a caller as a success."""
+        """Return whether the answer has a 2xx status and a stamp, as a success must have."""
         return 200 <= self.status < 300 and bool(self.stamp)
 
 
@@ -201,7 +201,7 @@
     searcher: SearcherId
 
     def cancel(self) -> None:
-        """Close the connection, so that the searcher cancels the request."""
+        """Cancel the call: close its connection if it was started, or else do not send it."""
         ...
 
 
--- a/src/masticgate/request/gateway/_reply.py
+++ b/src/masticgate/request/gateway/_reply.py
@@ -41,7 +41,7 @@
 class Refused:
     """The request did not run and never will.
 
-    ``retry_after`` is how long the caller should wait before it tries again.
+    ``retry_after`` is how many milliseconds the caller should wait before it tries again.
     """
 
     status: int
--- a/tests/version/test_sections.py
+++ b/tests/version/test_sections.py
@@ -82,6 +82,7 @@
         )
     )
     def test_invalid_sections_have_no_text(self, texts):
+        """Of these sections, only an empty head without any department has a text."""
         assert Sections(texts).to_text() in (None, '{"departments":{},"services":{}}')
 
 
