--- a/src/masticgate/process/_command_timeline.py
+++ b/src/masticgate/process/_command_timeline.py
@@ -71,15 +71,15 @@
 
 
 def _read_event(item: object) -> Event:
-    text = _EventFields.model_validate(item)
-    seen = {HostId(host): sequence for host, sequence in text.seen.items()}
+    fields = _EventFields.model_validate(item)
+    seen = {HostId(host): sequence for host, sequence in fields.seen.items()}
     return Event(
-        HostId(text.host),
-        text.sequence,
-        Millis(text.wall),
-        text.kind,
-        text.subject,
-        text.detail,
+        HostId(fields.host),
+        fields.sequence,
+        Millis(fields.wall),
+        fields.kind,
+        fields.subject,
+        fields.detail,
         seen,
     )
 
--- a/src/masticgate/process/_dispatcher.py
+++ b/src/masticgate/process/_dispatcher.py
@@ -54,11 +54,11 @@
         if self.idle_connections:
             delay = self.budget.hedge_delay() if self.hedge_candidates.entries else None
             if delay is not None:
-                self._send_hedges(now, delay, self.pending.first_rank())
-            while self.pending.size and self._send_next(now, expired):
+                self._assign_hedges(now, delay, self.pending.first_rank())
+            while self.pending.size and self._assign_next(now, expired):
                 pass
             if delay is not None and not self.pending.size:
-                self._send_hedges(now, delay, None)
+                self._assign_hedges(now, delay, None)
             if self.needs_timer():
                 self.idle_connections.ensure_timer()
         return expired
@@ -112,7 +112,7 @@
             self.pending.remove(entry)
         return expired
 
-    def _send_next(self, now: Millis, expired: list[QueueEntry]) -> bool:
+    def _assign_next(self, now: Millis, expired: list[QueueEntry]) -> bool:
         """Assign the next queued entry; return ``False`` if no searcher may take more work.
 
         An entry past its deadline is appended to ``expired`` instead.
@@ -138,10 +138,10 @@
             excluded += self.searchers.list_ejected()
         return self.searchers.choose(self.idle_connections.by_searcher, now, excluded)
 
-    def _send_hedges(self, now: Millis, delay: Millis, lowest_rank: Rank | None) -> None:
-        """Assign the hedges that are due, unless less urgent than ``lowest_rank``, if given."""
+    def _assign_hedges(self, now: Millis, delay: Millis, least_urgent: Rank | None) -> None:
+        """Assign the hedges that are due, unless less urgent than ``least_urgent``, if given."""
         for entry in self.hedge_candidates.list_due(now, delay):
-            if lowest_rank is not None and entry.work.rank > lowest_rank:
+            if least_urgent is not None and entry.work.rank > least_urgent:
                 return
             sent_to = [attempt.health for attempt in entry.attempts]
             health = self.searchers.choose(self.idle_connections.by_searcher, now, sent_to)
--- a/src/masticgate/process/_pools.py
+++ b/src/masticgate/process/_pools.py
@@ -74,9 +74,9 @@
         with self.lock:
             for name, pool in list(self.pools.items()):
                 service = configuration.services.get(name)
-                left = service is None or configuration.is_leaving(service)
+                unneeded = service is None or configuration.is_leaving(service)
                 idle = name not in owned and now - pool.last_used > POOL_IDLE_TIMEOUT
-                if left or idle:
+                if unneeded or idle:
                     self._close(name)
 
     def stop(self) -> None:
--- a/src/masticgate/process/_pressure.py
+++ b/src/masticgate/process/_pressure.py
@@ -82,8 +82,8 @@
 
     def _send_pressure(self, pressure: Pressure) -> None:
         oldest = self.clock.now() - ENTRY_HOST_TTL
-        for host, (send_pressure, last_ask_at) in list(self.entry_hosts.items()):
-            if last_ask_at < oldest:
+        for host, (send_pressure, last_search_at) in list(self.entry_hosts.items()):
+            if last_search_at < oldest:
                 self.entry_hosts.pop(host, None)
             else:
                 send_pressure(pressure)
