--- a/tests/gateway/test_gathering_at_peers.py
+++ b/tests/gateway/test_gathering_at_peers.py
@@ -31,7 +31,7 @@
 def running_pair(searchers, *, seed_version: int = 1):
     """Run an entry gateway and the seed to which it forwards its queries, and yield both."""
     routes = [make_route(SHARDS)]
-    seed_settings = {"peers": SEED, "seeds": (SEED,)}
+    seed_settings = {"peer_address": SEED, "seeds": (SEED,)}
     with (
         running(routes, searchers, version=seed_version, **seed_settings) as seed,
         running(routes, searchers, seeds=(SEED,)) as entry,
