--- a/src/masticgate/process/_admission.py
+++ b/src/masticgate/process/_admission.py
@@ -22,6 +22,8 @@
 
 @dataclass(frozen=True, slots=True)
 class _Limit:
+    """The share of each rank's queries that a service can take, as its owner reported it."""
+
     owner: HostId
     admitted: tuple[float, float, float]
     reported_at: Millis
--- a/src/masticgate/process/_caller_service.py
+++ b/src/masticgate/process/_caller_service.py
@@ -1,4 +1,4 @@
-"""Handles the requests of callers and operators that reach this host.
+"""Handles the requests that this host receives from callers and operators.
 
 Callers search and book; operators ask for the host's status and its latest events.
 """
--- a/src/masticgate/process/_command_check.py
+++ b/src/masticgate/process/_command_check.py
@@ -1,4 +1,4 @@
-"""``masticgate check``: validates an operators' text, the configuration of a deployment."""
+"""``masticgate check``: validates the operators' text, which configures a deployment."""
 
 from pathlib import Path
 
@@ -14,7 +14,7 @@
 @click.option(
     "--against",
     type=click.Path(exists=True, dir_okay=False, path_type=Path),
-    help="The text in force, to show what would change against it.",
+    help="The text in force, to show what TEXT would change.",
 )
 def check(text: Path, against: Path | None) -> None:
     """Validate the operators' TEXT by the same rules as a host.
--- a/src/masticgate/process/_command_explain.py
+++ b/src/masticgate/process/_command_explain.py
@@ -67,10 +67,10 @@
 def select_lines(lines: list[LogLine], request: str, before_ms: float) -> list[LogLine]:
     """Return the lines of ``request``, and those of state changes that may have affected it.
 
-    The latter are lines of the same hosts, at most ``before_ms`` older than the host's last line
-    about the request, by the host's own clock. They concern the whole host, or they name a
-    searcher or a service that the request's lines name too. All lines are sorted by time, as the
-    clock of each host gave it.
+    A state change may have affected the request if it concerns the whole host, or a searcher or a
+    service that the request's lines name. All lines, also those of the request, are limited to
+    the last ``before_ms`` until the host's last line about the request. They are sorted by time,
+    as the clock of each host gave it.
     """
     request_lines = [line for line in lines if line.fields.get("request") == request]
     last_times = {line.host: line.wall for line in request_lines}
@@ -87,15 +87,20 @@
 
 
 @click.command()
-@click.option("--before", default=10.0, show_default=True, help="Seconds of state changes to show.")
+@click.option(
+    "--before",
+    default=10.0,
+    show_default=True,
+    help="Show lines from this many seconds before the request's last line.",
+)
 @click.argument("request")
 @click.argument("logs", nargs=-1, required=True, type=click.Path(exists=True, path_type=Path))
 def explain(before: float, request: str, logs: tuple[Path, ...]) -> None:
-    """Show what happened to REQUEST, from the LOGS of all gateways."""
+    """Show what happened to the request with id REQUEST, from the LOGS of all gateways."""
     selected = select_lines(list(read_lines(logs)), request, before * 1000.0)
     if not any(line.fields.get("request") == request for line in selected):
         click.echo(
-            f"no line of request {request}; of complete answers in time, only a sample is logged",
+            f"no line of request {request}; only a sample of complete, timely answers is logged",
             err=True,
         )
         raise SystemExit(ExitCode.UNKNOWN)
--- a/src/masticgate/process/_command_query.py
+++ b/src/masticgate/process/_command_query.py
@@ -32,7 +32,7 @@
     limit: int,
     as_json: bool,
 ) -> None:
-    """Search through the first entry HOST (address:port) that answers.
+    """Send a search to the entry HOSTs (address:port) in turn until one answers.
 
     Exit status 0: whole answer; 4: partial answer, which lists what is missing; 1: not run;
     6: no host answered.
--- a/src/masticgate/process/_concurrency.py
+++ b/src/masticgate/process/_concurrency.py
@@ -26,7 +26,7 @@
 
 
 class ConcurrencyLimit:
-    """Adapts the number of searches in progress: up while they end in time, down when late.
+    """Limits the searches in progress; the limit rises while they end in time, and falls if late.
 
     It protects the host when a flood starts, before any owner has reported its pressure, and when
     this host itself is short of processor time.
--- a/src/masticgate/process/_dispatcher.py
+++ b/src/masticgate/process/_dispatcher.py
@@ -24,8 +24,9 @@
 class Dispatcher:
     """Assigns the work of one service to its idle connections.
 
-    It holds the queue, the state of the searchers and the idle connections. It has no lock of its
-    own: callers hold the lock of the service pool.
+    It holds the queue, the state of the searchers and the idle connections. The task of one idle
+    connection, the timer, also wakes up when a hedge is due or a searcher may get work again. The
+    dispatcher has no lock of its own: callers hold the lock of the service pool.
     """
 
     def __init__(
@@ -47,8 +48,8 @@
     def dispatch(self, now: Millis) -> list[QueueEntry]:
         """Assign all work that may be sent now; return the entries past their deadline.
 
-        Due hedges are sent first, except those less urgent than the most urgent queued work,
-        which are sent once the queue is empty.
+        Due hedges are assigned first, except those less urgent than the most urgent queued work,
+        which are assigned once the queue is empty.
         """
         expired = self._find_expired(now)
         if self.idle_connections:
@@ -68,18 +69,15 @@
         return bool(self.hedge_candidates.entries) or self.pending.size > 0
 
     def should_keep_timer(self) -> bool:
-        """Return whether the timer connection has to stay the timer for another wait.
+        """Return whether the timer stays the same connection for another wait.
 
-        It stays the timer also when searches were sent since the last call: while work arrives,
-        one wake-up per interval costs less than choosing and waking a timer at each attempt.
+        It also does if searches were assigned since the last call: while work arrives, one
+        wake-up at the end of a wait costs less than choosing and waking a timer at each attempt.
         """
         return self.hedge_candidates.pop_added() or self.needs_timer()
 
     def next_wake_up(self, now: Millis, latest: Millis) -> Millis:
-        """Return the next time at which a hedge or a searcher may become eligible.
-
-        ``latest`` bounds it.
-        """
+        """Return when a hedge may become due or a searcher eligible next, at most ``latest``."""
         times = [latest]
         delay = self.budget.hedge_delay()
         if delay is not None:
@@ -139,7 +137,7 @@
         return self.searchers.choose(self.idle_connections.by_searcher, now, excluded)
 
     def _assign_hedges(self, now: Millis, delay: Millis, least_urgent: Rank | None) -> None:
-        """Assign the hedges that are due, unless less urgent than ``least_urgent``, if given."""
+        """Assign the due hedges, or only those at least as urgent as ``least_urgent``."""
         for entry in self.hedge_candidates.list_due(now, delay):
             if least_urgent is not None and entry.work.rank > least_urgent:
                 return
--- a/src/masticgate/process/_idle_connections.py
+++ b/src/masticgate/process/_idle_connections.py
@@ -10,7 +10,7 @@
 
 @dataclass(frozen=True, slots=True)
 class CloseConnection:
-    """Tells a connection's task to close it, since it is no longer wanted."""
+    """Tells a connection's task to close the connection, which is no longer wanted."""
 
 
 @dataclass(frozen=True, slots=True)
--- a/src/masticgate/process/_owner.py
+++ b/src/masticgate/process/_owner.py
@@ -1,7 +1,7 @@
 """The host as the owner of services.
 
-The owner of a service queues all its work, which the entry hosts submit, the hosts that received
-the callers' requests. It sends the work to the service's searchers.
+The owner of a service queues all its work and sends it to the service's searchers. The work comes
+from the entry hosts, which are the hosts that received the callers' requests.
 """
 
 from collections.abc import Callable
--- a/src/masticgate/process/_policy.py
+++ b/src/masticgate/process/_policy.py
@@ -10,7 +10,7 @@
 
 @dataclass(frozen=True, slots=True)
 class OwnerRouting:
-    """One host per service, its owner, queues all its work and holds the connections to it."""
+    """The owner of a service, one host, queues all its work and connects to its searchers."""
 
 
 @dataclass(frozen=True, slots=True)
--- a/src/masticgate/process/_pools.py
+++ b/src/masticgate/process/_pools.py
@@ -1,7 +1,8 @@
 """The service pools that this host has open.
 
 A service pool holds the queue of one service and the connections to its searchers. It is open on
-the host that owns the service, and for a while on a host that owned it or was asked as its owner.
+the host that owns the service. A host that owned it before, or that another host takes for the
+owner, keeps a pool open until no work has arrived for a while.
 """
 
 from collections.abc import Callable, Mapping
--- a/src/masticgate/process/_pressure.py
+++ b/src/masticgate/process/_pressure.py
@@ -2,7 +2,7 @@
 
 An owner queues the work of its services and reports their pressure: the share of each rank's
 queries that a service can take. An entry host, which receives queries from callers, refuses some
-because of it, and reports their number to the owner, since they are part of the demand.
+of them under pressure and reports how many to the owner, since they are part of the demand.
 """
 
 from collections.abc import Callable
@@ -28,7 +28,7 @@
 
 
 class PressureReporter:
-    """Reports this owner's pressure to entry hosts, and what this host refused to the owners."""
+    """Reports pressure to entry hosts, and reports to owners how many queries this host refused."""
 
     def __init__(
         self,
@@ -52,7 +52,7 @@
         self.entry_hosts[host] = (send_pressure, self.clock.now())
 
     def handle_demand(self, demand: Demand) -> None:
-        """Add what an entry host refused to the demand of the services that this host owns."""
+        """Count the work that an entry host refused as demand of this host's services."""
         pools = {pool.service: pool for pool in self.pools.list_pools()}
         for item in demand.refused:
             pool = pools.get(item.service)
@@ -60,7 +60,7 @@
                 pool.record_refused(item.rank, item.count)
 
     def run_once(self, send_demand: SendDemand) -> None:
-        """Report demand and pressure once, which is due every :data:`PRESSURE_INTERVAL`."""
+        """Report demand and pressure; called once every :data:`PRESSURE_INTERVAL`."""
         for owner, refused in self.admission.pop_refused().items():
             demand = Demand(tuple(refused))
             if owner == self.own_host:
--- a/src/masticgate/process/_rank_queue.py
+++ b/src/masticgate/process/_rank_queue.py
@@ -14,7 +14,7 @@
 from ._work import BookingWork, QueueEntry, SearchWork
 
 MAX_FLOOR_CREDIT = 2.0
-"""The limit on the credit for a rank's unused floor, in pieces of work; more credit expires."""
+"""The limit on the credit for a rank's unused floor, in pieces of work; credit above it is lost."""
 
 
 def _admission_number(entry: QueueEntry) -> float:
@@ -29,7 +29,9 @@
     """The queued entries of one service; callers hold the lock of the service pool.
 
     ``credit`` holds the pieces of work that each rank is owed by its floor. ``by_arrival`` and
-    ``by_admission_number`` hold the same entries in two orders.
+    ``by_admission_number`` hold the same entries in two orders. The admission number is drawn once
+    for each query, so that all owners of its services order overloaded queues in the same way. A
+    booking has none and comes first.
     """
 
     def __init__(self, order: Order, floors: Mapping[Rank, float]) -> None:
--- a/src/masticgate/process/_repeat_budget.py
+++ b/src/masticgate/process/_repeat_budget.py
@@ -1,6 +1,7 @@
-"""The budget of searches that a host repeats at a second owner while the first is silent.
+"""The budget for the parts of searches that a host repeats while their owner is silent.
 
-The owner of a service queues its work. A silent owner may be slow or paused rather than lost.
+The owner of a service is the host that queues its work. A repeat is sent to another host, while
+the silent owner may be slow or paused rather than lost.
 """
 
 from threading import Lock
@@ -16,7 +17,7 @@
 
 
 class RepeatBudget:
-    """Limits the extra load of repeats at other owners, as many silent owners answer after all."""
+    """Limits the extra load of repeats, since many silent owners answer after all."""
 
     def __init__(self) -> None:
         self.lock = Lock()
--- a/src/masticgate/process/_searcher_group.py
+++ b/src/masticgate/process/_searcher_group.py
@@ -1,4 +1,4 @@
-"""The searchers of one service: their shares of connections, their choice and their ejection.
+"""The searchers of one service: the connections to each, which gets work, which is ejected.
 
 The owner of a service is the host that queues its work and holds the connections to its
 searchers. A searcher is ejected, which means it gets no work for a while, after failures in a row
@@ -37,7 +37,7 @@
         self.health: dict[SearcherId, SearcherHealth] = {}
         self.retired: list[SearcherHealth] = []
 
-    # Connections.
+    # Connections to the searchers.
 
     def apply_shares(self, shares: Iterable[tuple[Searcher, int]]) -> list[Searcher]:
         """Apply the searchers in use and the number of connections that each may have.
@@ -74,7 +74,7 @@
         """Return the number of connections that are open, opening or closing."""
         return sum(health.open_connections for health in (*self.health.values(), *self.retired))
 
-    # Choice.
+    # Choice of the searcher that gets the next work.
 
     def all_draining(self) -> bool:
         """Return whether every searcher drains, so that none takes new work."""
@@ -104,13 +104,13 @@
         return [h for h in self.health.values() if h.state is SearcherState.EJECTED]
 
     def next_eligible(self, now: Millis) -> Millis | None:
-        """Return when the next searcher in backoff or ejection may get work again.
+        """Return when the next searcher may get work again, after a refusal or an ejection.
 
-        Return ``None`` if no such searcher exists.
+        Return ``None`` if no searcher waits after either.
         """
         return min((h.eligible_at for h in self._usable() if h.eligible_at > now), default=None)
 
-    # Observations.
+    # Updates of a searcher's state.
 
     def record_result(self, attempt: SearcherAttempt, result: Result, now: Millis) -> None:
         """Update the state of the searcher from the result of ``attempt``."""
@@ -174,9 +174,8 @@
 def _is_failure(attempt: SearcherAttempt, reason: Reason) -> bool:
     """Return whether a failed attempt counts against its searcher.
 
-    It also counts when a hedge of the same work answered first. It does not count as lost or
-    superseded when the searcher has answered other work since it was sent, for then the searcher
-    is alive.
+    An attempt that was superseded by its hedge counts too. Neither that nor a lost searcher
+    counts if the searcher has answered since the attempt was sent, as it is then alive.
     """
     answered_since = attempt.health.last_success_at >= attempt.sent_at
     match attempt.state:
--- a/src/masticgate/process/_service_load.py
+++ b/src/masticgate/process/_service_load.py
@@ -16,13 +16,14 @@
 
 DEMAND_JUMP_FACTOR = 2.0
 DEMAND_JUMP_COUNT = 30
-"""Demand replaces its average at once if it is this many times higher, with this much work."""
+"""The latest demand replaces its average at once if it is more than this many times the average,
+and at least this many pieces of work arrived since the last update."""
 
 CAPACITY_WINDOW = Millis(10_000.0)
 """The time constant with which older completions lose their weight in the capacity."""
 
 MIN_COMPLETIONS = 20.0
-"""The completions, while other work was waiting, before the capacity counts as known."""
+"""The capacity counts as known after this many completions while other work was waiting."""
 
 MAX_COMPLETION_GAP = Millis(500.0)
 """A longer time between two completions is a stall of this host, not of the searchers."""
@@ -31,21 +32,24 @@
 """The share of the estimated capacity that is admitted when refusing begins."""
 
 TARGET_BACKLOG = Millis(30.0)
-"""The backlog above which less is admitted, as the time in which the admitted rate clears it."""
+"""The backlog above which the admitted rate is lowered.
+
+A backlog is stated as the time in which it would be completed at the admitted rate.
+"""
 
 SAMPLE_WEIGHT = 0.3
 """The weight of the latest sample in the averages of backlog and utilisation."""
 
 MAX_GROWTH = 0.2
 MAX_DECREASE = 0.06
-"""The largest relative rise of the admitted rate in one update, for idle slots, and the largest
-fall, for a backlog."""
+"""The largest relative changes of the admitted rate in one update: it rises while slots are idle,
+and falls while there is a backlog."""
 
 MIN_REFUSAL_WAIT = Millis(100.0)
 """The time that some work has to have waited before any is refused."""
 
 RELEASE_AFTER = Millis(2000.0)
-"""Refusing ends after this long in which the admitted rate covered all demand."""
+"""Refusing ends once the admitted rate has covered all demand for this long."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -156,8 +160,9 @@
     def _adjust_rate(self, sample: PoolSample) -> None:
         """Correct the admitted rate by the backlog and the idle slots that it leads to.
 
-        The age of the oldest work would mislead: under overload the work with the highest
-        admission numbers waits until its deadline, however short the queue is.
+        The age of the oldest work would be a misleading measure of the backlog: under overload,
+        work is served by admission number, a random number of its query, so that the work with the
+        highest numbers waits until its deadline, however short the queue is.
         """
         if self.admitted_rate is None or not sample.slots:
             return
--- a/src/masticgate/process/_service_pool.py
+++ b/src/masticgate/process/_service_pool.py
@@ -35,7 +35,7 @@
 """The maximum number of queued pieces of work; work beyond this is refused as overload."""
 
 MAX_IDLE_WAIT = Millis(4000.0)
-"""The longest that an idle connection waits for work; it may then check the searcher's load."""
+"""The longest that an idle connection waits for work before it may check the searcher's load."""
 
 
 class ServicePool:
@@ -44,6 +44,9 @@
     There is one task for each connection. It blocks in :meth:`wait_for_work`, sends the attempt
     that is returned to it and passes the result to :meth:`finish`. Work is settled when it leaves
     the pool and its result is delivered.
+
+    ``lock`` guards the pool. Methods that may settle work enter ``delivery_lock`` instead, which
+    holds ``lock`` and delivers the results after it has released it.
     """
 
     def __init__(
@@ -123,13 +126,13 @@
             self.load.record_arrivals(rank, count)
 
     def measure_pressure(self) -> dict[Rank, float]:
-        """Return the share of each rank's demand that this service can take, from 0 to 1."""
+        """Update the load, and return the share of each rank's demand to admit, from 0 to 1."""
         with self.lock:
             self.load.update(self._sample_pool())
             return self.load.shares(self.pending.floors)
 
     def stop(self) -> None:
-        """Settle queued work as not run; connections close after the attempt they are running.
+        """Settle queued work as not run, and close each connection once it is idle.
 
         Work that is queued for a retry is settled with the result of its failed attempt.
         """
@@ -143,7 +146,7 @@
     def apply_configuration(
         self, searchers: Iterable[tuple[Searcher, int]], floors: Mapping[Rank, float]
     ) -> list[Searcher]:
-        """Apply the searchers, how many connections to open to each, and the ranks' floors.
+        """Apply the searchers, the number of connections to each, and the ranks' floors.
 
         The floor of a rank is the share of the served work that it gets in any case. A pool that
         was stopped accepts work again. The queue is kept, and so are connections that are still
@@ -170,8 +173,8 @@
     ) -> SearcherAttempt | CheckLoad | NoWork | CloseConnection:
         """Wait for work for an idle connection of ``searcher``; return what it has to do.
 
-        After :data:`MAX_IDLE_WAIT` without work, that is to ask for the searcher's load or
-        nothing.
+        After :data:`MAX_IDLE_WAIT` without work, return :class:`CheckLoad` if it is time to ask
+        for the searcher's load, and :class:`NoWork` otherwise.
         """
         with self.lock:
             connection = IdleConnection(self.lock, self.searchers.find(searcher))
@@ -255,7 +258,11 @@
     def _wait_once(
         self, connection: IdleConnection, deadline: Millis
     ) -> SearcherAttempt | CheckLoad | NoWork | CloseConnection | None:
-        """Return what ``connection`` has to do, or ``None`` after at most one wait."""
+        """Return what ``connection`` has to do, or ``None`` after at most one wait.
+
+        It does not wait while results are undelivered: the caller has to leave the delivery lock
+        first, which delivers them.
+        """
         if connection.attempt is None and self.dispatcher.needs_timer():
             self.idle_connections.set_timer_if_unset(connection)
             self.dispatch()
@@ -332,7 +339,7 @@
     def _settle_unsent(self, entry: QueueEntry, reason: Reason) -> None:
         """Settle a queued entry as not run, or with the result of its failed attempt.
 
-        An entry that is queued for a retry may have run at the searcher that failed it.
+        An entry that is queued for a retry was sent before, so "not run" might be false.
         """
         self._settle(entry, entry.failure or NotRun(reason, Step.QUEUE, peer=self.service))
 
--- a/src/masticgate/process/_work.py
+++ b/src/masticgate/process/_work.py
@@ -14,8 +14,9 @@
 class SearchWork:
     """The part of a search that one service answers.
 
-    It is idempotent, so it may be sent to several searchers. ``admission_number`` orders the work
-    of an overloaded rank alike at all owners.
+    It is idempotent, so it may be sent to several searchers. ``admission_number`` is drawn once for
+    each query: the hosts that queue its parts serve an overloaded rank in the order of these
+    numbers, so that all finish the same queries.
     """
 
     query: QueryId
@@ -34,7 +35,8 @@
     """One attempt of a booking, which may be sent to one searcher only.
 
     A booking changes data at the searcher. ``ticket`` identifies the booking, so that it runs at
-    most once, and ``attempt`` counts its attempts.
+    most once. ``attempt`` is the number of this attempt, of which the caller's requests with the
+    ticket may start several, one after another, as long as none has run.
     """
 
     query: QueryId
@@ -111,7 +113,7 @@
 
     @property
     def searcher(self) -> SearcherId:
-        """The searcher that the entry is sent to."""
+        """The id of the searcher that the work is sent to."""
         return self.health.searcher.id
 
     def cancel(self, state: AttemptState) -> None:
