--- a/src/masticgate/process/_work.py
+++ b/src/masticgate/process/_work.py
@@ -35,8 +35,8 @@
     """One attempt of a booking, which may be sent to one searcher only.
 
     A booking changes data at the searcher. ``ticket`` identifies the booking, so that it runs at
-    most once. ``attempt`` is the number of this attempt, of which the caller's requests with the
-    ticket may start several, one after another, as long as none has run.
+    most once. ``attempt`` is the number of this attempt; another may be started with the same
+    ticket only after this one did not run.
     """
 
     query: QueryId
