--- a/tests/gateway/loopback.py
+++ b/tests/gateway/loopback.py
@@ -15,7 +15,7 @@
 
 from .fakes import HEADER_NAMES, make_entry, make_settings, make_table
 
-Answer = Callable[[bytes], bytes | None]
+AnswerFunction = Callable[[bytes], bytes | None]
 
 RESET_AT_CLOSE = struct.pack("ii", 1, 0)
 
@@ -58,9 +58,9 @@
     ``answer`` returns the bytes to send for a request head, or ``None`` to close the connection.
     """
 
-    def __init__(self, answer: Answer) -> None:
+    def __init__(self, answer: AnswerFunction) -> None:
         self.answer = answer
-        self.heads: list[bytes] = []
+        self.requests: list[bytes] = []
         self.closes_after_answer = False
         self.listener = socket.create_server(("127.0.0.1", 0))
         self.address = Address(f"127.0.0.1:{self.listener.getsockname()[1]}")
@@ -77,7 +77,7 @@
     def _serve(self, connection: socket.socket) -> None:
         with connection:
             while head := self._read(connection):
-                self.heads.append(head)
+                self.requests.append(head)
                 data = self.answer(head)
                 if data is None:
                     return
@@ -123,7 +123,7 @@
     connection instead of closing it in order.
     """
 
-    def __init__(self, answer: Answer, *, resets: bool) -> None:
+    def __init__(self, answer: AnswerFunction, *, resets: bool) -> None:
         self.resets = resets
         self.request_count = 0
         self.broken_count = 0
@@ -206,10 +206,10 @@
     # As if it had run for a whole window already: a new gateway has no slack for repeats.
     gateway.fleet.budgets.started_at -= 10_000.0
     gateway.start()
-    deadline = Event()
-    while gateway.follower.table is None and not deadline.wait(0.01):
+    pause = Event()
+    while gateway.follower.table is None and not pause.wait(0.01):
         pass
-    deadline.wait(0.1)
+    pause.wait(0.1)
     try:
         yield gateway
     finally:
--- a/tests/gateway/test_endless_responses.py
+++ b/tests/gateway/test_endless_responses.py
@@ -196,7 +196,7 @@
             caller = RawCaller(gateway)
             for number in range(20):
                 assert caller.get(identity=f"n{number}").read()[2] == b"mine"
-        assert len(searcher.heads) == 20
+        assert len(searcher.requests) == 20
 
     @pytest.mark.parametrize(
         "response", [SLOW_BODY, SLOW_INTERIM_RESPONSES], ids=["body", "interim_responses"]
--- a/tests/gateway/test_follower.py
+++ b/tests/gateway/test_follower.py
@@ -151,7 +151,7 @@
         )
         assert not is_used(fleet, "a")
 
-    def test_searcher_whose_listing_did_not_return_is_no_last_resort(self):
+    def test_stops_using_only_searcher_at_once_if_its_listing_does_not_return(self):
         _, fleet, _ = follow(
             (0, contents(SearcherListed(make_entry("a")))),
             (5_000, Unavailable("down")),
@@ -160,8 +160,8 @@
         )
         assert not is_used(fleet, "a")
 
-    def test_relays_removal_of_held_searcher_only_once_it_is_removed(self):
-        back = (10, changes(5, SearcherUnlisted(SearcherId("a"))))
+    def test_relays_removal_of_listing_only_when_searcher_is_removed(self):
+        listing_removed = (10, changes(5, SearcherUnlisted(SearcherId("a"))))
         follower, _, _ = follow(
             (
                 0,
@@ -170,7 +170,7 @@
                 ),
             ),
             (5_000, Unavailable("down")),
-            back,
+            listing_removed,
         )
         assert "searcher a" in follower.catalogue.state
         follower, _, _ = follow(
@@ -181,7 +181,7 @@
                 ),
             ),
             (5_000, Unavailable("down")),
-            back,
+            listing_removed,
             (2_500, changes(6)),
         )
         assert "searcher a" not in follower.catalogue.state
--- a/tests/gateway/test_forward.py
+++ b/tests/gateway/test_forward.py
@@ -74,7 +74,7 @@
         reply = forward(script, Idempotency.NON_IDEMPOTENT)
         assert isinstance(reply, Relayed) and reply.answer.body == b"ran"
 
-    def test_refused_by_all_searchers_is_refused_as_not_run(self):
+    def test_request_declined_by_all_searchers_is_refused_as_not_run(self):
         script = ScriptedUpstream({"orders": [(5, "declined"), (5, "declined")]})
         reply = forward(script, Idempotency.NON_IDEMPOTENT)
         assert isinstance(reply, Refused) and reply.status == 503
--- a/tests/gateway/test_gather.py
+++ b/tests/gateway/test_gather.py
@@ -82,7 +82,7 @@
         assert isinstance(reply, Refused) and reply.status == 503
         assert reply.retry_after is not None
 
-    def test_retries_refused_shard_at_another_searcher_at_once(self):
+    def test_retries_declined_attempt_at_another_searcher_at_once(self):
         script = ScriptedUpstream({"a": [(2, "declined"), (3, record(1))], "b": [(4, record(2))]})
         reply = gather(script)
         assert isinstance(reply, Merged) and reply.missing == 0
@@ -144,7 +144,7 @@
         assert merge_records(bodies, top) == expected
 
 
-class TestAnswerTime:
+class TestAnswerMargin:
     def test_waits_briefly_if_objective_is_shorter_than_margin(self):
         script = ScriptedUpstream({"a": [(3, record(1))]})
         services = Shards((ServiceId("a"),), 3, 0.5)
--- a/tests/gateway/test_gathering_at_peers.py
+++ b/tests/gateway/test_gathering_at_peers.py
@@ -61,7 +61,7 @@
             assert head_value(head, b"x-missing") == b"0"
             assert b"x-gateway" not in head.lower()
             assert request_count(seed) == 1
-        sent = searchers["s1"][0].heads[-1]
+        sent = searchers["s1"][0].requests[-1]
         assert head_value(sent, b"x-expected") == b"s1-0"
         assert b"x-gateway" not in sent.lower()
 
--- a/tests/gateway/test_refused_tasks.py
+++ b/tests/gateway/test_refused_tasks.py
@@ -106,7 +106,7 @@
         assert isinstance(fleet.send(call, set()), NotRun)
         pool.end_task()
         searcher.listener.close()
-        assert searcher.heads == []
+        assert searcher.requests == []
 
 
 class TestLaterTasks:
--- a/tests/gateway/test_whole_gateway.py
+++ b/tests/gateway/test_whole_gateway.py
@@ -24,21 +24,21 @@
     return number.to_bytes(16, "big")
 
 
-def gateway_over(answer, count: int = 1, kind: Idempotency = Idempotency.IDEMPOTENT):
+def gateway_with_searchers(answer, count: int = 1, kind: Idempotency = Idempotency.IDEMPOTENT):
     searchers = [StandInSearcher(answer) for _ in range(count)]
     return searchers, running_gateway([make_route(ORDERS, kind)], {"orders": searchers})
 
 
 class TestForwarding:
     def test_forwards_request_to_searcher_unchanged(self):
-        searchers, running = gateway_over(reply_to)
+        searchers, running = gateway_with_searchers(reply_to)
         with running as gateway:
             caller = RawCaller(gateway)
             caller.get("/a/x?q=1", extra=b"X-Other: 7\r\nConnection: keep-alive\r\n")
             status, head, body = caller.read()
         assert (status, body) == (200, b"ok")
         assert head_value(head, b"x-stamp") == b"s"
-        sent = searchers[0].heads[-1]
+        sent = searchers[0].requests[-1]
         assert sent.startswith(b"GET /a/x?q=1 HTTP/1.1\r\n")
         assert head_value(sent, b"host") == b"host.example"
         assert head_value(sent, b"x-id") == b"q1"
@@ -48,7 +48,7 @@
         assert b"connection" not in sent.lower()
 
     def test_forwards_chunked_body_whole(self):
-        searchers, running = gateway_over(reply_to)
+        searchers, running = gateway_with_searchers(reply_to)
         with running as gateway:
             caller = RawCaller(gateway)
             caller.send(
@@ -56,11 +56,11 @@
                 b"Transfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n2\r\nde\r\n0\r\n\r\n"
             )
             assert caller.read()[0] == 200
-        assert searchers[0].heads[-1].endswith(b"\r\n\r\nabcde")
+        assert searchers[0].requests[-1].endswith(b"\r\n\r\nabcde")
 
     # A caller could otherwise replace a header of its request by one that follows the body.
     def test_does_not_forward_trailers_as_headers(self):
-        searchers, running = gateway_over(reply_to)
+        searchers, running = gateway_with_searchers(reply_to)
         with running as gateway:
             caller = RawCaller(gateway)
             caller.send(
@@ -68,17 +68,17 @@
                 b"Transfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n0\r\nX-Id: other\r\n\r\n"
             )
             assert caller.read()[0] == 200
-        assert b"other" not in searchers[0].heads[-1]
+        assert b"other" not in searchers[0].requests[-1]
 
     def test_answers_pipelined_requests_in_order(self):
-        _, running = gateway_over(lambda head: reply_to(head, head_value(head, b"x-id")))
+        _, running = gateway_with_searchers(lambda head: reply_to(head, head_value(head, b"x-id")))
         with running as gateway:
             caller = RawCaller(gateway)
             caller.get(identity="one").get(identity="two")
             assert [caller.read()[2] for _ in range(2)] == [b"one", b"two"]
 
     def test_unknown_path_is_not_found(self):
-        _, running = gateway_over(reply_to)
+        _, running = gateway_with_searchers(reply_to)
         with running as gateway:
             assert RawCaller(gateway).get("/other/").read()[0] == 404
 
@@ -89,12 +89,12 @@
             other = reply_to(head.replace(b"q1", b"q0"), b"of another request")
             return other + reply_to(head, b"mine")
 
-        _, running = gateway_over(answer)
+        _, running = gateway_with_searchers(answer)
         with running as gateway:
             assert RawCaller(gateway).get().read()[2] == b"mine"
 
     def test_does_not_forward_bytes_after_answer(self):
-        _, running = gateway_over(lambda head: reply_to(head) + reply_to(head, b"again"))
+        _, running = gateway_with_searchers(lambda head: reply_to(head) + reply_to(head, b"again"))
         with running as gateway:
             caller = RawCaller(gateway)
             for number in range(3):
@@ -104,7 +104,7 @@
         def unframed(head):
             return b"HTTP/1.1 200 X\r\nx-id: q1\r\nx-stamp: s\r\n\r\nuntil the end"
 
-        searchers, running = gateway_over(unframed)
+        searchers, running = gateway_with_searchers(unframed)
         searchers[0].closes_after_answer = True
         with running as gateway:
             assert RawCaller(gateway).get().read()[2] == b"until the end"
@@ -119,14 +119,14 @@
             sent.append(head)
             return data if len(sent) == 1 else None
 
-        searchers, running = gateway_over(answer, kind=Idempotency.NON_IDEMPOTENT)
+        searchers, running = gateway_with_searchers(answer, kind=Idempotency.NON_IDEMPOTENT)
         searchers[0].answer = answer
         with running as gateway:
             status = RawCaller(gateway).get().read()[0]
         assert status in (502, 504)
 
     def test_does_not_forward_success_without_stamp(self):
-        _, running = gateway_over(
+        _, running = gateway_with_searchers(
             lambda head: b"HTTP/1.1 200 X\r\nx-id: q1\r\nContent-Length: 2\r\n\r\nno",
             kind=Idempotency.NON_IDEMPOTENT,
         )
@@ -147,7 +147,7 @@
         assert head_value(head, b"x-stamps") == b"s, s"
         assert head_value(head, b"x-missing") == b"0"
 
-    def test_hedges_request_at_paused_searcher(self):
+    def test_hedges_request_if_searcher_pauses(self):
         def paused(head):
             time.sleep(0.3)
             return reply_to(head, record(1))
@@ -190,13 +190,13 @@
         ],
     )
     def test_rejects_malformed_request_and_closes_connection(self, request_bytes):
-        searchers, running = gateway_over(reply_to)
+        searchers, running = gateway_with_searchers(reply_to)
         with running as gateway:
             caller = RawCaller(gateway)
             caller.send(request_bytes)
             assert caller.read()[0] == 400
             assert caller.read()[0] == 0
-        assert not searchers[0].heads
+        assert not searchers[0].requests
 
     @pytest.mark.parametrize(
         ("head", "status"),
@@ -206,7 +206,7 @@
         ],
     )
     def test_rejects_request_over_limits(self, head, status):
-        _, running = gateway_over(reply_to)
+        _, running = gateway_with_searchers(reply_to)
         with running as gateway:
             caller = RawCaller(gateway)
             caller.send(b"POST /a/ HTTP/1.1\r\nHost: host.example\r\nX-Id: q\r\n" + head + b"\r\n")
@@ -215,7 +215,7 @@
 
 class TestStopping:
     def test_stopping_gateway_is_not_ready_but_still_answers(self):
-        _, running = gateway_over(reply_to)
+        _, running = gateway_with_searchers(reply_to)
         with running as gateway:
             caller = RawCaller(gateway)
             assert caller.get().read()[0] == 200
@@ -226,7 +226,7 @@
             assert gateway._ready_page(None, None).status == 503
 
     def test_closes_idle_connections_but_not_busy_ones(self):
-        _, running = gateway_over(lambda head: time.sleep(0.1) or reply_to(head))
+        _, running = gateway_with_searchers(lambda head: time.sleep(0.1) or reply_to(head))
         with running as gateway:
             idle, busy = RawCaller(gateway), RawCaller(gateway)
             busy.get()
@@ -238,7 +238,7 @@
 
 class TestIncompleteRequests:
     def test_incomplete_requests_do_not_block_callers_and_their_tasks_end(self):
-        _, running = gateway_over(reply_to)
+        _, running = gateway_with_searchers(reply_to)
         with running as gateway:
             gateway.callers.max_connections = 50
             callers = [RawCaller(gateway) for _ in range(80)]
--- a/tests/platform/test_store.py
+++ b/tests/platform/test_store.py
@@ -49,7 +49,7 @@
         contents = store.read()
         assert isinstance(contents, Contents)
         assert (len(contents.changes), contents.revision) == (3, 7)
-        assert query_of(server.heads[1])["after"] == "servers/a"
+        assert query_of(server.requests[1])["after"] == "servers/a"
 
     def test_error_status_closed_connection_and_invalid_body_are_unavailable(self):
         assert isinstance(make_store(lambda head: http(503, {}))[1].read(), Unavailable)
@@ -64,7 +64,7 @@
         )
         published = store.read_table()
         assert isinstance(published, PublishedConfiguration) and published.table.version == 7
-        assert query_of(server.heads[0]) == {"key": "op/config"}
+        assert query_of(server.requests[0]) == {"key": "op/config"}
 
     def test_missing_configuration_is_unavailable(self):
         assert isinstance(make_store(lambda head: http(404, {}))[1].read_table(), Unavailable)
@@ -77,7 +77,7 @@
         changes = store.watch(Revision(7), Millis(50.0))
         assert isinstance(changes, Changes)
         assert (len(changes.changes), changes.revision) == (1, 8)
-        query = query_of(server.heads[0])
+        query = query_of(server.requests[0])
         assert (query["after"], query["waitMs"]) == ("7", "50")
 
     def test_returns_history_gone_for_status_410(self):
