--- a/src/masticgate/process/__init__.py
+++ b/src/masticgate/process/__init__.py
@@ -1,6 +1,7 @@
 """Everything that lives as long as the process: members, queues, tickets, metrics, settings.
 
-Only :mod:`masticgate.process.server`, which builds an entry host from its parts, opens sockets.
+The public names of this package open no sockets. An entry host, which does, is built by
+:mod:`masticgate.process.server`.
 """
 
 from typing import TYPE_CHECKING, Any
--- a/src/masticgate/process/_distribution.py
+++ b/src/masticgate/process/_distribution.py
@@ -35,7 +35,7 @@
 """Sends a message on the connection over which a peer's message arrived."""
 
 FETCH_TIMEOUT = Millis(1000.0)
-"""The timeout for a peer to send a newer version, after which another peer is asked."""
+"""How long to wait for versions to arrive from a peer before they are fetched from another."""
 
 
 class Distribution:
@@ -97,7 +97,7 @@
         self._abort_reads()
 
     def update_role(self) -> None:
-        """Decide again whether this host watches the platform; it doesn't while it starts."""
+        """Decide again whether this host watches the platform; a starting host does not."""
         if self.versions.starting:
             return
         usable = set(self.members.list_usable())
@@ -130,8 +130,8 @@
     ) -> None:
         """Offer what a peer sent to the store.
 
-        If the sections sent don't fit this host's text, fetch them against the revision that this
-        host has, or fetch the whole text.
+        Sections are changes relative to a text. If this host has another revision, fetch the
+        sections relative to that; if its text of the revision differs, fetch the whole text.
         """
         match push:
             case TextPush(revision=revision, text=text):
@@ -162,7 +162,10 @@
             self.announce()
 
     def _should_fetch(self, peer_versions: Versions) -> bool:
-        """Return whether to fetch ``peer_versions``; a refused revision is not fetched again."""
+        """Return whether to fetch ``peer_versions``; if so, record that they are being fetched.
+
+        A refused revision is not fetched again.
+        """
         processed = self.versions.has_processed(peer_versions.revision)
         if processed and peer_versions.catalogue <= self.versions.catalogue.newest:
             return False
@@ -227,7 +230,7 @@
 
 
 class _ReachableHosts(Container[HostId]):
-    """The hosts to which this host has no closed link, so those not known to be unreachable."""
+    """The hosts not known to be unreachable: all but those to which the link has closed."""
 
     def __init__(self, links: Links) -> None:
         self.links = links
--- a/src/masticgate/process/_exit_codes.py
+++ b/src/masticgate/process/_exit_codes.py
@@ -4,7 +4,14 @@
 
 
 class ExitCode(IntEnum):
-    """The meaning of a command's exit status."""
+    """The meaning of a command's exit status.
+
+    ``NOT_RUN`` means that a search or booking did not run, or that ``serve`` could not start,
+    ``USAGE`` invalid arguments or settings, ``UNKNOWN`` that it is not known whether a booking ran
+    or what happened to a request, ``PARTIAL`` a search without the hits of some shards,
+    ``REFUSED_TEXT`` a configuration text that hosts refuse, and ``UNREACHABLE`` hosts that did not
+    answer.
+    """
 
     DONE = 0
     NOT_RUN = 1
--- a/src/masticgate/process/_heartbeats.py
+++ b/src/masticgate/process/_heartbeats.py
@@ -22,19 +22,16 @@
 """With at most this many usable hosts, heartbeats are sent at the short interval."""
 
 ROUNDS_PER_KEEPALIVE = 2
-"""The number of rounds from one heartbeat to the next for a linked host that is not a neighbour.
+"""A host that is linked but not a neighbour is sent a heartbeat once in this many rounds.
 
-The heartbeats keep the link to it open.
+It keeps the link open, which would otherwise be closed because no message arrives over it.
 """
 
 ROUNDS_PER_DIGEST = 4
-"""The number of rounds from one digest of the usable hosts to the next.
-
-Each digest is sent to one neighbour, in turn.
-"""
+"""A digest of the usable hosts is sent once in this many rounds, to one neighbour after another."""
 
 ROUNDS_PER_PROBE = 4
-"""The number of rounds from one probe of a dead host to the next; dead hosts take turns."""
+"""A dead host is probed once in this many rounds; the dead hosts take turns."""
 
 
 class Heartbeats:
@@ -124,9 +121,9 @@
         self.links.send(host, heartbeat)
 
     def _probe_dead(self) -> None:
-        """Open a link to one host that is dead or unknown: a network partition may have healed.
+        """Open a link to one dead host, in case it was only cut off by a network partition.
 
-        Seeds that are not in the membership table are tried too.
+        Seeds that are not in the membership table count as dead.
         """
         dead = [m for m in self.members.list_members() if m.state is MemberState.DEAD]
         dead_hosts = {member.host for member in dead}
--- a/src/masticgate/process/_links.py
+++ b/src/masticgate/process/_links.py
@@ -65,7 +65,7 @@
             link.stop()
 
     def close_idle(self, neighbours: Collection[HostId]) -> None:
-        """Close the links, except to ``neighbours``, without a request for the idle timeout."""
+        """Close links unused for ``LINK_IDLE_TIMEOUT``, except those to ``neighbours``."""
         limit = self.clock.now() - LINK_IDLE_TIMEOUT
         for link in self.list_links():
             if link.host not in neighbours and link.last_used < limit:
@@ -87,7 +87,7 @@
         return link is None or self._unanswered_time(link) > SILENCE_TIMEOUT
 
     def probe(self, host: HostId) -> None:
-        """Send ``host`` a heartbeat unless it sent something recently or one is unanswered."""
+        """Send ``host`` a heartbeat, unless it sent something recently or owes a reply to one."""
         link = self.links.get(host)
         if link is None or link.unanswered_since is not None:
             return
@@ -105,7 +105,7 @@
         return link.last_received if link is not None else None
 
     def send(self, host: HostId, message: Message) -> NotRun | None:
-        """Send ``message``; return ``NotRun`` if the host did not receive it whole."""
+        """Send ``message``; return ``NotRun`` if the host cannot have received all of it."""
         link = self.links.get(host)
         if link is None:
             return NotRun(Reason.OWNER_LOST, Step.FORWARD, peer=host)
--- a/src/masticgate/process/_logs.py
+++ b/src/masticgate/process/_logs.py
@@ -16,7 +16,7 @@
 
 
 def start_logs(settings: Settings) -> None:
-    """Write log lines to standard error, in UTC, from the settings' level up."""
+    """Write log lines of at least the level in the settings to standard error, in UTC."""
     handler = StreamHandler(sys.stderr, level=settings.log_level.upper(), bubble=False)
     handler.format_string = FORMAT
     handler.push_application()
--- a/src/masticgate/process/_member_rules.py
+++ b/src/masticgate/process/_member_rules.py
@@ -21,7 +21,7 @@
 """
 
 DIGEST_BUCKETS = 64
-"""The length of a digest of the usable hosts, one number for each bucket of hashed ids."""
+"""The number of buckets that host ids are hashed into; a digest has one number for each."""
 
 RING_SIZE = 2**64
 """The number of values of a hashed host id."""
@@ -66,7 +66,7 @@
 
 
 def fingerprint(member: Member) -> int:
-    """Return a hash that identifies one incarnation of a host."""
+    """Return a hash of the id and the incarnation of a host."""
     return xxhash.xxh32_intdigest(f"{member.host}|{member.incarnation}".encode())
 
 
--- a/src/masticgate/process/_members.py
+++ b/src/masticgate/process/_members.py
@@ -23,13 +23,16 @@
 from ._timeline import EventKind, Timeline
 
 RETRANSMIT_FACTOR = 3
-"""An update is sent this many times ceil(log2(n + 1)) for ``n`` known hosts, then no more."""
+"""With ``n`` known hosts, an update is sent ``RETRANSMIT_FACTOR * ceil(log2(n + 1))`` times."""
 
 MAX_UPDATES_PER_MESSAGE = 20
 """The most membership updates that one message carries."""
 
 DEPARTED_MEMBER_TTL = Millis(7_200_000.0)
-"""A host that left or died stays in the table, listed and probed, for this long."""
+"""A host that is leaving or dead stays in the table for this long after its last change.
+
+Until then it is listed, and probed if it is dead.
+"""
 
 MAX_TOMBSTONES = 10_000
 """The most removed hosts whose last state is kept to refuse older updates about them.
@@ -43,8 +46,8 @@
 
     A host's incarnation identifies one run of its process. ``own_member`` is the entry of this
     host itself, ``tombstones`` holds the last entries of removed hosts, and ``remaining_sends``
-    says how many times the entry of a host is still to be sent as an update. ``on_change`` is
-    called with the entries that changed, outside the lock.
+    says how many times the entry of a host is still to be sent as an update. A usable host is one
+    that may own services. ``on_change`` is called with the entries that changed, outside the lock.
     """
 
     def __init__(
@@ -68,10 +71,11 @@
         self.digest = list(digest_of([own_member]))
 
     def merge(self, members: Iterable[Member]) -> tuple[Member, ...]:
-        """Merge the newer ones of ``members``; return corrections for their sender.
+        """Store those of ``members`` that are newer; return corrections for their sender.
 
-        A correction is this host's entry of a host, returned if the received entry is older and
-        differs in the incarnation, or in whether the host is usable.
+        The corrections are this host's entries of the hosts whose received entries are older and
+        differ in the incarnation, or in whether the host is usable, and its own entry if a
+        received one changed it.
         """
         changed: list[Member] = []
         corrections: list[Member] = []
@@ -110,7 +114,10 @@
             return self.usable_cache
 
     def next_updates(self) -> tuple[Member, ...]:
-        """Return the updates for one message, the least sent first, and count each as sent."""
+        """Return the updates for one message, and count each as sent.
+
+        Those with the most remaining sends come first.
+        """
         with self.lock:
             hosts = sorted(self.remaining_sends, key=lambda host: -self.remaining_sends[host])[
                 :MAX_UPDATES_PER_MESSAGE
@@ -134,7 +141,7 @@
         return tuple(m for m in held if bucket_of(m.host) in differing), True
 
     def remove_expired(self) -> None:
-        """Remove hosts that left or died long ago; older updates about them stay refused."""
+        """Remove hosts that have been leaving or dead for long; keep refusing older updates."""
         limit = self.clock.now() - DEPARTED_MEMBER_TTL
         with self.lock:
             for host, member in list(self.members.items()):
@@ -170,7 +177,7 @@
             corrections.append(self.own_member)
 
     def _updated_own_member(self, member: Member) -> Member | None:
-        """Return this host's own entry as changed by ``member``, ``None`` if it stays as it is.
+        """Return the entry that replaces this host's own after ``member``, ``None`` if none does.
 
         A report that this host is suspect or dead is refuted by a higher counter; a report that it
         is leaving is accepted.
--- a/src/masticgate/process/_messages.py
+++ b/src/masticgate/process/_messages.py
@@ -19,7 +19,9 @@
 
 @dataclass(frozen=True, slots=True)
 class Member:
-    """The state of one host as one host knows it; sent from host to host as an update.
+    """An entry of the membership table: what one host knows of another, or of itself.
+
+    Hosts send each other these entries as membership updates.
 
     The incarnation identifies one run of the host's process; it is 0 if the host is known only
     from the platform's host list or the settings. The host raises ``counter`` to refute that it
@@ -67,7 +69,7 @@
 
 @dataclass(frozen=True, slots=True)
 class HeartbeatReply:
-    """Answers a heartbeat; carries the membership updates that its sender lacks.
+    """Answers a heartbeat; carries the membership updates that the heartbeat's sender lacks.
 
     The fields mean the same as those of :class:`Heartbeat`.
     """
@@ -80,7 +82,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RefusedCount:
-    """The number of sub-queries of one service and rank that an entry host refused recently."""
+    """The number of refused queries of one rank that need one service, since the last report."""
 
     service: ServiceId
     rank: Rank
@@ -89,14 +91,21 @@
 
 @dataclass(frozen=True, slots=True)
 class Demand:
-    """Reports to an owner the sub-queries that an entry host refused because of its pressure."""
+    """Reports to an owner the refused queries that need its services.
+
+    An entry host refuses queries because of the pressure that owners report.
+    """
 
     refused: tuple[RefusedCount, ...]
 
 
 @dataclass(frozen=True, slots=True)
 class ServicePressure:
-    """The share of each rank's queries that a service can admit, from 0 to 1, urgent first."""
+    """The pressure of one service.
+
+    ``admitted`` holds the share of queries that the service can admit, from 0 to 1, for each of
+    the ranks urgent, standard and bulk.
+    """
 
     service: ServiceId
     admitted: tuple[float, float, float]
@@ -104,6 +113,6 @@
 
 @dataclass(frozen=True, slots=True)
 class Pressure:
-    """Reports to an entry host what the sender's services can admit."""
+    """Reports to an entry host the pressure of the services that the sender owns."""
 
     services: tuple[ServicePressure, ...]
--- a/src/masticgate/process/_metrics.py
+++ b/src/masticgate/process/_metrics.py
@@ -26,7 +26,8 @@
     """Collects metrics in memory, so that a request sends no packet; statsd is optional.
 
     ``totals`` holds the counters since the start and ``unsent`` those since the last flush.
-    ``timings`` holds the kept durations and ``timing_counts`` the number of all of them.
+    ``timings`` holds the durations to send at the next flush, and ``timing_counts`` how many were
+    recorded, including those that are not sent.
     """
 
     def __init__(self, settings: Settings) -> None:
--- a/src/masticgate/process/_peer_service.py
+++ b/src/masticgate/process/_peer_service.py
@@ -31,8 +31,8 @@
 class PeerService:
     """Passes each message from a peer to the part of the process that handles it.
 
-    ``own_hello`` is the hello of this host. The parts declared without a value are built after
-    this one, and set before the first message arrives.
+    ``own_hello`` is the hello of this host. The attributes that are declared without a value are
+    parts that are built after this one; they are set before the first message arrives.
     """
 
     def __init__(
@@ -65,8 +65,8 @@
     def handle_link_opened(self, peer: Hello) -> None:
         """Record that the link to ``peer`` is open, and send it a first heartbeat.
 
-        The heartbeat carries what this host last knew of the peer if that is outdated, so that a
-        peer that was declared dead can refute that.
+        If this host has a conflicting entry of the peer that the hello does not replace, the
+        heartbeat carries it, so that a peer that was declared dead can refute that.
         """
         self.timeline.add(EventKind.LINK_OPENED, peer.host, f"incarnation {peer.incarnation}")
         corrections = self.members.merge([member_from_hello(peer)])
--- a/src/masticgate/process/_reply_router.py
+++ b/src/masticgate/process/_reply_router.py
@@ -26,7 +26,7 @@
 
 
 class ReplyRouter:
-    """The messages that await a reply, by query and by host.
+    """Keeps the messages that await a reply, by query and by host, and routes their replies.
 
     ``on_late_outcome`` is called with the outcome of a booking for which no request waits any
     more.
@@ -51,7 +51,10 @@
                 self.pending.pop(query, None)
 
     def unregister_query(self, query: QueryId) -> None:
-        """Drop the replies to ``query`` that arrive from now on."""
+        """Stop waiting for replies to ``query``.
+
+        Later replies are dropped, except booking outcomes, which are reported as late.
+        """
         with self.lock:
             self.pending.pop(query, None)
 
--- a/src/masticgate/process/_server.py
+++ b/src/masticgate/process/_server.py
@@ -42,7 +42,7 @@
 OLDEST_PROTOCOL = 1
 NEWEST_PROTOCOL = 1
 MAX_TASKS = 4096
-"""The most tasks at once, each on a thread of its own: one for each connection, link and watch."""
+"""The most tasks at once, each on a thread; each connection, link and watch has its own task."""
 
 SHUTDOWN_REFUSAL_TIME = Millis(1000.0)
 """How long a stopping host still accepts callers, and answers "not run", before it stops listening.
@@ -111,7 +111,8 @@
     def stop(self) -> None:
         """Stop gracefully: announce that this host leaves, refuse new work, finish the rest.
 
-        Work that is still queued once the callers' requests have ended is answered as not run.
+        Once the callers' requests have ended, or the shutdown time in the settings is over, work
+        that is still queued is answered as not run.
         """
         deadline = Millis(self.clock.now() + self.settings.shutdown_ms)
         self.timeline.add(EventKind.STOPPING, self.id)
@@ -250,7 +251,7 @@
 
 
 def seed_members(settings: Settings) -> list[Member]:
-    """Return the other hosts that the settings name; 0 stands for their unknown incarnations."""
+    """Return the other hosts that the settings name, with 0 for their unknown incarnations."""
     return [
         Member(
             HostId(seed.host),
--- a/src/masticgate/process/_settings.py
+++ b/src/masticgate/process/_settings.py
@@ -43,7 +43,9 @@
     """All settings of an entry host.
 
     Peers connect to ``peer_address``. The host listens there, or on ``peer_listen_address`` if
-    that is set.
+    that is set. ``caller_timeout_ms`` bounds each wait for a caller to send or accept bytes, and
+    ``shutdown_ms`` the wait for requests in progress when the host stops. ``routing`` is ``naive``
+    only to compare the ordinary policy with a simple one.
     """
 
     host: Name
@@ -62,13 +64,13 @@
     log_level: Literal["debug", "info", "warning", "error"] = "info"
 
     def other_seeds(self) -> list[SeedSettings]:
-        """Return the seeds except this host itself."""
+        """Return the seeds other than this host itself."""
         return [seed for seed in self.seeds if seed.host != self.host]
 
 
 @dataclass(frozen=True, slots=True)
 class InvalidSettings:
-    """The problems found in settings with which the process doesn't start."""
+    """The problems found in invalid settings; the process doesn't start with these."""
 
     problems: tuple[str, ...]
 
--- a/src/masticgate/process/_startup.py
+++ b/src/masticgate/process/_startup.py
@@ -17,17 +17,17 @@
 """The longest time that a starting host waits for answers."""
 
 MIN_STARTUP_PEERS = 3
-"""The number of seeds whose answers a starting host waits for."""
+"""The number of peers whose answers a starting host waits for."""
 
 MIN_STARTUP_DOMAINS = 2
-"""The number of failure domains that these seeds must come from."""
+"""The number of failure domains that these peers must come from."""
 
 
 class StartState(Enum):
     """Which answers a starting host has received."""
 
     COMPLETE = "complete"
-    """Enough peers answered, and this host has the highest versions that they named."""
+    """The answers described at :class:`Startup` have all been received."""
 
     PARTIAL = "partial"
     """The platform or some peers answered; a higher version than this host's may exist."""
@@ -40,9 +40,9 @@
     """Collects the versions that peers have until enough peers have answered.
 
     Enough are :data:`MIN_STARTUP_PEERS` peers in :data:`MIN_STARTUP_DOMAINS` failure domains, or
-    as many as there are among the ``seeds``, the other hosts that the settings name. Besides, the
-    read of the platform must have ended, with or without an answer, and this host must have the
-    highest versions that the peers named.
+    as many as there are among the ``seeds``, the other hosts that the settings name. In addition,
+    the read of the platform must have ended, with or without an answer, and this host must have
+    the highest versions that the peers named; a highest revision that it refused counts too.
     """
 
     def __init__(
--- a/src/masticgate/process/_timeline.py
+++ b/src/masticgate/process/_timeline.py
@@ -10,11 +10,15 @@
 from .._ids import HostId, Millis
 
 MAX_EVENTS = 5000
-"""The number of events that are kept, the latest."""
+"""The most events that are kept; older ones are dropped."""
 
 
 class EventKind(Enum):
-    """What changed in the process."""
+    """What changed in the process.
+
+    ``SERVING`` is recorded when a starting host puts its versions in force, ``WATCH_CHANGED`` when
+    a host begins or ceases to watch the platform, and ``PAUSED`` after a pause of the process.
+    """
 
     STARTED = "started"
     STOPPING = "stopping"
@@ -42,9 +46,10 @@
 class Event:
     """One change of state of one host.
 
-    ``sequence`` numbers the events of a host from 1, and ``wall`` is its wall clock. ``seen``
-    holds, for each other host, the highest sequence that this host had received from it before
-    the event; it orders the events of hosts whose clocks differ.
+    ``sequence`` numbers the events of a host from 1, and ``wall`` is the time of the host's wall
+    clock. ``subject`` names what changed, such as a host, a service or a searcher. ``seen`` holds,
+    for each other host, the highest sequence that this host had received from it before the event;
+    it orders the events of hosts whose clocks differ.
     """
 
     host: HostId
--- a/tests/process/test_admission.py
+++ b/tests/process/test_admission.py
@@ -74,7 +74,7 @@
 
 
 class TestAdmissionControl:
-    def test_refuses_by_service_with_lowest_share_and_counts_refusal_for_all_services(self):
+    def test_lowest_share_decides_and_refusal_counts_for_each_service_with_a_report(self):
         control = AdmissionControl(ManualClock())
         reports = [
             ServicePressure(ServiceId("a"), (1.0, 1.0, 0.5)),
@@ -125,7 +125,7 @@
         return load.shares(FLOORS)[Rank.BULK]
 
     def refusing_load(self) -> ServiceLoad:
-        """Return the overloaded load after its work has waited so long that some is refused."""
+        """Return the overloaded load once work has waited long enough for some to be refused."""
         load = self.overloaded_load()
         assert 0.15 < self.bulk_share(load, 20_200.0, pending=3, wait=MIN_REFUSAL_WAIT) < 0.2
         return load
--- a/tests/process/test_recovery.py
+++ b/tests/process/test_recovery.py
@@ -21,7 +21,7 @@
 
 
 def peer_status(fleet, index, host):
-    """Return what the status of the host with index ``index`` says of ``host``."""
+    """Return the entry of ``host`` in the status of the host with index ``index``."""
     peers = {peer["host"]: peer for peer in fleet.status(index)["peers"]}
     return peers.get(host, {"state": "unknown", "incarnation": 0})
 
@@ -59,7 +59,7 @@
         assert peer_status(fleet, others[0], host)["incarnation"] > incarnation
         assert [owned_services(fleet, index) for index in range(3)] == before
 
-    def test_paused_host_costs_no_answer_and_refutes_that_it_is_suspect(self, fleet):
+    def test_searches_stay_whole_while_a_host_is_paused_and_it_refutes_suspicion(self, fleet):
         host = fleet.hosts[0]["host"]
         fleet.signal(host, signal.SIGSTOP)
         end = time.monotonic() + 2.0
@@ -73,7 +73,7 @@
 
 
 class TestReplacement:
-    def test_replacing_all_hosts_in_turn_breaks_off_no_request(self, fleet):
+    def test_replacing_all_hosts_in_turn_interrupts_no_request(self, fleet):
         with Load(fleet, ["desk/1"]) as load:
             for index, host in enumerate(fleet.hosts):
                 time.sleep(0.5)
--- a/tests/process/test_versions.py
+++ b/tests/process/test_versions.py
@@ -1,4 +1,4 @@
-"""The versions in force on one host, their watches, and the wait of a starting host."""
+"""The versions in force on one host, its watches of the platform, and its startup."""
 
 import json
 from concurrent.futures import ThreadPoolExecutor
@@ -39,7 +39,7 @@
 
 
 def text_at(revision: int) -> str:
-    """Return the one text that the platform published as ``revision``."""
+    """Return the text that the platform publishes as ``revision``, which may be an invalid one."""
     text = SMALL.replace('"slots": 2', f'"slots": {revision}', 1)
     return text.replace('"desk/1": {', '"desk/1": }') if revision in INVALID_REVISIONS else text
 
@@ -80,7 +80,10 @@
 
     @rule(index=st.integers(0, 1), drawn_revision=st.integers(0, 12))
     def offer_push(self, index, drawn_revision):
-        """Offer one store what the other has newer than its revision, or than the one drawn."""
+        """Offer one store what the other would send to a peer that has the base revision.
+
+        That is the store's own revision, or the drawn one if that is at most 6.
+        """
         store, peer = self.stores[index], self.stores[1 - index]
         base_revision = (
             store.versions().revision if drawn_revision > 6 else Revision(drawn_revision)
@@ -200,7 +203,7 @@
         assert self.wait(startup) is StartState.COMPLETE
 
     def test_waits_for_the_highest_version_that_a_peer_has(self):
-        """Guard against a start with a lower version than one that a peer has in force."""
+        """Guard against a host that starts with an older version than a peer has in force."""
         startup = self.startup()
         startup.record_platform_read(True)
         self.record_peers(startup, "h2", "h4")
