--- a/bench/process/_control_roles.py
+++ b/bench/process/_control_roles.py
@@ -13,7 +13,7 @@
 """The rate at which a watcher reads the host list."""
 
 KEY_READS_A_SECOND = 0.1
-"""The rate at which a watcher reads its two watched keys together if nothing changes."""
+"""The rate of a watcher's reads of both its watched keys, in sum, if nothing changes."""
 
 HEARTBEATS_A_SECOND = 1.0
 """The rate of heartbeats to each neighbour in a large fleet."""
@@ -100,7 +100,7 @@
 
 
 def relay_rows(slopes: target.Slopes) -> list[Row]:
-    """Return the costs of every host for a configuration that its peers relay."""
+    """Return the costs of every host to hold, apply and relay configurations."""
     changes = Factor(target.CHANGES_A_SECOND, "changes/s")
     links = Factor(2 * target.PEERS_A_HOST, "messages")
     return [
--- a/bench/process/_demo_run.py
+++ b/bench/process/_demo_run.py
@@ -18,7 +18,7 @@
 HOSTS = 3
 DEADLINE_MS = 230.0
 IN_FORCE_SECONDS = 5.0
-"""The timeout for an edited text to come into force on every host."""
+"""The timeout for an edited configuration text to come into force on every host."""
 
 MS_PER_SECOND = 1000
 SHOWN_SERVICES = 2
@@ -49,7 +49,7 @@
         return self.problems
 
     def search_each_rank(self) -> None:
-        """Search once with each rank, each through another host."""
+        """Search once with each rank, the priority of a search, through a different host each."""
         self.search(0, "urgent", self.deployment.wide_service)
         self.search(1, "standard", self.deployment.history_service)
         self.search(2, "bulk", self.deployment.history_service)
@@ -105,7 +105,7 @@
             self.report_problems("booking", [f"the booking ran {len(ran)} times"])
 
     def wait_until_in_force(self) -> None:
-        """Wait until the text that marks the department as leaving is in force on every host."""
+        """Wait until every host applies the text that marks the department as leaving."""
         department = self.deployment.leaving_department
         self.fleet.wait_until(
             lambda: all(department in self.fleet.status(n)["leaving"] for n in range(HOSTS)),
@@ -143,7 +143,10 @@
 
 
 def describe_answer(body: dict[str, Any]) -> str:
-    """Return a line of text with an answer's snapshot, its coverage and what was missing."""
+    """Return a line of text with an answer's snapshot, its coverage and what was missing.
+
+    The coverage is the share of the needed shards that were searched, by weight.
+    """
     text = f"snapshot {body['snapshot']}  coverage {body['coverage']:7.2%}  "
     if body["whole"]:
         return text + f"whole, {len(body['hits'])} best hits"
@@ -163,7 +166,7 @@
 
 
 def describe_refusal(body: dict[str, Any]) -> str:
-    """Return the message that says why the request did not run."""
+    """Return the message of a response whose outcome is not "ran"."""
     return str(body["message"])
 
 
--- a/bench/process/_events.py
+++ b/bench/process/_events.py
@@ -16,7 +16,7 @@
 """How long the searchers hold the old snapshot besides the new one."""
 
 LEAVING_SECONDS = 3.0
-"""The time after which an upstream that leaves must receive no new work."""
+"""The time after the edit from which a leaving department must receive no new work."""
 
 
 @dataclass(frozen=True)
@@ -43,12 +43,12 @@
 
 @dataclass(frozen=True)
 class PlatformDown:
-    """The configuration service and the host list respond to nothing from now on."""
+    """The platform answers every request with an error from now on."""
 
 
 @dataclass(frozen=True)
 class Depart:
-    """A department is marked as leaving in the operators' text."""
+    """A department is marked as leaving in the configuration text."""
 
 
 Event = LoseSearcher | Repartition | PauseHost | KillHost | PlatformDown | Depart
@@ -56,11 +56,11 @@
 
 @dataclass
 class EventRunner:
-    """Makes the event of one trial happen, and counts the searches that it should have ended.
+    """Makes the event of one trial happen, and counts the searches that a departure should end.
 
-    ``started_at_departure`` is the number of searches that the leaving department had started by
-    the time at which it must receive no new work, and ``work_after_leaving`` is the number of those
-    that it started later, or ``None`` if no department left.
+    ``started_at_departure`` is the number of searches that the searchers of the leaving department
+    had started at the time from which they must receive no new work. ``work_after_leaving`` is the
+    number that they started after it, or ``None`` if no department left.
     """
 
     fleet: Fleet
@@ -69,7 +69,7 @@
     started_at_departure: int = field(default=0)
 
     def run(self, event: Event) -> None:
-        """Make ``event`` happen, and return when it is over."""
+        """Make ``event`` happen, and wait until it is over if it is limited in time."""
         fleet = self.fleet
         match event:
             case LoseSearcher():
--- a/bench/process/_figures.py
+++ b/bench/process/_figures.py
@@ -30,10 +30,15 @@
 
     ``p50`` to ``p999`` are percentiles of the latency of the searches that ran. ``capped_p99`` is
     the 99th percentile over all arrivals; one without a whole answer in time counts as the
-    deadline. ``whole``, ``refused``, ``lost`` and ``late`` are shares of the arrivals, and
-    ``coverage`` is the mean over them. ``offered``, ``whole_rate`` and ``finished_rate`` are
-    numbers per second; the last counts each answer by its coverage. ``reasons`` counts why
-    searches did not run or shards were missing.
+    deadline.
+
+    ``whole``, ``refused``, ``lost`` and ``late`` are shares of the arrivals: those with a whole
+    answer in time, those that were refused, those that neither ran nor were refused, and those that
+    were answered after the deadline. ``coverage`` is the mean share of the needed shards that were
+    searched, with 0 for an arrival without an answer. ``offered``, ``whole_rate`` and
+    ``finished_rate`` are the arrivals, the whole answers in time and all answers per second; the
+    last counts each answer by its coverage. ``reasons`` counts why searches did not run or shards
+    were missing.
     """
 
     rank: str
--- a/bench/process/_forecast.py
+++ b/bench/process/_forecast.py
@@ -1,4 +1,4 @@
-"""Tables of the forecast: each budget, the size at which each limit is reached, failures.
+"""Tables of the forecast: budgets, the sizes at which limits are reached, costs of failures.
 
 The figures follow from the target size in :mod:`._target` and the measured slopes. A slope is the
 straight line through a cost that was measured at several sizes.
@@ -16,7 +16,7 @@
 from ._rows import Row, Unit, format_measure, format_number, markdown_table
 
 MAX_CALLERS = 256
-"""The number of callers' connections to one host, each with a task."""
+"""The most connections of callers to one host, each with a task."""
 
 MICROS_PER_SECOND = 1e6
 FRAME_BYTES_LIMIT = 4e6
@@ -44,7 +44,10 @@
 
 
 def control_rows(slopes: target.Slopes, unit: Unit, roles: tuple[str, ...]) -> list[Row]:
-    """Return the rows in ``unit`` that count as control work, of the given roles."""
+    """Return the rows of ``roles`` that are in ``unit`` and count as control work.
+
+    Control work is all that a host does besides requests.
+    """
     rows = all_rows(slopes)
     return [row for role in roles for row in rows[role] if row.control and row.unit is unit]
 
@@ -52,7 +55,8 @@
 def control_sum(slopes: target.Slopes, unit: Unit, *, watcher: bool) -> float:
     """Return the sum of the control work of a host in ``unit``.
 
-    Bytes are those that the host sends; a watcher adds the bytes that it reads.
+    Bytes are those that the host sends. A watcher, which is a host that reads the platform, adds
+    the bytes that it reads.
     """
     roles = ("entry", "relay", "member") + (("watcher",) if watcher else ())
     return sum(row.value for row in control_rows(slopes, unit, roles))
@@ -61,7 +65,7 @@
 def relay_hops() -> int:
     """Return the number of relays from a watcher to the host that a change reaches last.
 
-    Each host passes the change to its neighbours.
+    Each host relays the change to its neighbours.
     """
     return ceil(log(target.HOSTS / target.WATCHERS, target.NEIGHBOURS)) + 1
 
@@ -176,7 +180,7 @@
 
 
 def break_table(slopes: target.Slopes) -> str:
-    """Return the table of the size at which each limit of the present design is reached."""
+    """Return the table of the size or rate at which each limit of the design is reached."""
     searchers_in_value = (
         target.VALUE_BYTES_LIMIT - slopes.value_at("text_bytes", 0)
     ) / slopes.slope("text_bytes")
@@ -340,7 +344,7 @@
 
 
 def check_table(slopes: target.Slopes) -> str:
-    """Return the table that compares the slopes with what was measured in the busy fleet."""
+    """Return the table that compares the forecast for a busy fleet with what it used."""
     idle, busy = slopes.figures["fleets"]["kerala idle"], slopes.figures["fleets"]["kerala busy"]
     fan_out = DEPLOYMENTS["kerala"].fan_out
     rate = sum(BUSY_RATES.values()) / busy["hosts"]
--- a/bench/process/_host_costs.py
+++ b/bench/process/_host_costs.py
@@ -1,4 +1,4 @@
-"""Measures the cost of a host's own state, in a host that is built but not started."""
+"""Measures the costs of a host's own work and state, in a host that is built but not started."""
 
 import tracemalloc
 from collections.abc import Callable
@@ -116,7 +116,7 @@
 
 
 def change_calls() -> list[Callable[[], object]]:
-    """Return one call for each number of members; each handles a host's death or return."""
+    """Return one call for each number of members; each marks a host as dead or as alive."""
     return [_change_call(count) for count in MEMBER_COUNTS]
 
 
@@ -155,6 +155,7 @@
     host = idle_host(scaled_text(1))
     tracemalloc.start()
     host.members.merge(member_entry(n) for n in range(count))
+    # Only the membership table is to be counted.
     host.runtime.owner_table = {}
     held = tracemalloc.get_traced_memory()[0]
     tracemalloc.stop()
--- a/bench/process/_roles.py
+++ b/bench/process/_roles.py
@@ -1,6 +1,8 @@
 """Forecasts what the roles of a host hold, send and compute at the target size.
 
-The entry and owner roles, which serve requests, are here; :mod:`._control_roles` has the others.
+The roles that serve requests are here; :mod:`._control_roles` has the others. An entry host
+receives a caller's query and asks the owners of the services. The owner of a service queues its
+sub-queries and sends them to its searchers.
 """
 
 from masticgate.version import connections_per_owner
@@ -11,13 +13,13 @@
 from ._rows import Factor, Row, State, Unit
 
 ONE_END = 0.5
-"""The share of one end in a cost of a message that was measured for both ends together."""
+"""The share of one end in the cost of a message, which is measured for both ends together."""
 
 SLOTS = 2
 """The number of requests that a searcher runs at once."""
 
 KEEPALIVES_A_SECOND = 0.5
-"""The rate of heartbeats over a link to a host that is no neighbour, which keep the link open."""
+"""The rate of heartbeats that keep a link open to a host that is not a neighbour."""
 
 
 def entry_rows(slopes: target.Slopes) -> list[Row]:
--- a/bench/process/_trial.py
+++ b/bench/process/_trial.py
@@ -28,12 +28,14 @@
 class Trial:
     """The figures of one trial.
 
-    ``extra_load`` is the number of started searches divided by the number needed, minus one.
-    ``spare`` is the saturation minus what the ranks that are not flooded finished per second, and
-    ``flooded_of_spare`` the share of it that the flooded rank used for whole answers.
-    ``work_after_leaving`` is the number of searches that a leaving department started once it
-    should have received no more. ``cores`` gives the use of the busiest process of each kind, and
-    what the trial and all other programs used of the machine.
+    ``saturation`` is the rate of wide queries per second that the searchers can finish. The rank
+    ``flooded`` is the one whose load exceeds it, or empty; ``spare`` is what the other ranks leave
+    of it, counted by the queries that they finished. ``flooded_of_spare`` is the rate of whole
+    answers of the flooded rank divided by ``spare``. ``extra_load`` is the number of started
+    searches divided by the number needed, minus one. ``work_after_leaving`` is the number of
+    searches that the searchers of a leaving department started after the time from which they must
+    receive no new work. ``cores`` gives the use of the busiest process of each kind, and what the
+    trial and all other programs used of the machine.
     """
 
     deployment: str
@@ -60,9 +62,9 @@
 class Observed:
     """The measurements of one run of load.
 
-    ``results`` has the result of every arrival, and ``started`` is the number of searches that
-    were started by the searchers that the wide search needs. The other fields are those of
-    :class:`Trial`.
+    ``results`` has the result of every arrival, which is one search sent by a load process.
+    ``started`` is the number of searches started by the searchers that the wide search needs. The
+    other fields are those of :class:`Trial`.
     """
 
     results: list[Result]
--- a/bench/process/bench.py
+++ b/bench/process/bench.py
@@ -46,8 +46,8 @@
     """Run each chosen scenario on each chosen deployment with each chosen routing.
 
     Without a choice, all are run. ``owner`` is the new routing and ``naive`` the baseline. A rest
-    helps on a virtual machine that is slowed down after it was busy, which shows in the stolen
-    cores of each trial.
+    before each trial helps on a virtual machine that is slowed down after a busy time. The
+    slowdown is shown as the stolen cores of a trial.
     """
     trials: list[Trial] = []
     click.echo(HEAD)
--- a/bench/process/counted_host.py
+++ b/bench/process/counted_host.py
@@ -1,4 +1,4 @@
-"""An entry host that counts its control work: ``counted_host SETTINGS COUNTS``.
+"""An entry host that counts its control work, run with the arguments ``SETTINGS COUNTS``.
 
 Control work is what a host does besides requests. Every half second the host writes to the file
 ``COUNTS`` the processor seconds that it used and the bytes that it sent to other hosts, by kind of
@@ -131,7 +131,7 @@
 def write_counts(counts: Counts, path: Path, stopping: Event) -> None:
     """Write the counts to ``path`` at each interval until ``stopping`` is set.
 
-    Each file replaces the one before it at once, so that a reader never sees a part of one.
+    Each file replaces the previous one atomically, so that a reader never sees an incomplete one.
     """
     while not stopping.wait(WRITE_SECONDS):
         part = path.with_suffix(".part")
--- a/bench/process/slopes.py
+++ b/bench/process/slopes.py
@@ -38,7 +38,10 @@
 
 
 def cpu_slope(name: str, per: str, sizes: Iterable[float], calls: Calls, repeats: int) -> Slope:
-    """Measure the processor time of each call, and return the times as a slope."""
+    """Measure the processor time of each call, and return the times as a slope.
+
+    There is one call for each size; ``per`` names what the sizes count.
+    """
     values = [cpu_micros(call, repeats) for call in calls]
     return Slope(name, "us", per, list(map(float, sizes)), values)
 
@@ -91,7 +94,7 @@
 
 
 def host_slopes() -> dict[str, Slope]:
-    """Measure the costs of a host's own state: refused queries, heartbeats, members and pools."""
+    """Measure a host's own work and state: refused queries, heartbeats, members and pools."""
     members = host_costs.MEMBER_COUNTS
     fan_outs = host_costs.FAN_OUTS
     return {
--- a/tests/process/fake_connections.py
+++ b/tests/process/fake_connections.py
@@ -60,8 +60,9 @@
 class FakeConnections:
     """Connections of a pool that become idle and finish their attempts when a test says so.
 
-    ``results`` holds what was delivered for each query, ``attempts`` the attempts in flight, and
-    ``aborted`` the attempts whose call was aborted.
+    An attempt is one sending of a request to a searcher. ``results`` holds what was delivered for
+    each query, ``attempts`` the attempts in flight, and ``aborted`` the attempts whose call was
+    aborted.
     """
 
     def __init__(self, names="ab"):
@@ -77,7 +78,10 @@
         self.query_count = 0
 
     def search(self, rank=Rank.URGENT, remaining=1000.0):
-        """Submit a search, and return its query id and the result of ``ServicePool.submit``."""
+        """Submit a search with a deadline in ``remaining`` milliseconds.
+
+        Return its query id, and the result of ``ServicePool.submit``.
+        """
         self.query_count += 1
         query = QueryId(f"q{self.query_count}")
         self.results[query] = []
@@ -97,7 +101,7 @@
     def book(self, ticket, attempt=1):
         """Submit a booking unless the booking log rejects the attempt.
 
-        Return its query id, and the result of ``ServicePool.submit`` or of the rejection.
+        Return its query id, and the result of ``ServicePool.submit`` or the rejection.
         """
         self.query_count += 1
         query = QueryId(f"b{self.query_count}")
@@ -152,7 +156,7 @@
     def run_searches(self, rounds, result=HITS, latency=20.0):
         """Run searches one after another, each with ``result`` after ``latency`` milliseconds.
 
-        The pool then has latencies and a known state of the searchers.
+        The pool has then recorded latencies and results of its searchers.
         """
         for _ in range(rounds):
             self.search()
--- a/tests/process/faults.py
+++ b/tests/process/faults.py
@@ -9,6 +9,7 @@
 DESK, LEDGER = ("d1a", "d1b"), ("l1a", "l1b")
 ORDERS = ("oa", "ob")
 SEARCHERS = DESK + LEDGER + ORDERS
+"""The ids of searchers in the small configuration text, by department."""
 
 
 @dataclass(frozen=True)
@@ -86,7 +87,7 @@
 
 
 def plan_fault(source: random.Random, kind: int, hosts: int) -> Fault:
-    """Draw the details of a fault; ``kind`` is an index into the kinds below."""
+    """Draw the details of a fault; ``kind`` is an index into the tuple at the end."""
     behaviour_faults = [
         ("draining", True, False),
         ("loss_share", 0.5, 0.0),
--- a/tests/standins/fleet.py
+++ b/tests/standins/fleet.py
@@ -37,7 +37,10 @@
 
 
 def allocate_ip_address() -> str:
-    """Return a loopback IP address that no other fleet of this or another process uses."""
+    """Return a loopback IP address that other fleets are unlikely to use.
+
+    It is derived from the process id and from the number of addresses allocated before.
+    """
     number = os.getpid() * 7 + next(_fleet_numbers)
     return f"127.{1 + number // 250 % 250}.{number % 250}.1"
 
@@ -80,10 +83,10 @@
     """One deployment: a platform, searchers and entry hosts, all in processes of their own.
 
     The platform and each entry host have a process each; the searchers share
-    ``searcher_processes`` processes. The configuration text is ``text``, with each address moved
-    from 127.0.0.1 to the fleet's own IP address. ``routing`` and ``settings`` are settings of all
-    hosts, and ``host_settings`` of single ones, by index. ``behaviour`` holds fields of
-    ``Behaviour`` that all searchers start with.
+    ``searcher_processes`` processes. The configuration text is ``text``, with 127.0.0.1 replaced by
+    the fleet's own IP address. ``routing`` and ``settings`` apply to all hosts, and
+    ``host_settings`` to single ones, by index. ``behaviour`` holds fields of ``Behaviour`` that all
+    searchers start with.
     """
 
     def __init__(
@@ -264,7 +267,7 @@
     def searcher_reports(self, include_search_log: bool = True) -> dict[str, Any]:
         """Return the counts and bookings of each searcher by its id.
 
-        The last searches that it ran are included when ``include_search_log`` is set.
+        The last searches that each one answered are included when ``include_search_log`` is set.
         """
         reports: dict[str, Any] = {}
         for control in self.control_addresses:
@@ -307,7 +310,7 @@
                 process.wait()
 
     def read_log(self, name: str) -> str:
-        """Return the standard output and errors of one process."""
+        """Return what one process has written to standard output and standard error."""
         return (self.folder / f"{name}.log").read_text()
 
     def _publish(self, key: str, value: str) -> int:
--- a/tests/standins/searcher.py
+++ b/tests/standins/searcher.py
@@ -40,7 +40,7 @@
     """The share of searches that are answered with status 500."""
 
     draining: bool = False
-    """Whether the searcher reports that it drains, and refuses requests for this reason."""
+    """Whether the searcher reports that it is draining, and refuses requests for this reason."""
 
     shed_above: int = 1000
     """Refuse a request as shed, for overload, when at least this many are in the queue."""
@@ -64,7 +64,7 @@
     """The version named in answers to searches instead of the requested one; 0 for none."""
 
     reported_load: int = -1
-    """The load in reports; a negative number stands for the true load."""
+    """The reported number of queued and running requests; if negative, the true one is reported."""
 
     incarnation: str = "1"
     """The id of the searcher's process in reports and refusals; it changes with a restart."""
@@ -79,7 +79,7 @@
     """One searcher of one service on one address.
 
     ``counts`` holds the number of requests by what happened to them, and the largest number of
-    connections that were open at once. ``search_log`` holds the searches that were answered.
+    connections that were open at once. ``search_log`` holds the searches answered with hits.
     """
 
     def __init__(
@@ -148,7 +148,7 @@
         exchange.answer(503, {"reason": reason, "incarnation": self.behaviour.incarnation})
 
     def enqueue(self, exchange: Exchange) -> None:
-        """Queue a request, which leaves the queue when its connection closes."""
+        """Queue a request; it is removed if its connection closes before it is started."""
 
         def remove_from_queue() -> None:
             if exchange in self.queue:
@@ -170,7 +170,7 @@
             exchange.on_close = lambda e=exchange, t=timer: self.cancel(e, t)
 
     def cancel(self, exchange: Exchange, timer: asyncio.TimerHandle) -> None:
-        """End a running request whose connection closed; a booking is carried out all the same."""
+        """End a running request whose connection closed; a booking is carried out anyway."""
         if not timer.cancelled():
             timer.cancel()
             self.count("cancelled")
