--- a/bench/process/_control_roles.py
+++ b/bench/process/_control_roles.py
@@ -25,8 +25,8 @@
 def watcher_rows(slopes: target.Slopes) -> list[Row]:
     """Return the costs of a watcher of the platform, besides those of every host."""
     changes = Factor(target.CHANGES_A_SECOND, "changes/s")
-    text = slopes.text_bytes()
-    lists = Factor(HOST_LIST_READS_A_SECOND, "reads/s")
+    text_bytes = slopes.text_bytes()
+    list_reads = Factor(HOST_LIST_READS_A_SECOND, "reads/s")
     watchers = Factor(target.WATCHERS, "watchers")
     return [
         Row(
@@ -57,7 +57,7 @@
         ),
         Row(
             "bytes of the text read",
-            (changes, Factor(text, "B")),
+            (changes, Factor(text_bytes, "B")),
             Unit.BYTES_A_SECOND,
             "one key that holds the whole text",
             control=True,
@@ -65,7 +65,7 @@
         ),
         Row(
             "bytes of the host list read",
-            (lists, Factor(slopes.value_at("host_list_bytes", target.HOSTS), "B")),
+            (list_reads, Factor(slopes.value_at("host_list_bytes", target.HOSTS), "B")),
             Unit.BYTES_A_SECOND,
             "whole list each 2 s",
             control=True,
@@ -73,7 +73,7 @@
         ),
         Row(
             "CPU, text read",
-            (changes, Factor(slopes.value_at("watch", text / 1000), "µs")),
+            (changes, Factor(slopes.value_at("watch", text_bytes / 1000), "µs")),
             Unit.CORE,
             "pycurl, pydantic",
             scale=SECONDS_PER_MICRO,
@@ -89,7 +89,7 @@
         ),
         Row(
             "CPU, host list",
-            (lists, Factor(slopes.value_at("host_list", target.HOSTS), "µs")),
+            (list_reads, Factor(slopes.value_at("host_list", target.HOSTS), "µs")),
             Unit.CORE,
             "whole list each 2 s",
             scale=SECONDS_PER_MICRO,
@@ -102,7 +102,7 @@
 def relay_rows(slopes: target.Slopes) -> list[Row]:
     """Return the costs of every host to hold, apply and relay configurations."""
     changes = Factor(target.CHANGES_A_SECOND, "changes/s")
-    links = Factor(2 * target.PEERS_A_HOST, "messages")
+    messages = Factor(2 * target.PEERS_A_HOST, "messages")
     return [
         Row(
             "memory of the text",
@@ -127,7 +127,7 @@
         ),
         Row(
             "bytes of announcements and replies",
-            (changes, links, Factor(slopes.value_at("heartbeat_bytes", 0), "B")),
+            (changes, messages, Factor(slopes.value_at("heartbeat_bytes", 0), "B")),
             Unit.BYTES_A_SECOND,
             "a heartbeat over every open link",
             control=True,
@@ -135,7 +135,7 @@
         ),
         Row(
             "CPU, announcements",
-            (changes, links, Factor(slopes.value_at("heartbeat", 0), "µs")),
+            (changes, messages, Factor(slopes.value_at("heartbeat", 0), "µs")),
             Unit.CORE,
             "a heartbeat over every open link",
             scale=SECONDS_PER_MICRO,
@@ -167,7 +167,7 @@
     updates = Factor(
         target.MEMBER_UPDATES_A_DAY / target.SECONDS_A_DAY * target.SENDS_PER_UPDATE, "beliefs/s"
     )
-    digest = slopes.figures["digest_bytes"] - slopes.figures["empty_heartbeat_bytes"]
+    digest_bytes = slopes.figures["digest_bytes"] - slopes.figures["empty_heartbeat_bytes"]
     return [
         Row(
             "memory of beliefs",
@@ -195,7 +195,7 @@
         ),
         Row(
             "bytes of digests",
-            (Factor(DIGESTS_A_SECOND, "a second"), Factor(digest, "B")),
+            (Factor(DIGESTS_A_SECOND, "a second"), Factor(digest_bytes, "B")),
             Unit.BYTES_A_SECOND,
             "one neighbour in turn",
             control=True,
--- a/bench/process/_demo_run.py
+++ b/bench/process/_demo_run.py
@@ -71,7 +71,7 @@
 
     def search_departed(self, events: EventRunner) -> None:
         """Check that a search of the department that left is refused and reaches no searcher."""
-        before = events.count("received", self.deployment.leaving_department)
+        received_before = events.count("received", self.deployment.leaving_department)
         reply = self.fleet.search(0, [self.deployment.leaving_department], remaining_ms=DEADLINE_MS)
         click.echo(
             f"  standard {self.deployment.leaving_department:15} via h1  "
@@ -79,7 +79,7 @@
         )
         if reply.body["outcome"] != "not_run":
             self.report_problems("departure", ["a department that left was searched"])
-        if events.count("received", self.deployment.leaving_department) != before:
+        if events.count("received", self.deployment.leaving_department) != received_before:
             self.report_problems("departure", ["a department that left received new work"])
 
     def book_once(self) -> None:
--- a/bench/process/_figures.py
+++ b/bench/process/_figures.py
@@ -62,7 +62,10 @@
     histogram = HdrHistogram(1, MAX_LATENCY_US, SIGNIFICANT_FIGURES)
     for latency in latencies:
         histogram.record_value(min(MAX_LATENCY_US, max(1, int(latency * US_PER_MS))))
-    return [round(histogram.get_value_at_percentile(share) / US_PER_MS, 1) for share in PERCENTILES]
+    return [
+        round(histogram.get_value_at_percentile(percentile) / US_PER_MS, 1)
+        for percentile in PERCENTILES
+    ]
 
 
 def is_whole(result: Result) -> bool:
--- a/bench/process/_forecast.py
+++ b/bench/process/_forecast.py
@@ -76,22 +76,26 @@
     The first number applies to today's order. The second one applies if each host announces the
     change to its peers before it computes its owner table.
     """
-    apply_delta, table, accept_text = (
+    apply_seconds, table_seconds, accept_seconds = (
         slopes.apply_seconds(),
         slopes.table_seconds(),
         slopes.accept_seconds(),
     )
-    read = slopes.value_at("watch", slopes.text_bytes() / 1000) / MICROS_PER_SECOND
+    read_seconds = slopes.value_at("watch", slopes.text_bytes() / 1000) / MICROS_PER_SECOND
     hops = relay_hops()
-    network = hops * MESSAGES_PER_RELAY * NETWORK_HOP_SECONDS
+    network_seconds = hops * MESSAGES_PER_RELAY * NETWORK_HOP_SECONDS
     return [
         ("rest of the watch after the value before", WATCH_DELAY_SECONDS, WATCH_DELAY_SECONDS),
-        ("the watcher reads the text", read, read),
-        ("the watcher accepts the text", accept_text, accept_text),
-        ("the watcher's owner table", table, 0.0),
-        (f"{hops} relays accept the delta", hops * apply_delta, hops * apply_delta),
-        (f"{hops} relays' owner tables", hops * table, table),
-        (f"{hops} relays' messages, {MESSAGES_PER_RELAY} of 1 ms each", network, network),
+        ("the watcher reads the text", read_seconds, read_seconds),
+        ("the watcher accepts the text", accept_seconds, accept_seconds),
+        ("the watcher's owner table", table_seconds, 0.0),
+        (f"{hops} relays accept the delta", hops * apply_seconds, hops * apply_seconds),
+        (f"{hops} relays' owner tables", hops * table_seconds, table_seconds),
+        (
+            f"{hops} relays' messages, {MESSAGES_PER_RELAY} of 1 ms each",
+            network_seconds,
+            network_seconds,
+        ),
     ]
 
 
@@ -188,7 +192,9 @@
         "text_bytes"
     )
     sub_queries = MICROS_PER_SECOND / slopes.slope("owner")
-    table = slopes.slope("wide_table") / target.HOSTS / MICROS_PER_SECOND
+    table_seconds_per_host_and_department = (
+        slopes.slope("wide_table") / target.HOSTS / MICROS_PER_SECOND
+    )
     cpu_seconds_a_day = target.CONTROL_CPU_BUDGET * target.SECONDS_A_DAY
     accepted_searchers = (
         cpu_seconds_a_day / target.CHANGES_A_DAY / slopes.slope("adopt") * MICROS_PER_SECOND
@@ -196,7 +202,7 @@
     hosts_by_owner_tables = (
         cpu_seconds_a_day
         / (target.OWNER_TABLES_A_DAY + target.CHANGES_A_DAY)
-        / table
+        / table_seconds_per_host_and_department
         / target.DEPARTMENTS
     )
     links_by_tasks = (MAX_TASKS - MAX_CALLERS) // 2
@@ -231,7 +237,7 @@
 
 def failure_table(slopes: target.Slopes) -> str:
     """Return the table of what failures, replacements and network splits cost one host."""
-    table = slopes.table_seconds()
+    table_seconds = slopes.table_seconds()
     rows = []
     for what, changes in (
         ("a day's 140 failures, each host back", 2 * target.FAILURES_A_DAY),
@@ -248,8 +254,8 @@
                 format_measure(
                     changes * target.SENDS_PER_UPDATE * slopes.slope("heartbeat_bytes"), Unit.BYTES
                 ),
-                format_measure(batches * table, Unit.SECONDS),
-                format_measure(changes * table, Unit.SECONDS),
+                format_measure(batches * table_seconds, Unit.SECONDS),
+                format_measure(changes * table_seconds, Unit.SECONDS),
             ]
         )
     heads = [
@@ -319,16 +325,20 @@
     asks_cpu = (
         target.OWNERS_A_QUERY * slopes.value_at("ask", target.FAN_OUT / target.OWNERS_A_QUERY) / 2e3
     )
-    parts = target.FAN_OUT / target.OWNERS_A_QUERY
+    sub_queries_per_owner = target.FAN_OUT / target.OWNERS_A_QUERY
     merge_cpu = target.FAN_OUT * slopes.slope("entry") / 1e3
-    owner = parts * slopes.slope("owner") / 1e3
+    owner_cpu = sub_queries_per_owner * slopes.slope("owner") / 1e3
     lines: list[tuple[str, float, float | None]] = [
         ("caller, balancer, entry and back", 4, None),
         ("entry: request read, admitted, answered", 15, request_cpu),
         (f"entry: {target.OWNERS_A_QUERY} asks sent", 5, asks_cpu),
         ("entry to owner and back", 4, None),
         ("owner: wait in the queue", 60, None),
-        (f"owner: {format_number(parts)} sub-queries sent and replied", 5, owner),
+        (
+            f"owner: {format_number(sub_queries_per_owner)} sub-queries sent and replied",
+            5,
+            owner_cpu,
+        ),
         ("owner to searcher and back", 2, None),
         ("searcher, hedge included", 100, None),
         (f"entry: {target.FAN_OUT} replies merged", 15, merge_cpu),
--- a/bench/process/_host_costs.py
+++ b/bench/process/_host_costs.py
@@ -44,11 +44,11 @@
 
 def idle_host(text: str) -> Host:
     """Return a host that has ``text`` in force and an address of its own, but runs no tasks."""
-    network = allocate_ip_address()
+    ip_address = allocate_ip_address()
     settings = check_settings(
-        f'{{"host": "own", "failure_domain": "north", "caller_address": "{network}:8001",'
-        f' "peer_address": "{network}:7001", "log_level": "error",'
-        f' "platform": {{"configuration": "{network}:9000", "hosts": "{network}:9000"}}}}',
+        f'{{"host": "own", "failure_domain": "north", "caller_address": "{ip_address}:8001",'
+        f' "peer_address": "{ip_address}:7001", "log_level": "error",'
+        f' "platform": {{"configuration": "{ip_address}:9000", "hosts": "{ip_address}:9000"}}}}',
         "settings",
     )
     host = Host(settings)  # type: ignore[arg-type]
@@ -69,11 +69,11 @@
         ]
     }
     assert host.versions.offer_catalogue(str(catalogue).replace("'", '"'))
-    return [_refused_call(host, size) for size in FAN_OUTS]
+    return [_refused_call(host, fan_out) for fan_out in FAN_OUTS]
 
 
-def _refused_call(host: Host, size: int) -> Callable[[], object]:
-    services = tuple(ServiceId(f"d{size}/{n}") for n in range(size))
+def _refused_call(host: Host, fan_out: int) -> Callable[[], object]:
+    services = tuple(ServiceId(f"d{fan_out}/{n}") for n in range(fan_out))
     request = SearchRequest(services, "lamp", Rank.BULK, REMAINING, 10)
     last = max(services)
 
@@ -174,7 +174,7 @@
     pools = [
         ServicePool(
             ServiceId(f"s{n}"),
-            [(_searcher(n, side), 3) for side in (0, 1)],
+            [(_searcher(n, replica), 3) for replica in (0, 1)],
             configuration.floors,
             OWNER_POLICY,
             clock,
@@ -188,6 +188,6 @@
     return float(held)
 
 
-def _searcher(number: int, side: int) -> Searcher:
-    address = Address(f"127.0.0.{side + 1}:{20000 + number}")
-    return Searcher(SearcherId(f"s{number}-{side}"), address, FailureDomainId("north"), 2, 25)
+def _searcher(number: int, replica: int) -> Searcher:
+    address = Address(f"127.0.0.{replica + 1}:{20000 + number}")
+    return Searcher(SearcherId(f"s{number}-{replica}"), address, FailureDomainId("north"), 2, 25)
--- a/bench/process/_trial.py
+++ b/bench/process/_trial.py
@@ -95,22 +95,22 @@
     services = [deployment.history_service if scenario.departs else deployment.wide_service]
     load = Load(fleet, services, rates, WARM_UP_SECONDS + seconds)
     events = EventRunner(fleet, deployment)
-    started = events.count("started", deployment.wide_service)
+    started_before = events.count("started", deployment.wide_service)
     begin = load.start()
     try:
         sleep_until(begin)
-        used = cpu_by_process(fleet, load)
+        cpu_before = cpu_by_process(fleet, load)
         if scenario.event is not None:
             sleep_until(begin + WARM_UP_SECONDS + EVENT_AFTER_SECONDS)
             events.run(scenario.event)
         sleep_until(begin + load.seconds)
-        cores = busiest(used, cpu_by_process(fleet, load), load.seconds)
+        cores = busiest(cpu_before, cpu_by_process(fleet, load), load.seconds)
         results = load.finish()
     finally:
         load.stop()
     if scenario.event is not None:
         events.finish(scenario.event)
-    started = events.count("started", deployment.wide_service) - started
+    started = events.count("started", deployment.wide_service) - started_before
     return Observed(results, started, events.work_after_leaving, cores)
 
 
--- a/bench/process/counted_host.py
+++ b/bench/process/counted_host.py
@@ -109,23 +109,25 @@
     _socket.encode_message = counted_encode
     _socket.decode_message = counted_decode
     PeerService.handle_message = counted_handle_message  # type: ignore[method-assign]
-    for owner, name in (
+    for timed_class, name in (
         (Heartbeats, "beat"),
         (PressureReporter, "run_once"),
         (KeyWatch, "read_once"),
         (HostListWatch, "read_once"),
         (Host, "after_heartbeat"),
     ):
-        _time_method(counts, owner, name)
+        _time_method(counts, timed_class, name)
 
 
-def _time_method(counts: Counts, owner: type, name: str) -> None:
-    original = getattr(owner, name)
+def _time_method(counts: Counts, timed_class: type, name: str) -> None:
+    original = getattr(timed_class, name)
 
     def counted(self: Any, *arguments: Any) -> Any:
-        return counts.run_timed(f"{owner.__name__}.{name}", lambda: original(self, *arguments))
+        return counts.run_timed(
+            f"{timed_class.__name__}.{name}", lambda: original(self, *arguments)
+        )
 
-    setattr(owner, name, counted)
+    setattr(timed_class, name, counted)
 
 
 def write_counts(counts: Counts, path: Path, stopping: Event) -> None:
@@ -134,9 +136,9 @@
     Each file replaces the previous one atomically, so that a reader never sees an incomplete one.
     """
     while not stopping.wait(WRITE_SECONDS):
-        part = path.with_suffix(".part")
-        part.write_text(json.dumps(counts.fields()))
-        part.replace(path)
+        temporary = path.with_suffix(".part")
+        temporary.write_text(json.dumps(counts.fields()))
+        temporary.replace(path)
 
 
 def main(settings_path: str, counts_path: str) -> None:
--- a/tests/process/faults.py
+++ b/tests/process/faults.py
@@ -121,11 +121,11 @@
             fleet.set_behaviour([searcher], **{setting: value})
         case SnapshotPublished(shards=count):
             version = fleet.snapshots[-1]["version"] + 1
-            maps = {
+            shard_maps = {
                 service: {f"{service}/v{version}s{n}": 1.0 + n for n in range(count)}
                 for service in fleet.snapshots[0]["shards"]
             }
-            fleet.snapshots.append({"version": version, "shards": maps})
+            fleet.snapshots.append({"version": version, "shards": shard_maps})
             fleet.set_behaviour([], held=[s["version"] for s in fleet.snapshots[-2:]])
             fleet.publish_snapshots(fleet.snapshots[-2:])
         case TextEdited(old=old, new=new):
--- a/tests/standins/fleet.py
+++ b/tests/standins/fleet.py
@@ -117,7 +117,11 @@
             f"{self.ip_address}:{9100 + n}" for n in range(searcher_processes)
         ]
         domains = sorted(
-            {s.failure_domain for v in self.configuration.services.values() for s in v.searchers}
+            {
+                searcher.failure_domain
+                for service in self.configuration.services.values()
+                for searcher in service.searchers
+            }
         )
         self.hosts = [
             {
