--- a/tests/gateway/fakes.py
+++ b/tests/gateway/fakes.py
@@ -144,7 +144,7 @@
 
 
 class ScriptedCall:
-    """A call in flight whose outcome is determined by the script; it records its cancellation."""
+    """A call in flight whose outcome the script determines; it records whether it is cancelled."""
 
     def __init__(self, call: Call, searcher: SearcherId) -> None:
         self.call = call
@@ -160,9 +160,10 @@
     """An upstream client and an inbox in one, with scripted outcomes.
 
     ``plans`` has, for each service, the delay in milliseconds and the outcome of each attempt, in
-    order. An outcome is the body of an answer, an error status, ``"declined"`` by the searcher,
-    ``"lost"`` after it was sent, ``"unsent"``, or ``"silent"`` if there never is one. ``repeats``
-    is the budget for hedges and retries. The caller disconnects at ``disconnects_at``, if set.
+    order. An outcome is the body of an answer, an error status, or one of these strings:
+    ``"declined"`` by the searcher, ``"lost"`` after the request was sent, ``"unsent"`` because the
+    connection was refused, and ``"silent"`` if there never is an outcome. ``repeats`` is the number
+    of hedges and retries that are allowed. The caller disconnects at ``disconnects_at``, if set.
     """
 
     def __init__(self, plans: dict[str, list[tuple[float, object]]], repeats: int = 100) -> None:
--- a/tests/gateway/loopback.py
+++ b/tests/gateway/loopback.py
@@ -16,14 +16,16 @@
 from .fakes import HEADER_NAMES, make_entry, make_settings, make_table
 
 AnswerFunction = Callable[[bytes], bytes | None]
+"""Returns the bytes to send for a request, or ``None`` to close the connection."""
 
 RESET_AT_CLOSE = struct.pack("ii", 1, 0)
+"""The value of ``SO_LINGER`` with which closing a socket resets its connection."""
 
 
 class ConnectionEnd(Enum):
     """What a searcher does with its connection after an answer.
 
-    It keeps it open, closes it in order, or resets it.
+    It keeps it open, closes it normally, or resets it.
     """
 
     OPEN = "open"
@@ -32,7 +34,7 @@
 
 
 def head_value(head: bytes, name: bytes) -> bytes:
-    """Return the value of the header ``name`` (in lower case), empty if there is none."""
+    """Return the value of the header ``name`` (in lower case), or no bytes if there is none."""
     for line in head.split(b"\r\n"):
         key, _, value = line.partition(b": ")
         if key.lower() == name:
@@ -41,7 +43,7 @@
 
 
 def reply_to(head: bytes, body: bytes = b"ok", status: int = 200, extra: bytes = b"") -> bytes:
-    """Return a response to the request with ``head``, with the request's id and a stamp."""
+    """Return a response with a stamp, and with the request id that ``head`` has."""
     identity = head_value(head, b"x-id")
     return b"HTTP/1.1 %d X\r\nx-id: %s\r\nx-stamp: s\r\n%sContent-Length: %d\r\n\r\n%s" % (
         status,
@@ -53,9 +55,11 @@
 
 
 class StandInSearcher:
-    """A searcher that serves each connection in a thread, and records the heads of requests.
+    """A searcher that serves each connection in a thread, and records the requests.
 
-    ``answer`` returns the bytes to send for a request head, or ``None`` to close the connection.
+    ``answer`` gets a request, head and body, and returns the bytes to send, or ``None`` to close
+    the connection. ``requests`` has the requests received, in the same form; the subclasses that
+    replace ``_serve`` leave it empty.
     """
 
     def __init__(self, answer: AnswerFunction) -> None:
@@ -104,7 +108,7 @@
 
 
 class RepeatingSearcher(StandInSearcher):
-    """A searcher that sends each answer once more on its connection, right before the next one."""
+    """A searcher that sends each answer a second time, right before the next one."""
 
     def _serve(self, connection: socket.socket) -> None:
         before = b""
@@ -119,8 +123,8 @@
 class BreakingSearcher(StandInSearcher):
     """A searcher that ends the connection within every second answer.
 
-    It ends each time after another byte of the answer. ``resets`` is whether it resets the
-    connection instead of closing it in order.
+    The number of bytes that it sends before that varies. ``resets`` is whether it resets the
+    connection instead of closing it normally.
     """
 
     def __init__(self, answer: AnswerFunction, *, resets: bool) -> None:
@@ -147,7 +151,8 @@
 class HangingSearcher(StandInSearcher):
     """A searcher that never answers.
 
-    It records when it has received a request, and when the gateway has closed its connection.
+    ``request_received`` is set when it has received a request, and ``connection_closed`` when the
+    gateway has then closed the connection, or after 5 s.
     """
 
     def __init__(self) -> None:
@@ -167,7 +172,7 @@
 
 
 class FixedSource:
-    """A catalogue source with one configuration and some searchers, and without changes."""
+    """A catalogue source with one configuration and some searchers, which never change."""
 
     def __init__(self, table, entries) -> None:
         self.contents = Contents(
@@ -192,8 +197,8 @@
 ) -> Iterator[Gateway]:
     """Run a gateway in threads of this process, and yield it.
 
-    ``searchers`` has the searchers of each service, and ``settings`` replaces fields of the
-    gateway's settings.
+    ``searchers`` has the searchers of each service, ``version`` is the version of the
+    configuration, and ``settings`` replaces fields of the gateway's settings.
     """
     entries = [
         replace(make_entry(f"{service}-{number}", service), address=searcher.address)
@@ -203,7 +208,8 @@
     source = FixedSource(make_table(*routes, version=version), entries)
     gateway = Gateway(replace(make_settings(), **settings), HEADER_NAMES, source)
     gateway.log.descriptor = -1
-    # As if it had run for a whole window already: a new gateway has no slack for repeats.
+    # The slack for repeats grows from zero over the first 10 s, the window of the repeat budgets.
+    # Tests need all of it at once, so the gateway starts as if it had run for a whole window.
     gateway.fleet.budgets.started_at -= 10_000.0
     gateway.start()
     pause = Event()
@@ -246,7 +252,7 @@
         return self
 
     def read(self) -> tuple[int, bytes, bytes]:
-        """Return status, head and body of the next reply; status 0 if the connection has ended."""
+        """Return status, head and body of the next reply; status 0 if the connection ends first."""
         while b"\r\n\r\n" not in self.buffer:
             chunk = self.socket.recv(65536)
             if not chunk:
--- a/tests/gateway/soak.py
+++ b/tests/gateway/soak.py
@@ -35,19 +35,19 @@
 """The time from the request to stop a gateway until its process is killed."""
 
 SETTLE_S = 4.0
-"""The time after the last fault at a gateway from which time limits apply to it again."""
+"""How long after the last fault at a gateway time limits do not apply to it, in seconds."""
 
 MAX_ATTEMPTS = 2
-"""The number of searchers that one request may be sent to, for each shard."""
+"""The maximum number of searchers to which one request is sent, for each shard."""
 
 BASE_LOSS_RATE = 0.02
-"""The share of responses that are lost after the request was run, also without injected faults."""
+"""The share of responses that are lost after the request was run, even without injected faults."""
 
 BASE_FAULT_RATE = 0.05
-"""The share of responses with a ``ResponseFault``, also without injected faults."""
+"""The share of responses with a ``ResponseFault``, even without injected faults."""
 
 IDLE_WAIT_S = 0.01
-"""The time after a response by which its connection is idle at the gateway."""
+"""How long a searcher waits, after a response, for its connection to be idle at the gateway."""
 
 RECORD_BYTES = 16
 
@@ -58,8 +58,9 @@
 class ProxyMode(Enum):
     """What a proxy does to its connections.
 
-    It copies bytes in both directions, does so with a delay, resets the open connections, holds the
-    bytes from the server back, or holds the bytes of both directions back.
+    ``PASS`` copies bytes in both directions, and ``DELAY`` does so with a delay. ``RESET`` resets
+    the connections that are open, and then copies. ``ONE_WAY`` holds back the bytes from the
+    server, and ``SILENT`` those of both directions.
     """
 
     PASS = "pass"
@@ -132,9 +133,10 @@
 class ResponseFault(Enum):
     """How a searcher responds other than with one complete response that states its length.
 
-    It sends the response again at once, while the connection is idle, or right before the next
-    response. Or it sends the response without a length, so that the end of the connection ends it,
-    and may reset the connection before the last record.
+    It repeats the response at once, while the connection is idle, or right before the next
+    response; this last repetition may be without a length. Or it sends the response itself without
+    a length, so that it extends to the end of the connection, and may reset the connection before
+    the last record.
     """
 
     REPEATED_AT_ONCE = "repeated at once"
@@ -162,10 +164,10 @@
 class Searcher(StandInSearcher):
     """A stand-in for a searcher, which records each request that it runs and injects faults.
 
-    ``fault_rate`` is the rate of faults beyond the base rates, and ``extra_delay_s`` the delay of
-    each run in addition to 2 ms. ``runs`` has the id and the time of each request that was run, and
-    ``lost_requests`` the ids of those whose response was lost. ``drain_started_at`` is when the
-    searcher was listed as draining, if it was.
+    ``fault_rate`` raises the rates of refusals, lost responses and response faults.
+    ``extra_delay_s`` is the delay of each run in addition to 2 ms. ``runs`` has the id and the time
+    of each request that was run, and ``lost_requests`` the ids of those whose response was lost.
+    ``drain_started_at`` is when the searcher was listed as draining, if it was.
     """
 
     def __init__(self, identity: str, service: str, rng: random.Random) -> None:
@@ -186,6 +188,8 @@
             while head := self._read(connection):
                 planned = self.handle_request(head)
                 connection.sendall(late_bytes + planned.data)
+                # A late response without a length extends to the end of the connection, so that
+                # it includes the response to this request.
                 if late_bytes and not has_length(late_bytes):
                     self.record_lost(request_id(head))
                     return
@@ -226,7 +230,8 @@
     def plan_response(self, response: bytes, request: str = "") -> PlannedResponse:
         """Plan to send a response once, or at random with a fault.
 
-        Only the response to a ``request`` that was run may be lost; it is empty for a refusal.
+        ``request`` is the id of the request if it was run, and empty if it was refused. Only the
+        response to a request that was run may be lost.
         """
         if self.rng.random() > BASE_FAULT_RATE + self.fault_rate / 2:
             return PlannedResponse(response)
@@ -283,8 +288,8 @@
 class Store:
     """A stand-in for the platform's store: items by key, and the history of their changes.
 
-    The history can be dropped. A gateway that then asks for older changes has to read all items
-    again.
+    The history can be dropped. A gateway that asks for changes from before that has to read all
+    items again.
     """
 
     def __init__(self) -> None:
@@ -366,7 +371,7 @@
 class GatewayProcess:
     """A real gateway in a process of its own.
 
-    ``disturbed_at`` is the time of the last injected fault that affects it.
+    ``disturbed_at`` is when it was last started, or affected by an injected fault.
     """
 
     def __init__(self, number: int, folder: Path, store: Store) -> None:
@@ -426,7 +431,7 @@
 
 @dataclass
 class Soak:
-    """One soak run of three gateways; the seed determines the faults and their order.
+    """One soak run of three gateways; ``seed`` determines the faults and their order.
 
     ``replies`` has all replies that callers received, and ``problems`` describes each violation.
     """
@@ -585,8 +590,8 @@
     def check_recovery(self) -> None:
         """Check that the gateways serve all requests again after the faults have ended.
 
-        Searchers lose a few responses all the time. A request may fail without a fault of the
-        gateway if it was sent as often as permitted and each response was lost.
+        Searchers lose a few responses even without injected faults. A request may therefore fail,
+        through no fault of the gateway, if each permitted attempt was made and its response lost.
         """
         self.wait_ready()
         time.sleep(SETTLE_S)
@@ -676,7 +681,7 @@
             self.problems.append(f"{reply.request} is not the merge of the shards that it names")
 
     def was_disturbed(self, at: float) -> bool:
-        """Return whether the last fault of a gateway occurred shortly before ``at``, or later.
+        """Return whether the last fault of any gateway occurred shortly before ``at``, or later.
 
         Such a gateway may not know yet that a searcher is draining.
         """
@@ -684,11 +689,11 @@
 
 
 MAX_FAULT_S = 4.0
-"""The longest duration of one fault."""
+"""The longest time for which a proxy or a searcher is faulty, in seconds."""
 
 
 def pause_gateway(soak: Soak) -> None:
-    """Stop a gateway process with SIGSTOP for up to 3 s."""
+    """Pause a gateway process with SIGSTOP for at most 3 s."""
     gateway = soak.rng.choice(soak.gateways)
     gateway.signal(signal.SIGSTOP)
     time.sleep(soak.rng.uniform(0.5, 3.0))
@@ -730,7 +735,7 @@
 def choose_searcher(soak: Soak) -> Searcher:
     """Return a random searcher that is not draining.
 
-    The service of bookings has few searchers, so they are chosen more often.
+    The service of bookings has few searchers, so they are chosen more often than others.
     """
     not_draining = [searcher for searcher in soak.searchers if searcher.drain_started_at is None]
     orders = [searcher for searcher in not_draining if searcher.service == "orders"]
--- a/tests/gateway/test_follower.py
+++ b/tests/gateway/test_follower.py
@@ -25,7 +25,7 @@
 class ScriptedSource:
     """A catalogue source that returns ``answers`` in order, each after its delay in milliseconds.
 
-    After the last one it stops the follower.
+    The request after the last answer stops the follower.
     """
 
     def __init__(self, clock: ManualClock, *answers: tuple[float, object]) -> None:
@@ -71,7 +71,7 @@
 
 
 def is_used(fleet, searcher: str) -> bool:
-    """Return whether the fleet sends a request to ``searcher`` if it is the only one untried."""
+    """Return whether the fleet sends a request to ``searcher`` once all others were tried."""
     call = Call(make_request(), ROUTE, ServiceId("orders"), Millis(1e9), None)
     others = {known for known in fleet.replicas if known != searcher}
     return getattr(fleet.send(call, others), "searcher", None) == searcher
--- a/tests/gateway/test_gathering_at_peers.py
+++ b/tests/gateway/test_gathering_at_peers.py
@@ -1,4 +1,7 @@
-"""Tests for queries over many shards that are forwarded to a gatherer, which is another gateway."""
+"""Tests for queries over many shards that are forwarded to a gatherer, which is another gateway.
+
+The gatherer of these tests is a seed: a gateway whose address is in the settings of all gateways.
+"""
 
 from contextlib import contextmanager
 
@@ -14,6 +17,7 @@
 
 SHARDS = Shards((ServiceId("s1"), ServiceId("s2")), 2, 0.5)
 SEED = Address(f"{gateway_address(GATEWAYS + 1)}:18106")
+"""The peer address of the seed, which no gateway of a soak run uses."""
 
 
 def record(number: int) -> bytes:
@@ -29,7 +33,11 @@
 
 @contextmanager
 def running_pair(searchers, *, seed_version: int = 1):
-    """Run an entry gateway and the seed to which it forwards its queries, and yield both."""
+    """Run an entry gateway and the seed to which it forwards its queries, and yield both.
+
+    The entry gateway tries to forward each query, even if it could gather it itself.
+    ``seed_version`` is the version of the seed's configuration; that of the entry gateway is 1.
+    """
     routes = [make_route(SHARDS)]
     seed_settings = {"peer_address": SEED, "seeds": (SEED,)}
     with (
--- a/tests/gateway/test_response_matching.py
+++ b/tests/gateway/test_response_matching.py
@@ -58,7 +58,7 @@
 from .test_buffers import UnreadInbox, connect_pair
 
 EXAMPLE_COUNT = 400
-"""The number of drawn examples of the longest tests; the others use a part of it."""
+"""The number of examples of the longest property tests; the others run a fraction of it."""
 
 MIN_STATUS_LINE_BYTES = 9
 """The length of ``HTTP/1.1`` and a space, the fewest bytes that show a new response."""
@@ -75,8 +75,9 @@
 class DispatchTime(Enum):
     """When the next call is dispatched to a connection that has become idle.
 
-    This is when its handler handles the outcome of the last call, before the task receives again,
-    or while it receives.
+    ``AT_FINISH`` is while the handler of the connection handles the outcome of the last call,
+    ``BEFORE_RECEIVE`` before the connection's task receives again, and ``IN_RECEIVE`` while it
+    receives.
     """
 
     AT_FINISH = "at finish"
@@ -147,10 +148,11 @@
 class Exchange:
     """One request and all bytes that its searcher sends because of it.
 
-    The searcher sends ``sent``, which is based on ``response``, and then does ``end`` with the
-    connection. The first ``late_split`` bytes of ``late_bytes`` follow when the connection is idle,
-    and the rest right before the response to the next request. ``segment_offsets`` are the offsets,
-    modulo the length, that divide the bytes into segments, which are sent separately.
+    The searcher sends ``sent``, which is derived from ``response``. It then keeps the connection
+    open, closes it or resets it, as ``end`` says. The first ``late_split`` bytes of ``late_bytes``
+    follow when the connection is idle, and the rest right before the response to the next request.
+    The bytes are divided at ``segment_offsets``, modulo their length, into segments that are sent
+    separately.
     """
 
     response: PlannedResponse
@@ -182,9 +184,9 @@
 class ScriptedConnection:
     """A real connection, over which one thread runs exchanges by a script.
 
-    It has a ``SearcherTask``, whose handler it is, and the searcher's end. ``calls`` has the
-    exchanges that were run with their calls. ``last_call`` is the call of the last exchange, if the
-    caller wants a particular one.
+    The gateway's end is a ``SearcherTask``, which uses this object as its handler; ``far`` is the
+    searcher's end. ``calls`` has each exchange that was run, and its call. ``last_call`` is the
+    call to use for the last exchange; without it, one is made.
     """
 
     def __init__(self, exchanges: list[Exchange], last_call: Call | None = None) -> None:
@@ -273,9 +275,9 @@
                 yield
 
     def _close(self, end: ConnectionEnd) -> None:
-        """Close the connection in order or with a reset.
+        """Close the connection normally or with a reset.
 
-        For an orderly close the request is received first, since the kernel resets a connection
+        For a normal close the request is received first, since the kernel resets a connection
         that is closed with unread bytes.
         """
         if end is ConnectionEnd.RESET:
@@ -295,7 +297,7 @@
 
 
 def check_call(exchange: Exchange, call: Call) -> None:
-    """Check that the outcome of a call is as its searcher intended, or ``Lost``."""
+    """Check that the outcome of a call is the response that its searcher intended, or ``Lost``."""
     response = exchange.response
     match call.outcome:
         case Answered() as answer:
@@ -355,16 +357,16 @@
     """Return whether a receiver can detect which part is the complete response to the call."""
     for index, part in enumerate(sent_parts):
         later_parts = sent_parts[index + 1 :]
-        # A response without a length extends to the end of its connection, so that it can be told
-        # neither from a truncated one nor from the bytes after it.
+        # A response without a length extends to the end of its connection. After an orderly end,
+        # nothing shows that the response is truncated, or where other bytes follow it.
         if (
             part.ends_with_close
             and end is ConnectionEnd.ORDERLY
             and (part.missing_bytes or later_parts)
         ):
             return False
-        # The bytes that complete a truncated response are recognized as foreign only if they look
-        # like the beginning of another response.
+        # The bytes after a truncated response seem to complete it, unless they begin as another
+        # response does.
         if part.missing_bytes and any(other.data in INVALID_BYTES for other in later_parts):
             return False
         if 0 < part.missing_bytes < MIN_STATUS_LINE_BYTES and later_parts:
@@ -588,7 +590,7 @@
 
 
 class TestResponsesOfOneConnection:
-    """Connections on which responses are truncated only when the connection ends."""
+    """Connections on which a response is truncated only if the connection then ends."""
 
     @settings(max_examples=EXAMPLE_COUNT, deadline=None, derandomize=True)
     @given(exchange_lists(truncates_open=False))
@@ -679,8 +681,8 @@
         response = PlannedResponse("q0", 200, make_records("q0", 3))
         run_and_check(Exchange(response, response.encode()[:-20] + response.encode()))
 
-    # Guards against a body that contains the head of the same response, sent again. The copy is
-    # divided where the body is complete, so that no bytes after the body reveal it.
+    # Guards against a body that contains the head of the same response, sent again. A segment ends
+    # where the body reaches its full length, so that no bytes after the body reveal this.
     def test_copy_in_two_segments_does_not_complete_truncated_response(self):
         response = PlannedResponse("q0", 200, make_records("q0", 300))
         missing_size = 2 * len(response.head)
--- a/tests/gateway/test_whole_gateway.py
+++ b/tests/gateway/test_whole_gateway.py
@@ -25,6 +25,7 @@
 
 
 def gateway_with_searchers(answer, count: int = 1, kind: Idempotency = Idempotency.IDEMPOTENT):
+    """Return searchers that respond with ``answer``, and the context that runs their gateway."""
     searchers = [StandInSearcher(answer) for _ in range(count)]
     return searchers, running_gateway([make_route(ORDERS, kind)], {"orders": searchers})
 
@@ -58,7 +59,7 @@
             assert caller.read()[0] == 200
         assert searchers[0].requests[-1].endswith(b"\r\n\r\nabcde")
 
-    # A caller could otherwise replace a header of its request by one that follows the body.
+    # Otherwise a trailer, which follows the body, could replace a header of the same request.
     def test_does_not_forward_trailers_as_headers(self):
         searchers, running = gateway_with_searchers(reply_to)
         with running as gateway:
