--- a/bench/process/_control_roles.py
+++ b/bench/process/_control_roles.py
@@ -13,7 +13,7 @@
 """The rate at which a watcher reads the host list."""
 
 KEY_READS_A_SECOND = 0.1
-"""The rate of a watcher's reads of both its watched keys, in sum, if nothing changes."""
+"""The rate of a watcher's reads of its two watched keys, both added up, if nothing changes."""
 
 HEARTBEATS_A_SECOND = 1.0
 """The rate of heartbeats to each neighbour in a large fleet."""
--- a/bench/process/_host_costs.py
+++ b/bench/process/_host_costs.py
@@ -75,6 +75,7 @@
 def _refused_call(host: Host, fan_out: int) -> Callable[[], object]:
     services = tuple(ServiceId(f"d{fan_out}/{n}") for n in range(fan_out))
     request = SearchRequest(services, "lamp", Rank.BULK, REMAINING, 10)
+    # Admission checks the services in order, so each call checks them all.
     last = max(services)
 
     def call() -> object:
