--- a/tests/gateway/test_gather.py
+++ b/tests/gateway/test_gather.py
@@ -42,7 +42,7 @@
         assert isinstance(reply, Merged) and reply.missing == 0
         assert script.now() == 25.0
 
-    def test_leaves_out_slow_shard_before_objective_without_budget(self):
+    def test_leaves_out_slow_shard_before_objective_if_it_may_not_hedge(self):
         script = ScriptedUpstream({"a": [(5, record(1))], "b": [(300, record(2))]}, repeats=0)
         reply = gather(script)
         assert isinstance(reply, Merged) and reply.missing == 1
@@ -71,7 +71,7 @@
         assert isinstance(reply, Failed) and reply.status == 504
         assert script.now() == 400.0
 
-    def test_unanswered_attempts_may_have_run(self):
+    def test_fails_instead_of_refusing_if_no_attempt_is_answered(self):
         script = ScriptedUpstream({"a": [(0, "silent"), (0, "silent")], "b": [(0, "silent")]})
         reply = gather(script)
         assert isinstance(reply, Failed) and reply.status == 504
@@ -149,11 +149,11 @@
         script = ScriptedUpstream({"a": [(3, record(1))]})
         services = Shards((ServiceId("a"),), 3, 0.5)
         route = make_route(services)
-        tight = type(route)(
+        route_with_short_objective = type(route)(
             *[
                 Millis(2.0) if name == "objective" else getattr(route, name)
                 for name in route.__dataclass_fields__
             ]
         )
-        reply = run_gather(make_request(), tight, services, script, script)
+        reply = run_gather(make_request(), route_with_short_objective, services, script, script)
         assert isinstance(reply, Merged)
