--- a/tests/gateway/test_forward.py
+++ b/tests/gateway/test_forward.py
@@ -57,6 +57,8 @@
 
 
 class TestAtMostOnce:
+    """Requests that are not idempotent, which may run only once."""
+
     def test_never_repeats_request_whose_answer_was_lost(self):
         script = ScriptedUpstream({"orders": [(5, "lost"), (5, b"again")]})
         reply = forward(script, Idempotency.NON_IDEMPOTENT)
--- a/tests/gateway/test_gather.py
+++ b/tests/gateway/test_gather.py
@@ -42,6 +42,7 @@
         assert isinstance(reply, Merged) and reply.missing == 0
         assert script.now() == 25.0
 
+    # The objective is 100 ms, of which 5 ms are reserved for merging and writing the answer.
     def test_leaves_out_slow_shard_before_objective_if_it_may_not_hedge(self):
         script = ScriptedUpstream({"a": [(5, record(1))], "b": [(300, record(2))]}, repeats=0)
         reply = gather(script)
