--- a/tests/request/test_owner_change.py
+++ b/tests/request/test_owner_change.py
@@ -17,7 +17,7 @@
     @pytest.mark.parametrize(
         "reason", [Reason.NO_CONFIGURATION, Reason.UNKNOWN_SERVICE, Reason.SHUTTING_DOWN]
     )
-    def test_asks_next_owner_if_owner_lacks_service(self, reason):
+    def test_asks_next_owner_if_owner_refuses(self, reason):
         def respond(host, ask, deliver):
             for part in ask.parts:
                 hits = Hits(1, part.shards, (Hit("x", 1.0, part.shards[0], "{}"),))
--- a/tests/test_operators_pages.py
+++ b/tests/test_operators_pages.py
@@ -98,25 +98,25 @@
 
 
 class TestNames:
-    def test_of_all_reasons_for_callers_are_documented(self):
+    def test_all_reasons_for_callers_are_documented(self):
         reasons = {reason.value for reason in Reason if reason not in NOT_FOR_CALLERS}
         assert reasons <= table_names(ROOT / "docs" / "API.md")
 
-    def test_of_exactly_the_timeline_events_are_documented(self):
+    def test_exactly_the_timeline_events_are_documented(self):
         assert table_names(PAGES / "timeline.md") == {kind.value for kind in EventKind}
 
-    def test_of_exactly_the_metrics_are_documented(self):
+    def test_exactly_the_metrics_are_documented(self):
         page = (ROOT / "docs" / "METRICS.md").read_text(encoding="utf-8")
         table = page.partition("## Suggested alerts")[0]
         assert set(re.findall(r"^\| `([^`]+)` \|", table, re.MULTILINE)) == metric_names()
 
-    def test_of_exactly_the_log_events_are_documented(self):
+    def test_exactly_the_log_events_are_documented(self):
         page = (ROOT / "docs" / "LOGS.md").read_text(encoding="utf-8")
         rows = re.findall(r"^\| ([^|]+) \| [^|]+ \| [^|]+ \|$", page, re.MULTILINE)
         names = [name for row in rows for name in re.findall(r"`([^`]+)`", row)]
         assert sorted(names) == sorted(event.value for event in LogEvent)
 
-    def test_of_all_commands_shown_to_operators_exist(self):
+    def test_all_commands_shown_to_operators_exist(self):
         page = (ROOT / "docs" / "OPERATIONS.md").read_text(encoding="utf-8")
         shown = re.findall(r"^    (?:\$ )?masticgate (\w+)", page, re.MULTILINE)
         assert shown and set(shown) <= set(main.commands)
