--- a/model/process/handover.py
+++ b/model/process/handover.py
@@ -14,7 +14,7 @@
 
 
 def start(s: State) -> object:
-    """The limit is arbitrary; each candidate's share is its even part, rounded down."""
+    """The limit is arbitrary; each candidate's share is at most an even part of it."""
     shared = And(s.share >= 0, s.share * CANDIDATES <= s.limit)
     return And(shared, *[getattr(s, f"open{h}") == 0 for h in HOSTS])
 
--- a/model/request/booking.py
+++ b/model/request/booking.py
@@ -98,7 +98,10 @@
 
 
 def owner_actions(s: State, r: int, fault: str) -> list[Action]:
-    """Return the steps of an attempt at its owner, which records all attempts, and the searcher."""
+    """Return the steps of the attempt of request ``r`` at its owner and at the searcher.
+
+    The owner remembers every attempt, so that a duplicate message does not start it again.
+    """
     book, owner = getattr(s, f"book{r}"), getattr(s, f"owner{r}")
     upstream, run_count = getattr(s, f"upstream{r}"), getattr(s, f"run_count{r}")
     not_run = {f"not_run_reply{r}": True}
--- a/model/version/adoption.py
+++ b/model/version/adoption.py
@@ -2,8 +2,8 @@
 
 The platform answers with any published revision, however stale. A push of a peer may be late,
 duplicated or lost. A host starts without a revision, and applies the highest one that the platform
-and a serving peer report before it serves. If no host serves any more, only the platform's revision
-is left.
+and a serving peer report before it serves. At least one host always serves; without any, only the
+platform's revision would be left.
 """
 
 from z3 import And, BoolSort, If, Implies, IntSort, Not, Or
--- a/src/masticgate/_clock.py
+++ b/src/masticgate/_clock.py
@@ -1,4 +1,4 @@
-"""Clocks in milliseconds: the clocks of the machine, and a clock that a test sets."""
+"""Clocks in milliseconds: the clocks of the operating system, and a clock that a test sets."""
 
 import time
 from typing import Protocol
@@ -21,7 +21,7 @@
 
 
 class SystemClock:
-    """The machine's own clocks."""
+    """The clocks of the operating system."""
 
     def now(self) -> Millis:
         """Return the time of the monotonic clock, which never steps back."""
--- a/src/masticgate/_failures.py
+++ b/src/masticgate/_failures.py
@@ -10,9 +10,9 @@
 class Step(Enum):
     """The step of a request at which a failure occurred.
 
-    ``READ`` is the reading of input, ``PIN`` the choice of a snapshot, and ``ROUTE`` the choice of
-    a service's host or searcher. ``FORWARD`` is sending to another host, and ``TICKET`` the use
-    of a booking's ticket.
+    ``READ`` is reading input, ``PIN`` is choosing a snapshot, and ``ROUTE`` is choosing the
+    services of a request and a host or searcher for each. ``FORWARD`` is sending to another host,
+    and ``TICKET`` is using a booking's ticket.
     """
 
     READ = "read"
--- a/src/masticgate/_ids.py
+++ b/src/masticgate/_ids.py
@@ -18,7 +18,10 @@
 """The number of one run of a host's process; a later run has a higher number."""
 
 Revision = NewType("Revision", int)
-"""The number that the platform gave to one version of the operators' text."""
+"""The number that the platform gives to each version of what it publishes, in ascending order.
+
+A gateway that relays the platform's catalogue numbers its changes itself.
+"""
 
 SnapshotVersion = NewType("SnapshotVersion", int)
 """The number of one published index snapshot."""
@@ -27,7 +30,7 @@
 """A duration or a point on a clock, in milliseconds."""
 
 ConfigurationVersion = NewType("ConfigurationVersion", int)
-"""The number that operators gave to one published configuration; a later one has a higher one."""
+"""The number that operators gave to a configuration; a later configuration has a higher one."""
 
 RequestId = NewType("RequestId", str)
 """The caller's id of a request; if the caller repeats the request, it uses another id."""
--- a/src/masticgate/platform/_configuration.py
+++ b/src/masticgate/platform/_configuration.py
@@ -1,4 +1,4 @@
-"""Decoding of the operators' configuration, which the platform publishes."""
+"""Decodes the operators' configuration, which the platform publishes."""
 
 from .._ids import ConfigurationVersion, Millis, RouteId, ServiceId
 from ..version.gateway import (
--- a/src/masticgate/platform/_items.py
+++ b/src/masticgate/platform/_items.py
@@ -1,4 +1,4 @@
-"""Decoding of the items in the platform's store: the configuration and the searchers' listings."""
+"""Decodes the items in the platform's store: the configuration and the searchers' listings."""
 
 import json
 from base64 import b64decode
--- a/src/masticgate/platform/_names.py
+++ b/src/masticgate/platform/_names.py
@@ -8,7 +8,7 @@
     caller_timeout=b"x-masticgate-deadline-ms",
     # A code that authenticates the answer to one request.
     stamp=b"x-masticgate-server-stamp",
-    # Identifies one start of a searcher.
+    # The id of the searcher that the request is meant for; the platform calls it an instance.
     expected_searcher=b"x-masticgate-expected-instance",
     load=b"x-masticgate-server-load",
     not_run=b"x-masticgate-not-executed",
--- a/src/masticgate/platform/_node_file.py
+++ b/src/masticgate/platform/_node_file.py
@@ -1,4 +1,4 @@
-"""Reading of the settings file that the platform writes for a gateway process."""
+"""Reads the settings file that the platform writes for a gateway process."""
 
 import tomllib
 from dataclasses import dataclass
--- a/src/masticgate/platform/_serve.py
+++ b/src/masticgate/platform/_serve.py
@@ -1,4 +1,4 @@
-"""The gateway program that the platform starts on each machine."""
+"""The gateway program that the platform starts on each host."""
 
 import os
 import signal
@@ -23,7 +23,10 @@
 
 
 def main() -> None:
-    """Run a gateway until SIGTERM or SIGINT; the port for metrics is an optional argument."""
+    """Run a gateway until SIGTERM or SIGINT.
+
+    The optional command line argument is the port for metrics.
+    """
     metrics_port = int(sys.argv[1]) if len(sys.argv) > 1 else None
     path = Path(os.environ.get(NODE_FILE_VARIABLE, "/etc/masticgate/local.toml"))
     settings = read_node_file(path, metrics_port)
--- a/src/masticgate/platform/_store.py
+++ b/src/masticgate/platform/_store.py
@@ -18,10 +18,7 @@
 from ._names import ALL_KEYS_PREFIX, CONFIGURATION_KEY
 
 READ_TIMEOUT = Millis(1_000.0)
-"""The timeout of a read.
-
-A read usually takes a few milliseconds, and a few hundred if the store is slow.
-"""
+"""A read usually takes a few milliseconds, and a few hundred if the store is slow."""
 
 WATCH_MARGIN = Millis(700.0)
 """The timeout of a watch is its wait plus this margin."""
@@ -52,7 +49,7 @@
         )
 
     def read(self) -> Contents | Unavailable:
-        """Return the whole catalogue, which is read page by page.
+        """Return the whole catalogue: the configuration and all listings, read page by page.
 
         The pages are not a consistent snapshot, since the store may change between two of them. The
         returned revision is that of the first page, so that a watch from it misses no change.
--- a/src/masticgate/request/_booking.py
+++ b/src/masticgate/request/_booking.py
@@ -50,8 +50,9 @@
     def begin(self, booking: Booking) -> "Attempt | Future[BookingOutcome] | NotRun | Unknown":
         """Begin an attempt under the ticket of ``booking``.
 
-        Return a future if an attempt already runs, or has run, under this ticket: its result is
-        the outcome of that attempt. Return a failure if the ticket allows no attempt.
+        Return the future outcome of an earlier attempt if that attempt is running or may have run,
+        or if ``booking`` is a duplicate of an earlier request. Return a failure if the ticket
+        allows no attempt.
         """
         ...
 
@@ -135,7 +136,7 @@
 def _send_once(booking: Booking, attempt: Attempt, runtime: Runtime) -> BookingOutcome:
     """Send the booking to an owner of its service.
 
-    It is refused if the service is unknown, runs no bookings, or belongs to a department that is
+    Refuse it if the service is unknown, runs no bookings, or belongs to a department that is
     leaving.
     """
     configuration = runtime.configuration()
--- a/src/masticgate/request/_messages.py
+++ b/src/masticgate/request/_messages.py
@@ -91,7 +91,11 @@
 
 @dataclass(frozen=True, slots=True)
 class Cancel:
-    """Asks an owner to cancel a query or a booking attempt whose outcome is no longer needed."""
+    """Asks an owner to cancel a search, or a booking attempt that is still queued.
+
+    A cancelled search gets no reply. A cancelled booking attempt gets a reply that it did not run;
+    an attempt that was already sent to a searcher continues.
+    """
 
     query: QueryId
 
@@ -121,7 +125,7 @@
 
 @dataclass(frozen=True, slots=True)
 class BookReply:
-    """The outcome of one attempt of a booking, sent by the owner that ran it."""
+    """The outcome of one attempt of a booking, sent by the owner that received it."""
 
     query: QueryId
     outcome: BookingOutcome
--- a/src/masticgate/request/_runtime.py
+++ b/src/masticgate/request/_runtime.py
@@ -79,7 +79,10 @@
         ...
 
     def discard_replies(self, query: QueryId) -> None:
-        """Discard replies to ``query`` that arrive from now on."""
+        """Stop delivering replies to ``query``.
+
+        The outcome of a booking that arrives later is still recorded under its ticket.
+        """
         ...
 
     def is_silent(self, host: HostId) -> bool:
--- a/src/masticgate/request/_search.py
+++ b/src/masticgate/request/_search.py
@@ -29,7 +29,7 @@
 """A search restarts only if at least this many milliseconds remain to its deadline."""
 
 MAX_OWNERS_TRIED = 3
-"""Number of owners to which one search sends the part of one service, at most."""
+"""The maximum number of owners to which one search sends the part of one service."""
 
 OWNER_FAILURES = frozenset(
     {
@@ -232,7 +232,10 @@
             self.merge.add_failure(service, failure)
 
     def _replace_silent_owners(self, now: Millis) -> None:
-        """Send the parts of silent owners to others too, if the budget for repeats allows it."""
+        """Send the parts of silent owners to others too, if the budget for repeats allows it.
+
+        Also probe the latest owner of each pending service, so that a lost one becomes silent.
+        """
         self.next_silence_check = Millis(now + SILENCE_CHECK_INTERVAL)
         for owner in {self.tried_owners[service][-1] for service in self.merge.pending}:
             self.runtime.probe(owner)
--- a/src/masticgate/version/_configuration.py
+++ b/src/masticgate/version/_configuration.py
@@ -54,8 +54,8 @@
 class Configuration:
     """The contents of a valid text; ``revision`` is the number that the platform gave the text.
 
-    ``floors`` gives, for each rank, the share of a service's work that is reserved for this rank
-    under overload.
+    ``floors`` maps each rank to the share of a service's work that is reserved for it under
+    overload.
     """
 
     revision: Revision
--- a/src/masticgate/version/_difference.py
+++ b/src/masticgate/version/_difference.py
@@ -67,7 +67,10 @@
         yield f"service {after.id} gains searcher {name}"
     for name in sorted(set(old) & set(new)):
         if old[name] != new[name]:
-            yield f"searcher {name} of service {after.id} changes its address or limits"
+            yield (
+                f"searcher {name} of service {after.id} "
+                "changes its address, failure domain or limits"
+            )
 
 
 def _floor_changes(before: Configuration, after: Configuration) -> Iterator[str]:
--- a/src/masticgate/version/_jsonc.py
+++ b/src/masticgate/version/_jsonc.py
@@ -11,7 +11,7 @@
 
 LANGUAGE = Language(tree_sitter_json.language())
 MAX_DEPTH = 64
-"""Number of levels to which objects and arrays may be nested, at most."""
+"""The maximum number of levels to which objects and arrays may be nested."""
 
 
 @dataclass(frozen=True, slots=True)
--- a/src/masticgate/version/_placement.py
+++ b/src/masticgate/version/_placement.py
@@ -14,17 +14,17 @@
 from ._configuration import Configuration, Searcher
 
 SERVICES_PER_OWNER = 3
-"""Number of services of one department that a host owns, if there are enough hosts."""
+"""The maximum number of services of one department that a host owns, if there are enough hosts."""
 
 MIN_GROUP_HOSTS = 3
-"""Number of hosts that own the services of a department, at least."""
+"""The minimum number of hosts that own the services of a department, if there are that many."""
 
 MAX_OWNER_CANDIDATES = 8
-"""Number of hosts among which the connections to one searcher are divided, at most."""
+"""The maximum number of hosts among which the connections to one searcher are divided."""
 
 
 def department_group_size(service_count: int) -> int:
-    """Return the number of hosts that own the services of a department, given their number."""
+    """Return the number of hosts that own a department with ``service_count`` services."""
     return max(MIN_GROUP_HOSTS, ceil(service_count / SERVICES_PER_OWNER))
 
 
@@ -44,9 +44,10 @@
     """Return the number of connections that one owner may open to ``searcher``.
 
     A searcher runs as many requests at once as it has slots. One more connection than slots hides
-    the network round trip between requests. The sum over all candidate owners stays within the
-    searcher's limit, since several of them may consider themselves the owner at the same time.
-    ``listed_hosts`` is the number of hosts in the host list.
+    the network round trip between requests. Several hosts may consider themselves the owner at the
+    same time, so the sum over all candidate owners stays within the searcher's limit, unless the
+    limit is below one connection for each. ``listed_hosts`` is the number of hosts in the host
+    list.
     """
     candidates = max(1, min(listed_hosts, MAX_OWNER_CANDIDATES))
     return max(1, min(searcher.slots + 1, searcher.connections // candidates))
--- a/src/masticgate/version/_snapshot.py
+++ b/src/masticgate/version/_snapshot.py
@@ -63,9 +63,9 @@
     ) -> Snapshot | None:
         """Return the newest snapshot not in ``tried`` that no service is known to lack.
 
-        ``unavailable`` lists, for each service, the versions that its searchers are known not to
-        hold. If each untried snapshot is among those of one of ``services``, return the newest
-        untried one, or ``None`` if all were tried.
+        ``unavailable`` maps each service to the versions that its searchers are known not to hold.
+        If every untried snapshot is unavailable at one of ``services``, return the newest untried
+        one. Return ``None`` if all were tried.
         """
         needed = tuple(services)
         untried = [snapshot for snapshot in self.snapshots if snapshot.version not in tried]
--- a/src/masticgate/version/gateway/_routes.py
+++ b/src/masticgate/version/gateway/_routes.py
@@ -58,8 +58,8 @@
 
     ``kind`` says whether a request may run more than once. ``attempts`` is the number of searchers
     to which one request may be sent; a route with shards may send to as many for each shard.
-    ``timeout`` and ``objective`` are counted from the arrival of the request, in milliseconds; the
-    objective is the latency that an answer should not exceed. ``rank`` 0 is the most urgent.
+    ``timeout`` is counted from the arrival of the request, and ``objective`` is the latency that an
+    answer should not exceed, both in milliseconds. ``rank`` 0 is the most urgent.
     """
 
     id: RouteId
@@ -103,7 +103,7 @@
 class RouteTable:
     """A published configuration.
 
-    ``by_host`` holds the routes of each host name, in lower case, with the longest prefix first.
+    ``by_host`` maps each host name, in lower case, to its routes, with the longest prefix first.
     """
 
     version: ConfigurationVersion
--- a/tests/platform/test_store.py
+++ b/tests/platform/test_store.py
@@ -1,4 +1,4 @@
-"""Tests for the client of the platform's store, against a store that the test scripts."""
+"""Tests for the client of the platform's store, against a server with scripted answers."""
 
 import base64
 import json
--- a/tests/request/scripted_runtime.py
+++ b/tests/request/scripted_runtime.py
@@ -43,7 +43,7 @@
     ``respond(host, message, deliver)`` is called for every message that is sent to ``host``, and
     ``deliver(delay, reply)`` sends a reply after ``delay`` milliseconds. A message to a host in
     ``unreachable`` is not sent. A reply to a booking that nobody waits for any more goes to
-    ``record_late_outcome``. ``gone`` holds the snapshots that searchers no longer hold, by service.
+    ``record_late_outcome``. ``gone`` maps each service to the snapshots that its searchers lack.
     """
 
     def __init__(self, text: str, respond: Callable[[HostId, Any, Any], None]) -> None:
