--- a/src/masticgate/connection/gateway/_caller.py
+++ b/src/masticgate/connection/gateway/_caller.py
@@ -112,8 +112,8 @@
 
     def _serve(self, parsed: ParsedRequest) -> bool:
         """Reply to one request; return ``False`` if the connection has to be closed."""
-        arrived = Millis(self.clock.now() - self.settings.transit_time)
-        request = decode_request(parsed, self.settings.header_names, arrived)
+        arrived_at = Millis(self.clock.now() - self.settings.transit_time)
+        request = decode_request(parsed, self.settings.header_names, arrived_at)
         if isinstance(request, Refused):
             self._send_reply(request, close=True)
             return False
@@ -220,16 +220,16 @@
 
 
 def decode_request(
-    parsed: ParsedRequest, header_names: HeaderNames, now: Millis
+    parsed: ParsedRequest, header_names: HeaderNames, arrived_at: Millis
 ) -> Request | Refused:
     """Return the request for the handler, or a refusal if a part of it is missing or invalid."""
     hosts = [value for name, value in parsed.headers if name.lower() == b"host"]
-    if len(hosts) > 1 or (not hosts and parsed.version != "1.0"):
+    if len(hosts) > 1 or (not hosts and parsed.http_version != "1.0"):
         return _refusal(400, Reason.BAD_REQUEST, "exactly one Host header is required")
     if not parsed.target.startswith(b"/"):
         return _refusal(400, Reason.BAD_REQUEST, "the request target must be a path")
     version = parse_number(find_header(parsed.headers, CONFIGURATION_VERSION_HEADER) or b"")
-    network = _parse_millis(find_header(parsed.headers, NETWORK_TIME_HEADER))
+    network_time = _parse_millis(find_header(parsed.headers, NETWORK_TIME_HEADER))
     internal = (header_names.expected_searcher, CONFIGURATION_VERSION_HEADER, NETWORK_TIME_HEADER)
     host = hosts[0].decode("latin-1").partition(":")[0] if hosts else ""
     return Request(
@@ -240,8 +240,8 @@
         tuple(h for h in end_to_end_headers(parsed.headers) if h[0].lower() not in internal),
         parsed.body,
         _parse_millis(find_header(parsed.headers, header_names.caller_timeout)),
-        now,
-        network_time=network or Millis(0.0),
+        arrived_at,
+        network_time=network_time or Millis(0.0),
         version=None if version is None else ConfigurationVersion(version),
     )
 
--- a/src/masticgate/connection/gateway/_parser.py
+++ b/src/masticgate/connection/gateway/_parser.py
@@ -36,7 +36,7 @@
 
     method: bytes
     target: bytes
-    version: str
+    http_version: str
     headers: list[Header]
     body: bytes
     keep_alive: bool
--- a/tests/gateway/test_irregular_responses.py
+++ b/tests/gateway/test_irregular_responses.py
@@ -104,7 +104,7 @@
         running_task.close()
         assert running_task.handler.violations == [UnrequestedBytes(len(b"nobody asked"))]
 
-    def test_answer_states_that_end_of_connection_ended_it(self):
+    def test_answer_without_length_records_that_connection_end_ended_it(self):
         running_task = RunningTask()
         running_task.run_call("q1", RESPONSE_WITHOUT_LENGTH % b"q1")
         running_task.close()
