--- a/src/masticgate/connection/_caller_app.py
+++ b/src/masticgate/connection/_caller_app.py
@@ -1,6 +1,6 @@
 """The HTTP interface for callers and operators, as one werkzeug application.
 
-It checks the input, passes it to the process and encodes the outcome as JSON.
+It checks the input, passes it to a handler and encodes the outcome as JSON.
 
 A caller may run a search in several services. The answer states its coverage, which is the share of
 the searched data that it includes. A caller may also submit a booking, which runs at most once for
@@ -69,7 +69,7 @@
 class SearchRequest:
     """A search whose input was checked.
 
-    ``remaining`` is how long the caller waits for the answer; the process turns it into a deadline
+    ``remaining`` is how long the caller waits for the answer; the handler turns it into a deadline
     on its own clock. ``limit`` is the number of hits to return.
     """
 
@@ -95,7 +95,7 @@
 
 
 class CallerHandler(Protocol):
-    """Serves the requests of callers and operators, in the process that has the application."""
+    """Serves the checked requests of callers and operators."""
 
     def search(self, request: SearchRequest) -> Answer | NotRun:
         """Return the answer to a search, or why it did not run."""
--- a/src/masticgate/connection/_caller_server.py
+++ b/src/masticgate/connection/_caller_server.py
@@ -161,7 +161,10 @@
 
 
 class _BusyConnection:
-    """Marks a connection as busy within a ``with`` block; after it, a stopped server closes it."""
+    """Marks a connection as busy within a ``with`` block.
+
+    At the end of the block the connection is idle again, and is closed if the server is stopping.
+    """
 
     def __init__(self, server: "CallerServer", connection: socket.socket) -> None:
         self.server = server
@@ -179,7 +182,7 @@
 
 
 class CallerServer:
-    """Accepts the connections of callers, of which at most ``max_callers`` are open at once.
+    """Accepts the connections of callers, and refuses those over ``max_callers`` at once.
 
     ``timeout`` bounds each wait for a caller to send or to accept bytes.
     """
@@ -220,7 +223,7 @@
     def _start(self, connection: socket.socket, peer: Any) -> None:
         try:
             self.tasks.submit(self.serve, connection, peer)
-        except RuntimeError:
+        except RuntimeError:  # No thread can be started, or the process is stopping.
             with self.lock:
                 self.open_connections.discard(connection)
                 self.idle_connections.discard(connection)
--- a/src/masticgate/connection/_http_connection.py
+++ b/src/masticgate/connection/_http_connection.py
@@ -26,7 +26,7 @@
 class HttpFailure:
     """No complete response was received.
 
-    ``sent`` is whether a part of the request may have been sent.
+    ``sent`` says whether a part of the request may have been sent.
     """
 
     sent: bool
@@ -102,7 +102,7 @@
         self._set_options()
 
     def close(self) -> None:
-        """Close the connection for good."""
+        """Close the connection; only :meth:`reset` makes further requests possible."""
         self.curl.close()
         self._close_socket()
         self.path = ""
@@ -144,7 +144,7 @@
         return self.request_body.read(size)
 
     def _append_to_response(self, chunk: bytes) -> int | None:
-        """Append to the response body; return 0, which ends the request, if too large."""
+        """Append to the response body; return 0, which ends the request, if it gets too large."""
         if self.response_body.tell() + len(chunk) > MAX_BODY_BYTES:
             return 0
         self.response_body.write(chunk)
--- a/src/masticgate/connection/_peer.py
+++ b/src/masticgate/connection/_peer.py
@@ -46,7 +46,7 @@
 
 
 class PeerHandler(Protocol):
-    """Handles the messages of peers, and the opening and closing of links, for a process."""
+    """Handles the messages of peers and the opening and closing of links."""
 
     def hello(self) -> Hello:
         """Return the message by which this host introduces itself on a new link."""
--- a/src/masticgate/connection/_platform.py
+++ b/src/masticgate/connection/_platform.py
@@ -62,7 +62,7 @@
 
 
 class PlatformReader:
-    """Reads from the platform over one connection to each of its two services.
+    """Reads from the platform over one connection to each of its two interfaces.
 
     Only one task may read at a time.
     """
--- a/src/masticgate/connection/_version_structs.py
+++ b/src/masticgate/connection/_version_structs.py
@@ -1,4 +1,4 @@
-"""Functions that convert the messages with configurations to and from Cap'n Proto structs.
+"""Functions that convert messages about configurations to and from Cap'n Proto structs.
 
 Each ``target`` and ``source`` is a struct of ``peer.capnp``. Hosts send each other these messages
 to distribute new versions of the configuration text and of the catalogue.
--- a/src/masticgate/connection/gateway/_caller.py
+++ b/src/masticgate/connection/gateway/_caller.py
@@ -65,8 +65,8 @@
 class CallerState(Enum):
     """The activity of a caller's connection.
 
-    An idle connection waits for a request, one that is reading has received a part of a request,
-    and one that is serving waits for the reply.
+    An idle connection waits for a request, and one that is reading has received a part of one. One
+    that is serving runs the handler or sends the reply.
     """
 
     IDLE = "idle"
@@ -118,6 +118,7 @@
             self._send_reply(request, close=True)
             return False
         if not self.settings.callers_are_gateways:
+            # The network time and the version count only if the caller is a gateway.
             request = replace(
                 request,
                 is_first_on_connection=self.is_first_request,
@@ -222,7 +223,7 @@
 def decode_request(
     parsed: ParsedRequest, header_names: HeaderNames, arrived_at: Millis
 ) -> Request | Refused:
-    """Return the request for the handler, or a refusal if a part of it is missing or invalid."""
+    """Return the request for the handler, or a refusal if its target or Host header is invalid."""
     hosts = [value for name, value in parsed.headers if name.lower() == b"host"]
     if len(hosts) > 1 or (not hosts and parsed.http_version != "1.0"):
         return _refusal(400, Reason.BAD_REQUEST, "exactly one Host header is required")
--- a/src/masticgate/connection/gateway/_client.py
+++ b/src/masticgate/connection/gateway/_client.py
@@ -40,7 +40,7 @@
 class NoResponse:
     """The connection failed or the time ran out before the response was complete.
 
-    ``sent`` is whether a part of the request may have been sent.
+    ``sent`` says whether a part of the request may have been sent.
     """
 
     sent: bool
@@ -49,7 +49,7 @@
 
 @dataclass(frozen=True, slots=True)
 class InvalidResponse:
-    """The received bytes are not a valid HTTP response."""
+    """The received bytes are not a valid HTTP response, or are too many."""
 
     detail: str
 
@@ -67,7 +67,9 @@
 
 
 class HttpClient:
-    """One connection to a server; one task uses it, and any task may :meth:`abort` it.
+    """One connection to a server.
+
+    One task uses it, but any task may call :meth:`send_nowait` and :meth:`abort`.
 
     Once a file descriptor is closed, its number may belong to another connection. The lock keeps
     a task from using the descriptor after another task has closed it.
@@ -163,7 +165,7 @@
         normally. The failure of a send is therefore recorded in ``aborted``, under the lock.
 
         :raises BlockingIOError: the send buffer of the socket is full.
-        :raises OSError: the connection is closed.
+        :raises OSError: the connection is closed or failed.
         """
         with self.lock:
             if self.socket is None:
@@ -179,8 +181,8 @@
     def closed_cleanly(self) -> bool:
         """Return whether the server closed the connection normally.
 
-        To be called after a receive returned no bytes. After a reset, or after :meth:`abort`, the
-        result is ``False``.
+        To be called after a receive returned no bytes. The result is ``False`` after
+        :meth:`abort`, or if a send has failed, for example because of a reset.
         """
         with self.lock:
             return not self.aborted
@@ -238,7 +240,7 @@
 
 
 def _configure_socket(connection: socket.socket) -> None:
-    """Set the options by which the kernel ends a connection to an unreachable server."""
+    """Make the kernel send small messages at once and detect an unreachable server."""
     connection.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
     with suppress(OSError):
         connection.setsockopt(socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1)
--- a/src/masticgate/connection/gateway/_header_names.py
+++ b/src/masticgate/connection/gateway/_header_names.py
@@ -14,8 +14,8 @@
     ``caller_timeout`` names the header with the milliseconds that the sender still waits for the
     answer. ``stamp`` names the header by which a searcher authenticates its answer.
     ``expected_searcher`` names the header with the id of the searcher that the request is meant
-    for. ``load`` names the header with three numbers: how many requests the searcher is running,
-    how many are waiting, and how many it can run at the same time, which are its slots.
+    for. ``load`` names the header with three numbers: the requests that the searcher is running,
+    those that are waiting, and its slots, which is how many it can run at the same time.
     ``not_run`` names the header that marks a request as not run. ``included_stamps`` and
     ``missing_shards`` name the headers of a merged answer with the stamps of its parts and the
     number of shards that are missing from it.
@@ -37,7 +37,7 @@
 NETWORK_TIME_HEADER = b"x-gateway-network-ms"
 """Between gateways: the estimated network time between the caller and the first gateway.
 
-It is a part of the latency objective, in milliseconds, and covers both directions.
+The time is in milliseconds and covers both directions. It counts towards the latency objective.
 """
 
 MISSING_SHARDS_HEADER = b"x-gateway-missing"
--- a/src/masticgate/connection/gateway/_inbox.py
+++ b/src/masticgate/connection/gateway/_inbox.py
@@ -1,4 +1,4 @@
-"""The wait of a caller's connection task for several events at once.
+"""Lets the task of a caller's connection wait for several events at once.
 
 The task waits until calls to searchers finish, the caller closes its connection, or a deadline
 passes.
@@ -40,7 +40,7 @@
         self.poller.register(self.wake_reader, select.POLLIN)
 
     def watch_for_close(self) -> None:
-        """Include the caller's connection in the next polls, to detect that the caller left."""
+        """Include the caller's connection in the next polls, to detect that it is closed."""
         self.poller.register(self.connection, select.POLLIN | CLOSE_EVENTS)
 
     def wake(self) -> None:
@@ -53,7 +53,10 @@
                 os.write(self.wake_writer, b"\0")
 
     def poll(self, deadline: Millis) -> bool:
-        """Wait for a wake-up, at most until ``deadline``; return whether the caller left."""
+        """Wait until woken or until ``deadline``; return whether the caller closed its connection.
+
+        The wait also ends, with ``False``, when the caller sends more bytes.
+        """
         remaining = max(0, ceil(deadline - self.clock.now()))
         for descriptor, events in self.poller.poll(remaining):
             if descriptor == self.wake_reader:
@@ -75,8 +78,8 @@
     def stop_reading(self) -> None:
         """End the input of the connection, also for a read in progress; any task may call this.
 
-        A request that was read just before is still served: that the input ended does not count as
-        the caller closing its connection.
+        A request that was read just before is still served, because the end of the input is then
+        not taken as the caller closing its connection.
         """
         with self.lock:
             self.reading_stopped = True
@@ -125,7 +128,10 @@
         self.batch_size = number
 
     def wait(self, deadline: Millis) -> Call | CallerDisconnected | None:
-        """Return the next finished call, or ``None`` if there is none at ``deadline``."""
+        """Return the next finished call, or ``None`` if there is none at ``deadline``.
+
+        If the caller closes its connection first, the result is ``CallerDisconnected``.
+        """
         while True:
             self.wakeable_socket.waiting = True
             if self.finished:
--- a/src/masticgate/connection/gateway/_listener.py
+++ b/src/masticgate/connection/gateway/_listener.py
@@ -13,8 +13,8 @@
 class Listener:
     """One listening socket and the open connections that it accepted.
 
-    When there are more than ``max_connections``, the one that has waited longest without a
-    complete request is closed.
+    When there are more than ``max_connections``, the connection is closed that became idle, or
+    began to read a request, the longest time ago.
     """
 
     def __init__(
@@ -85,7 +85,7 @@
         caller.wakeable_socket.close()
 
     def _close_longest_waiting(self, newest: CallerConnection) -> None:
-        """Close the connection that has waited longest without a complete request, if any."""
+        """Close the idle or reading connection whose state changed the longest time ago, if any."""
         with self.lock:
             waiting = [
                 caller
--- a/src/masticgate/connection/gateway/_parser.py
+++ b/src/masticgate/connection/gateway/_parser.py
@@ -51,7 +51,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Malformed:
-    """The received bytes are not a valid HTTP message."""
+    """The received bytes are not an HTTP message that the parser accepts."""
 
     detail: str
 
@@ -145,7 +145,10 @@
             self.headers.append((name, value))
 
     def on_headers_complete(self) -> None:
-        """Check the size of the head and the size of the body that it announces."""
+        """Check the size of the head and the size of the body that it announces.
+
+        Also record whether the caller waits for a ``100 Continue`` before it sends the body.
+        """
         self.in_body = True
         size = sum(len(name) + len(value) + 4 for name, value in self.headers)
         if size + len(self.target) > self.header_bytes:
--- a/src/masticgate/connection/gateway/_response_parser.py
+++ b/src/masticgate/connection/gateway/_response_parser.py
@@ -1,4 +1,4 @@
-"""A parser for HTTP/1.1 responses, based on httptools, that rejects mixed responses.
+"""A parser for HTTP/1.1 responses, based on httptools, that rejects truncated responses.
 
 If a server stops within a response and then sends another, the bytes of the second would complete
 the first. The parser detects this by the head of the second response within the first one.
@@ -34,9 +34,9 @@
 """
 
 EXTRA_HEAD_BYTES = 256
-"""Added to twice the size of a response's headers: the length of a possible head that is checked.
+"""Added to twice the size of a response's own headers: how many bytes of its body are checked.
 
-A possible head begins at a status line in the body of the response.
+The check starts at a status line in the body and looks for the head of another response.
 """
 
 MAX_CHUNK_OVERHEAD = 0.5
@@ -50,8 +50,8 @@
 class ParsedResponse:
     """One complete response as received.
 
-    ``headers_by_name`` holds the headers by their names in lower case. ``repeated_names`` are the
-    names of headers that occur more than once; the last value of each is kept.
+    ``headers_by_name`` maps each header name, in lower case, to its last value. ``repeated_names``
+    are the names of headers that occur more than once.
     """
 
     status: int
@@ -108,7 +108,8 @@
     def feed_eof(self) -> None:
         """Complete a response that states no length, which ends with its connection.
 
-        To be called only if the server closed the connection normally.
+        To be called only if the server closed the connection normally. A response whose body
+        contains the head of another one is not completed.
         """
         if (
             self.in_message
@@ -176,7 +177,7 @@
         self._queue_response(framing, keep_alive=self.parser.should_keep_alive())
 
     def _contains_head(self) -> bool:
-        """Return whether the body contains the head of another response or a beginning of one."""
+        """Return whether the body contains the head of another response or the beginning of one."""
         body = b"".join(self.chunks)
         if b"HTTP/" not in body:
             return False
@@ -206,7 +207,7 @@
         )
 
     def _ends_in_status_line(self, body: bytes) -> bool:
-        """Return whether the body ends with a beginning of this response's status line."""
+        """Return whether the body ends with the beginning of a status line like this response's."""
         version = self.parser.get_http_version().encode()
         line = b"HTTP/%s %d %s\r" % (version, self.parser.get_status_code(), self.reason_phrase)
         return body.endswith(
--- a/src/masticgate/connection/gateway/_searcher_task.py
+++ b/src/masticgate/connection/gateway/_searcher_task.py
@@ -49,7 +49,10 @@
 
 @dataclass(frozen=True, slots=True)
 class SkippedResponse:
-    """A complete response arrived that has another id than the awaited one, or no id."""
+    """A complete response arrived that is not the expected one.
+
+    Its id is missing or differs, or it has more than one id or stamp.
+    """
 
     response_id: RequestId
     expected_id: RequestId
@@ -73,7 +76,7 @@
 
 
 class SearcherTaskHandler(Protocol):
-    """Handles the events of the connections to searchers, from any of their tasks."""
+    """Handles the events of connections to searchers; their tasks call it concurrently."""
 
     def handle_open(self, task: "SearcherTask") -> None:
         """Handle the opening of a connection that has no call yet and is idle."""
@@ -89,7 +92,7 @@
         ...
 
     def handle_close(self, task: "SearcherTask", *, connected: bool) -> None:
-        """Handle the end of the task; ``connected`` is whether its connection was opened."""
+        """Handle the end of the task; ``connected`` says whether its connection was opened."""
         ...
 
     def record_violation(self, task: "SearcherTask", violation: ProtocolViolation) -> None:
@@ -102,8 +105,8 @@
 
     ``initial_call`` is the call that the connection is opened for, if any. ``number`` identifies
     the connection in log lines. ``skipped`` counts the responses that were skipped since the
-    last answered call. ``idle_since`` and ``keep_alive_timeout`` are guarded by the lock of the
-    handler.
+    last answered call. The handler sets ``idle_since``; it reads ``idle_since`` and
+    ``keep_alive_timeout`` only while the connection is idle.
     """
 
     def __init__(
@@ -257,8 +260,9 @@
                 return Lost(self.searcher, True, f"bad response: {problem.detail}")
 
     def _handle_responses(self, *, reusable: bool) -> bool:
-        """Complete the call with the response that has its id; skip others, which are late.
+        """Complete the call with the response to it; skip others, such as late ones.
 
+        ``reusable`` says that the received bytes were valid and did not end within a response.
         Return ``False`` if the connection has to be closed.
         """
         responses, self.parser.ready = self.parser.ready, []
