--- a/tests/gateway/endless_responses.py
+++ b/tests/gateway/endless_responses.py
@@ -1,6 +1,6 @@
 """Responses that never end, and a server that sends them.
 
-They test that a client bounds the bytes and the time that it spends on a response.
+Tests use them to check that a client bounds the bytes and the time that it spends on a response.
 """
 
 import socket
--- a/tests/gateway/test_connection_races.py
+++ b/tests/gateway/test_connection_races.py
@@ -1,4 +1,4 @@
-"""Races between tasks that use one connection, of which one closes, cancels or sends.
+"""Races between two tasks, one of which closes a connection, cancels its call or sends on it.
 
 No byte may be sent to another connection, and no request may be lost.
 """
--- a/tests/gateway/test_endless_responses.py
+++ b/tests/gateway/test_endless_responses.py
@@ -272,8 +272,8 @@
             assert clock.current < 2 * SHORT_TIMEOUT
             assert server.closed.wait(MAX_WAIT_S)
 
-    # Guards against a connection that stays open although more responses arrived in one receive
-    # with the first, which were dropped.
+    # Guards against a connection that stays open although further responses, which are dropped,
+    # arrived in the same receive as the first.
     @pytest.mark.parametrize("name", ENDLESS_SEQUENCES)
     def test_responses_after_the_first_end_connection(self, name):
         repeated = ENDLESS_SEQUENCES[name].repeated
--- a/tests/gateway/test_header_numbers.py
+++ b/tests/gateway/test_header_numbers.py
@@ -1,4 +1,4 @@
-"""Numbers in headers that have too many digits, which count as not stated."""
+"""Headers are ignored if their number has too many digits."""
 
 import pytest
 
@@ -6,7 +6,7 @@
 from .loopback import RawCaller, StandInSearcher, reply_to, running_gateway
 
 NUMBER_LENGTHS = [400, 5_000]
-"""The digits of a number that is too large for a float, and of one that Python refuses to parse."""
+"""How many digits a number has that is too large for a float, or that Python refuses to parse."""
 
 
 def get_two_statuses(extra: bytes) -> list[int]:
--- a/tests/gateway/test_irregular_responses.py
+++ b/tests/gateway/test_irregular_responses.py
@@ -1,4 +1,4 @@
-"""Tests of the records that connections make of bytes that belong to none of their calls."""
+"""Tests that connections report bytes that belong to none of their calls."""
 
 import json
 import threading
@@ -142,7 +142,8 @@
 
 
 class TestFailingTask:
-    # Guards against a call without an outcome, and a connection that counts as in use for ever.
+    # Guards against a call without an outcome, and a connection that counts as in use for ever, if
+    # the task ends with an exception. Here the missing parser causes it.
     def test_error_ends_call_and_connection(self):
         near, far = connect_pair()
         handler = RecordingHandler()
--- a/tests/gateway/test_response_matching.py
+++ b/tests/gateway/test_response_matching.py
@@ -1,7 +1,7 @@
 """Tests that a call gets the complete response to its own request, or none.
 
 This holds whatever other bytes its connection carries: late, repeated, truncated and interim
-responses, and invalid bytes. Most tests run drawn exchanges on a real connection.
+responses, and invalid bytes. Most tests run exchanges drawn by Hypothesis, on a real connection.
 """
 
 import random
@@ -185,7 +185,7 @@
     """A real connection, over which one thread runs exchanges by a script.
 
     The gateway's end is a ``SearcherTask``, which uses this object as its handler; ``far`` is the
-    searcher's end. ``calls`` has each exchange that was run, and its call. ``last_call`` is the
+    searcher's end. ``calls`` holds each exchange that was run, with its call. ``last_call`` is the
     call to use for the last exchange; without it, one is made.
     """
 
@@ -344,7 +344,7 @@
 class SentPart:
     """Some of the bytes that a searcher sends.
 
-    ``ends_with_close`` is whether they are a response that the end of the connection ends.
+    ``ends_with_close`` says whether they are a response that extends to the end of its connection.
     ``missing_bytes`` is the number of bytes that a truncated response lacks.
     """
 
@@ -358,7 +358,7 @@
     for index, part in enumerate(sent_parts):
         later_parts = sent_parts[index + 1 :]
         # A response without a length extends to the end of its connection. After an orderly end,
-        # nothing shows that the response is truncated, or where other bytes follow it.
+        # nothing shows that the response is truncated, or where the bytes that follow it begin.
         if (
             part.ends_with_close
             and end is ConnectionEnd.ORDERLY
@@ -421,8 +421,8 @@
     """Draw what a searcher sends when a response is due.
 
     It is a response, or interim or invalid bytes and a response, or a response with another request
-    id or with none. ``truncation_weight`` is how often it is a truncated response, among ten other
-    choices.
+    id or with none. ``truncation_weight`` is the weight of a truncated response; the other choices
+    have a weight of ten together.
     """
     match draw(st.sampled_from(FIRST_PART_KINDS + ["truncated"] * truncation_weight)):
         case "interim":
@@ -650,8 +650,8 @@
             byte_by_byte,
         )
 
-    # Guards against an answer with the ids and stamps of two requests, of which the first comes
-    # from a truncated response to another request.
+    # Guards against an answer that has, besides its own id and stamp, those of a truncated response
+    # to another request.
     def test_headers_of_truncated_response_are_not_used_for_next_one(self):
         earlier, response = (
             PlannedResponse("q0", 200, b""),
