--- a/tests/gateway/test_fleet.py
+++ b/tests/gateway/test_fleet.py
@@ -163,7 +163,7 @@
         fleet.apply_listing(make_entry("a", phase=SearcherPhase.READY))
         assert send(fleet).reason is Reason.NO_SEARCHER
 
-    def test_restart_under_same_id_is_used_again(self):
+    def test_uses_searcher_restarted_under_same_id(self):
         clock = ManualClock()
         fleet = make_fleet(clock)
         fleet.apply_listing(make_entry("a"))
--- a/tests/gateway/test_refused_tasks.py
+++ b/tests/gateway/test_refused_tasks.py
@@ -21,7 +21,7 @@
 from .test_buffers import UnreadInbox, connect_pair
 
 
-class SaturatedPool:
+class PoolWithBusyTask:
     """A task pool with one busy task, in a process that can be kept from starting threads."""
 
     def __init__(self, monkeypatch: pytest.MonkeyPatch) -> None:
@@ -51,7 +51,7 @@
 
 @pytest.fixture
 def pool(monkeypatch):
-    return SaturatedPool(monkeypatch)
+    return PoolWithBusyTask(monkeypatch)
 
 
 def serve_page(request, inbox):
