--- a/src/masticgate/request/gateway/_attempts.py
+++ b/src/masticgate/request/gateway/_attempts.py
@@ -25,11 +25,11 @@
 class Attempts:
     """Sends one request to searchers of one service, at most as often as the route allows.
 
-    ``tried`` holds the searchers to which the request was sent. ``reached_searcher`` says whether
-    one of them may have received it, and ``possibly_ran`` whether one may have run it, both
-    according to the outcomes so far. ``cancelled_after_start`` says whether an attempt was
-    cancelled after sending may have begun. ``failure`` is the latest reason for which there is no
-    answer, and ``repeat_failure`` the reason for which the latest repeat was not sent.
+    ``tried`` holds the searchers of all attempts. ``reached_searcher`` says whether one of them may
+    have received the request, and ``possibly_ran`` whether one may have run it, both according to
+    the outcomes so far. ``cancelled_after_start`` says whether an attempt was cancelled after
+    sending may have begun. ``failure`` is the latest failure of an attempt, and ``repeat_failure``
+    says why the budget or the upstream client last refused a repeat.
     """
 
     def __init__(
@@ -75,7 +75,10 @@
 
     @property
     def may_have_run(self) -> bool:
-        """Return whether a searcher may have run the request; final after :meth:`cancel`."""
+        """Return whether a searcher may have run the request.
+
+        Attempts in flight do not count until :meth:`cancel` is called.
+        """
         return self.possibly_ran or self.cancelled_after_start
 
     def send_first(self) -> bool:
@@ -85,7 +88,7 @@
     def send_hedge(self) -> bool:
         """Send a hedge to another searcher, if the route's limit and the budget allow it.
 
-        At most one hedge is sent. Return whether it was.
+        Only the first call may send one. Return whether it was sent.
         """
         if self.hedged:
             return False
@@ -93,7 +96,7 @@
         return self._repeat(Repeat.HEDGE)
 
     def handle_outcome(self, call: Call) -> bool:
-        """Record the outcome of ``call``; return ``False`` if it is not one of these attempts."""
+        """Record the outcome of ``call``; return ``False`` if it is not an attempt in flight."""
         in_flight_call = self.in_flight_calls.pop(id(call), None)
         if in_flight_call is None:
             return False
@@ -113,16 +116,19 @@
         return True
 
     def retry(self) -> bool:
-        """Send a retry after a failure, if the route's limit and the budget allow it."""
+        """Send a retry after a failure, if the route's limit and the budget allow it.
+
+        Return whether it was sent.
+        """
         return self._repeat(Repeat.RETRY)
 
     def build_failure(self) -> NotRun:
-        """Return the reason for which there is no answer, with the number of attempts."""
+        """Return the latest failure, with the number of attempts in its detail."""
         detail = "; ".join(filter(None, (self.failure.detail, self.describe_attempts())))
         return replace(self.failure, detail=detail)
 
     def describe_attempts(self) -> str:
-        """Return the number of attempts, and the reason for which a repeat was not sent."""
+        """Return the number of attempts, and why a repeat was refused, if one was."""
         if self.repeat_failure is None:
             return f"attempts: {self.attempt_count}"
         return f"attempts: {self.attempt_count}, repeat {describe_failure(self.repeat_failure)}"
--- a/src/masticgate/request/gateway/_exchange.py
+++ b/src/masticgate/request/gateway/_exchange.py
@@ -32,8 +32,8 @@
     ``arrived_at``, in milliseconds. ``is_first_on_connection`` says whether this is the first
     request on its connection. ``network_time`` is the estimated time that the request and its
     answer spend on the network between caller and gateway; the route's objective includes it.
-    ``version`` is set if another gateway sent the request: it is the version of the configuration
-    with which the request has to be served.
+    ``version`` is set if one gateway forwards the request to another: it is the version of the
+    configuration by which the other gateway has to serve the request.
     """
 
     id: RequestId
@@ -186,7 +186,10 @@
         ...
 
     def set_batch_size(self, number: int) -> None:
-        """End a wait only when ``number`` calls, or one without success, have finished."""
+        """Wake the waiting task only once ``number`` calls, or one without success, have finished.
+
+        A wait that begins when a call has already finished returns at once.
+        """
         ...
 
     def wait(self, deadline: Millis) -> Call | CallerDisconnected | None:
--- a/src/masticgate/request/gateway/_forward.py
+++ b/src/masticgate/request/gateway/_forward.py
@@ -58,7 +58,7 @@
             self.hedge_at = Millis(request.arrived_at + upstream.hedge_delay(route))
 
     def run(self) -> Reply:
-        """Wait for an answer, at most to the deadline, and return the reply."""
+        """Send the request, wait for an answer until the deadline, and return the reply."""
         self.attempts.send_first()
         while self.attempts.pending and self.upstream.now() < self.deadline:
             wake_at = self.deadline if self.hedge_at is None else min(self.deadline, self.hedge_at)
--- a/src/masticgate/request/gateway/_gather.py
+++ b/src/masticgate/request/gateway/_gather.py
@@ -73,7 +73,10 @@
         self.answered: list[Attempts] = []
 
     def run(self) -> Reply:
-        """Wait until every shard has answered or the time is up, and return the reply."""
+        """Send the query to all shards, wait for their answers, and return the reply.
+
+        The wait ends when no attempt for an unanswered shard is in flight, or the time is up.
+        """
         for attempts in self.unanswered:
             attempts.send_first()
         while not self._is_finished():
--- a/src/masticgate/request/gateway/_reply.py
+++ b/src/masticgate/request/gateway/_reply.py
@@ -25,9 +25,9 @@
     ``stamps`` holds the stamps that authenticate the merged answers, and ``missing`` counts the
     shards without an answer. ``missing_causes`` and ``irregular_parts`` are for the log.
     ``missing_causes`` says why some of these shards are missing or, if another gateway merged the
-    answers, names that gateway. ``irregular_parts`` describes how some of the merged answers were
-    received whose end was marked only by the end of the connection, or before which answers to
-    other requests were discarded.
+    answers, names that gateway. ``irregular_parts`` describes how some irregular answers were
+    received. An answer is irregular if only the end of the connection marked its end, or if answers
+    to other requests were discarded before it.
     """
 
     stamps: tuple[str, ...]
