--- a/src/masticgate/process/gateway/_fleet.py
+++ b/src/masticgate/process/gateway/_fleet.py
@@ -83,7 +83,10 @@
     task: SearcherTask
 
     def cancel(self) -> None:
-        """Cancel the call and close its connection, so that the searcher drops the request."""
+        """Cancel the call, so that the searcher drops the request or never receives it.
+
+        The connection is closed if the call was started; otherwise the call is not sent.
+        """
         self.task.cancel(self.call)
 
 
@@ -95,10 +98,10 @@
     closes the connections. The tasks of the connections call the ``handle_`` methods and
     :meth:`record_violation`.
 
-    ``accepted_connections`` has, for each service, the number of connections that one searcher
-    accepts from all gateways together. ``drained_start_times`` has the start time of each searcher
-    that drained, so that a listing of the same start that arrives late does not put the searcher
-    back into use.
+    ``accepted_connections`` maps each service to the number of connections that one of its
+    searchers accepts from all gateways together. ``drained_start_times`` maps each searcher that
+    drained to its start time, so that a late listing of the same start does not put it back into
+    use.
     """
 
     def __init__(
@@ -130,7 +133,10 @@
         self.hedge_delays = HedgeDelays()
 
     def apply_settings(self, settings: GatewaySettings) -> None:
-        """Apply changed settings to the present and future budgets for repeats."""
+        """Apply changed settings.
+
+        Existing budgets for repeats get the new ratio and slack, but keep their window.
+        """
         with self.lock:
             self.settings = settings
             self.budgets.bounds = settings.repeats
@@ -307,7 +313,7 @@
     def remove_searcher(
         self, searcher: SearcherId, why: str, usable_time: Millis | None = None
     ) -> None:
-        """Stop using a searcher whose listing was removed; ``why`` is written to the log.
+        """Stop using a searcher; ``why`` is written to the log.
 
         It is still used for ``usable_time`` if there is no other; the default is
         ``LAST_RESORT_SHARE`` of the ``drain`` setting.
@@ -399,7 +405,8 @@
     def _expire_idle(self, replica: Replica, now: Millis) -> None:
         """Close idle connections before their searcher does; the lock is held.
 
-        Replace them if the searcher was used recently or is to be kept warm.
+        Replace one if the searcher was used recently or is to be kept warm, and has at most two
+        connections.
         """
         for task in list(replica.idle):
             idle_timeout = (
--- a/src/masticgate/process/gateway/_follower.py
+++ b/src/masticgate/process/gateway/_follower.py
@@ -30,8 +30,7 @@
 WATCH_TIMEOUT = Millis(1_800.0)
 """How long one watch waits for changes.
 
-An unresponsive connection is noticed within this time plus the short time for which the client of
-the source waits beyond it.
+An unresponsive source is noticed within this time plus the short margin that its client adds.
 """
 
 BATCH_INTERVAL = Millis(400.0)
@@ -67,9 +66,9 @@
 class Follower:
     """Keeps the route table and the fleet up to date; :meth:`run` is its task.
 
-    While the platform is unavailable, the last known state stays in force. ``held_searchers`` has
-    the searchers whose listing was removed while or just after the platform was unavailable; they
-    stay in use until ``RELIST_TIMEOUT`` has passed.
+    While the platform is unavailable, the last known state stays in force. ``held_searchers`` are
+    the searchers whose listing was found missing just after the platform became available again;
+    they stay in use until ``RELIST_TIMEOUT`` has passed.
     """
 
     def __init__(
--- a/src/masticgate/process/gateway/_gateway.py
+++ b/src/masticgate/process/gateway/_gateway.py
@@ -127,7 +127,11 @@
         self.peers.start()
 
     def reload(self, settings: GatewaySettings) -> None:
-        """Apply changed settings, except for the addresses to listen on."""
+        """Apply changed settings to the fleet and to the stop of the process.
+
+        The addresses, the host id and the settings of :class:`Peers` stay as they were at the
+        start.
+        """
         self.settings = settings
         self.fleet.apply_settings(settings)
         self.log.write(LogEvent.RELOADED, grace_ms=settings.grace, drain_ms=settings.drain)
--- a/src/masticgate/process/gateway/_log.py
+++ b/src/masticgate/process/gateway/_log.py
@@ -66,7 +66,7 @@
 class EventLog:
     """Queues log lines; :meth:`run` is the task that writes them to ``descriptor``.
 
-    ``line_counts`` counts the lines of each event in the present window, also the dropped ones.
+    ``line_counts`` counts the lines of each event in the present window, including dropped ones.
     """
 
     def __init__(self, host: HostId, clock: Clock, descriptor: int = STANDARD_OUTPUT) -> None:
--- a/src/masticgate/process/gateway/_metrics.py
+++ b/src/masticgate/process/gateway/_metrics.py
@@ -7,13 +7,13 @@
 from ..._ids import Millis
 
 BUCKETS_MS = (2, 5, 10, 15, 20, 30, 40, 50, 65, 80, 100, 130, 170, 250, 400, 700, 1_200, 2_500)
-"""The upper bounds of the histogram buckets, closest together around the search objectives."""
+"""The upper bounds of the histogram buckets, closest together around the latency objectives."""
 
 PREFIX = "masticgate"
 
 
 class Histogram:
-    """Counts of latencies by bucket, and their sum."""
+    """The number of latencies in each bucket, and the sum of all latencies."""
 
     def __init__(self) -> None:
         self.counts = [0] * (len(BUCKETS_MS) + 1)
--- a/src/masticgate/process/gateway/_peers.py
+++ b/src/masticgate/process/gateway/_peers.py
@@ -114,9 +114,9 @@
 class Peers:
     """The state of the other gateways, as far as this gateway knows it.
 
-    ``last_heartbeats`` has the time of the last heartbeat from each gateway; only a seed receives
-    them. ``relay_domains`` has the failure domain of each seed that relays the platform's
-    catalogue. ``members`` is the number of running gateways.
+    ``last_heartbeats`` maps each gateway to the time of its last heartbeat; only a seed receives
+    them. ``relay_domains`` maps each seed that relays the platform's catalogue to its failure
+    domain. ``members`` is the number of running gateways.
     """
 
     def __init__(
--- a/src/masticgate/process/gateway/_relay.py
+++ b/src/masticgate/process/gateway/_relay.py
@@ -188,9 +188,9 @@
     def watch(self, after: Revision, wait: Millis) -> Changes | HistoryGone | Unavailable:
         """Wait at most ``wait`` for changes after the revision ``after``, and return them.
 
-        Return :class:`HistoryGone` to make the caller read the whole catalogue from another source:
-        if the present relay fails or no longer relays, or if the platform is the present source and
-        a relay may be used again.
+        Return :class:`HistoryGone`, so that the caller reads the whole catalogue again, if the
+        present relay fails, no longer relays or no longer has the changes, or if the platform is
+        the present source and a relay may be used again.
         """
         if self.client is None:
             if self.relays() and self.clock.now() >= self.relay_retry_at:
--- a/src/masticgate/process/gateway/_repeat_budgets.py
+++ b/src/masticgate/process/gateway/_repeat_budgets.py
@@ -30,7 +30,7 @@
         return window
 
     def record_request(self, service: ServiceId, now: Millis) -> None:
-        """Record the first attempt of a request."""
+        """Record an attempt that is not a repeat."""
         self.window(service).record_request(now)
 
     def spend(self, service: ServiceId, now: Millis, reserve: float = 0.0) -> bool:
--- a/src/masticgate/process/gateway/_repeat_window.py
+++ b/src/masticgate/process/gateway/_repeat_window.py
@@ -28,7 +28,7 @@
         self.requests: deque[tuple[int, int]] = deque()
 
     def record_request(self, now: Millis) -> None:
-        """Record the first attempt of a request."""
+        """Record an attempt that is not a repeat."""
         bucket = self._bucket(now)
         if self.requests and self.requests[-1][0] == bucket:
             self.requests[-1] = (bucket, self.requests[-1][1] + 1)
--- a/src/masticgate/process/gateway/_replica.py
+++ b/src/masticgate/process/gateway/_replica.py
@@ -180,7 +180,7 @@
             self.usable_until = usable_until
 
     def restore(self) -> None:
-        """Make the searcher active again, since its listing was missing only for a while."""
+        """Make a leaving or gone searcher active again."""
         if self.state in (ReplicaState.LEAVING, ReplicaState.GONE):
             self.state = ReplicaState.ACTIVE
             self.consecutive_failures = 0
--- a/src/masticgate/process/gateway/_service.py
+++ b/src/masticgate/process/gateway/_service.py
@@ -44,10 +44,10 @@
 class WeightedRoundRobin:
     """Distributes the requests of a route among services by smooth weighted round robin.
 
-    ``credits`` has, for each route and configuration version, the credit of each service: every
-    request adds to each credit the weight of the service, and then subtracts the sum of the weights
-    from the highest credit, whose service is chosen.
-    The credits start at random values, so that not every gateway starts with the same service.
+    ``credits`` maps each route, with its configuration version, to the credits of its services.
+    Each request adds to every credit the weight of the service. The service with the highest credit
+    is chosen, and the sum of the weights is subtracted from its credit. The credits start at random
+    values, so that not every gateway starts with the same service.
     """
 
     def __init__(self) -> None:
@@ -123,7 +123,7 @@
     def handle_peer(self, request: Request, inbox: Inbox) -> Reply:
         """Return the reply to a request of another gateway.
 
-        It is a heartbeat, a read or watch of the catalogue, or a query to gather by the
+        The request is a heartbeat, a read or watch of the catalogue, or a query to gather by the
         configuration version that it names.
         """
         if request.host == HEARTBEAT_HOST:
@@ -172,6 +172,7 @@
     ) -> Reply:
         """Gather the query in this gateway, or forward it to another gateway that gathers it.
 
+        To gather a query is to send it to all its shards and to merge the answers.
         If no other gateway began to gather it, it is gathered here. If the other gateway was lost
         while it gathered, the query is gathered again here, if the budget for repeats allows it.
         """
--- a/src/masticgate/process/gateway/_settings.py
+++ b/src/masticgate/process/gateway/_settings.py
@@ -43,5 +43,8 @@
 
     @property
     def is_seed(self) -> bool:
-        """Return whether this gateway gathers queries and relays the catalogue for others."""
+        """Return whether this gateway is a seed.
+
+        If there are many gateways, the seeds gather queries and relay the catalogue for the others.
+        """
         return self.peer_address is not None and self.peer_address in self.seeds
--- a/src/masticgate/process/gateway/_shares.py
+++ b/src/masticgate/process/gateway/_shares.py
@@ -28,8 +28,8 @@
     """The numbers that determine one gateway's share.
 
     ``gateways`` is the number of running gateways and ``gatherers`` the number of those that gather
-    queries over many shards. ``keeps_warm`` is whether this gateway keeps a connection open to each
-    searcher of a shard.
+    queries over many shards. ``keeps_warm`` says whether this gateway keeps a connection open to
+    each searcher of a shard.
     """
 
     gateways: int
@@ -39,7 +39,7 @@
     def max_connections(self, accepted: int, *, shard: bool) -> int:
         """Return this gateway's share of the connections that one searcher accepts.
 
-        ``shard`` is whether the searcher serves a shard; then only gatherers connect to it.
+        ``shard`` says whether the searcher serves a shard; then only gatherers connect to it.
         """
         return max(1, accepted // self._gateway_count(shard))
 
--- a/src/masticgate/process/gateway/_task_pool.py
+++ b/src/masticgate/process/gateway/_task_pool.py
@@ -106,5 +106,8 @@
         )
 
     def _make_executor(self) -> ThreadPoolExecutor:
-        """Return an executor with threads for all tasks and for as many that are just ending."""
+        """Return an executor with two threads for each task.
+
+        A task that has ended may still occupy its thread when the next one is started.
+        """
         return ThreadPoolExecutor(2 * self.max_tasks)
