--- a/tests/gateway/fakes.py
+++ b/tests/gateway/fakes.py
@@ -159,11 +159,12 @@
 class ScriptedUpstream:
     """An upstream client and an inbox in one, with scripted outcomes.
 
-    ``plans`` has, for each service, the delay in milliseconds and the outcome of each attempt, in
-    order. An outcome is the body of an answer, an error status, or one of these strings:
-    ``"declined"`` by the searcher, ``"lost"`` after the request was sent, ``"unsent"`` because the
-    connection was refused, and ``"silent"`` if there never is an outcome. ``repeats`` is the number
-    of hedges and retries that are allowed. The caller disconnects at ``disconnects_at``, if set.
+    ``plans`` maps each service to the delays in milliseconds and the outcomes of its attempts, in
+    order; a further attempt finds no searcher. An outcome is the body of an answer, an error
+    status, or one of these strings: ``"declined"`` by the searcher, ``"lost"`` after the request
+    was sent, ``"unsent"`` because the connection was refused, and ``"silent"`` if there never is an
+    outcome. ``repeats`` is the number of hedges and retries that are still allowed. The caller
+    disconnects at ``disconnects_at``, if set.
     """
 
     def __init__(self, plans: dict[str, list[tuple[float, object]]], repeats: int = 100) -> None:
--- a/tests/gateway/loopback.py
+++ b/tests/gateway/loopback.py
@@ -34,7 +34,7 @@
 
 
 def head_value(head: bytes, name: bytes) -> bytes:
-    """Return the value of the header ``name`` (in lower case), or no bytes if there is none."""
+    """Return the value of a header, or ``b""`` if there is none; ``name`` is in lower case."""
     for line in head.split(b"\r\n"):
         key, _, value = line.partition(b": ")
         if key.lower() == name:
@@ -43,7 +43,7 @@
 
 
 def reply_to(head: bytes, body: bytes = b"ok", status: int = 200, extra: bytes = b"") -> bytes:
-    """Return a response with a stamp, and with the request id that ``head`` has."""
+    """Return a response with a stamp and with the request id in ``head``."""
     identity = head_value(head, b"x-id")
     return b"HTTP/1.1 %d X\r\nx-id: %s\r\nx-stamp: s\r\n%sContent-Length: %d\r\n\r\n%s" % (
         status,
@@ -121,9 +121,9 @@
 
 
 class BreakingSearcher(StandInSearcher):
-    """A searcher that ends the connection within every second answer.
+    """A searcher that ends the connection before the end of every second answer.
 
-    The number of bytes that it sends before that varies. ``resets`` is whether it resets the
+    The number of bytes that it sends before that varies. ``resets`` says whether it resets the
     connection instead of closing it normally.
     """
 
--- a/tests/gateway/soak.py
+++ b/tests/gateway/soak.py
@@ -35,7 +35,7 @@
 """The time from the request to stop a gateway until its process is killed."""
 
 SETTLE_S = 4.0
-"""How long after the last fault at a gateway time limits do not apply to it, in seconds."""
+"""How long a gateway may take to recover from a fault."""
 
 MAX_ATTEMPTS = 2
 """The maximum number of searchers to which one request is sent, for each shard."""
@@ -166,7 +166,7 @@
 
     ``fault_rate`` raises the rates of refusals, lost responses and response faults.
     ``extra_delay_s`` is the delay of each run in addition to 2 ms. ``runs`` has the id and the time
-    of each request that was run, and ``lost_requests`` the ids of those whose response was lost.
+    of each request that was run, and ``lost_requests`` the ids of requests whose response was lost.
     ``drain_started_at`` is when the searcher was listed as draining, if it was.
     """
 
@@ -203,12 +203,15 @@
                 late_bytes = planned.late_bytes
 
     def record_lost(self, request: str) -> None:
-        """Record that the response to a request that was run is lost."""
+        """Record that the response to a request is lost."""
         if request not in self.lost_requests:
             self.lost_requests.append(request)
 
     def handle_request(self, head: bytes) -> PlannedResponse:
-        """Run a request, or refuse it because of its searcher id or at random."""
+        """Run a request and plan the response.
+
+        Refuse the request if it is meant for another searcher, and others at random.
+        """
         request = request_id(head)
         if head_value(head, b"x-masticgate-expected-instance").decode() != self.identity:
             return self.plan_response(self.make_response(request, 421, b"", b""))
@@ -230,8 +233,8 @@
     def plan_response(self, response: bytes, request: str = "") -> PlannedResponse:
         """Plan to send a response once, or at random with a fault.
 
-        ``request`` is the id of the request if it was run, and empty if it was refused. Only the
-        response to a request that was run may be lost.
+        ``request`` is the id of the request if it was run, and empty if it was refused. A refusal
+        is never truncated.
         """
         if self.rng.random() > BASE_FAULT_RATE + self.fault_rate / 2:
             return PlannedResponse(response)
@@ -618,7 +621,7 @@
         return reply.status == 502 and self.lost_count(reply.request) == max_losses
 
     def lost_count(self, request: str) -> int:
-        """Return how many searchers ran a request and lost the response."""
+        """Return how many searchers lost their response to a request."""
         return sum(searcher.lost_requests.count(request) for searcher in self.searchers)
 
     def check_replies(self) -> None:
--- a/tests/gateway/test_fleet.py
+++ b/tests/gateway/test_fleet.py
@@ -284,8 +284,8 @@
                 if spend(ORDERS):
                     repeats.append(clock.now())
         for start in range(0, 20_000, 500):
-            # A repeat is bounded by the requests of the window that ends with it, which may have
-            # begun before this one. The slack is shared by at least 8 gateways.
+            # A repeat is bounded by the requests of the 10 s that end with it, which may begin
+            # before ``start``. The slack is shared by at least 8 gateways.
             spent = sum(start <= at <= start + 10_000 for at in repeats)
             max_requests = max(
                 sum(begin <= at <= begin + 10_000 for at in requests)
--- a/tests/gateway/test_gather.py
+++ b/tests/gateway/test_gather.py
@@ -1,4 +1,4 @@
-"""Tests for a query that is gathered from many shards."""
+"""Tests for queries that are sent to many shards, whose answers are merged."""
 
 from dataclasses import replace
 
--- a/tests/gateway/test_relay.py
+++ b/tests/gateway/test_relay.py
@@ -100,7 +100,10 @@
 
 
 class FixedPlatform:
-    """A platform that publishes one configuration and no searchers; it counts its reads."""
+    """A platform that counts the reads of its catalogue, which is empty.
+
+    Only ``read_table`` returns a configuration.
+    """
 
     def __init__(self) -> None:
         self.reads = 0
--- a/tests/gateway/test_soak.py
+++ b/tests/gateway/test_soak.py
@@ -13,8 +13,8 @@
 SEED = int(os.environ.get("MASTICGATE_SOAK_SEED", "1"))
 SHORT_RUN_S = 6.0
 FAILED_SEEDS = [
-    # The check of recovery reported a fault of the gateway that was none: both searchers to which a
-    # request for /one/ may be sent ran it, and both responses were among the 2 % always lost.
+    # The recovery check wrongly reported a fault of the gateway: both searchers to which a request
+    # for /one/ may be sent ran it, and both responses were among the 2 % always lost.
     301,
     315,
     # A retry found no searcher, since the other one of two had just been ejected.
