--- a/tests/gateway/test_fleet.py
+++ b/tests/gateway/test_fleet.py
@@ -163,7 +163,7 @@
         fleet.apply_listing(make_entry("a", phase=SearcherPhase.READY))
         assert send(fleet).reason is Reason.NO_SEARCHER
 
-    def test_restart_under_same_id_is_used_again(self):
+    def test_uses_searcher_restarted_under_same_id(self):
         clock = ManualClock()
         fleet = make_fleet(clock)
         fleet.apply_listing(make_entry("a"))
@@ -284,8 +284,8 @@
                 if spend(ORDERS):
                     repeats.append(clock.now())
         for start in range(0, 20_000, 500):
-            # A repeat is bounded by the requests of the window that ends with it, which may have
-            # begun before this one. The slack is shared by at least 8 gateways.
+            # A repeat is bounded by the requests of the 10 s that end with it, which may begin
+            # before ``start``. The slack is shared by at least 8 gateways.
             spent = sum(start <= at <= start + 10_000 for at in repeats)
             max_requests = max(
                 sum(begin <= at <= begin + 10_000 for at in requests)
