--- a/tests/process/test_fetches.py
+++ b/tests/process/test_fetches.py
@@ -118,7 +118,7 @@
 
 
 class TestPush:
-    def test_updates_a_peer_by_sections_which_announces_them_once(self):
+    def test_peer_updated_by_sections_announces_the_revision_once(self):
         host, peer = DistributionHost("h1"), DistributionHost("h2")
         for revision in (1, 2):
             host.versions.offer_text(edit(revision), Revision(revision))
--- a/tests/process/test_members.py
+++ b/tests/process/test_members.py
@@ -220,11 +220,11 @@
         if not lost:
             self.hosts[receiver].merge(updates)
 
-    @rule(sender=st.integers(0, 2), about=st.sampled_from("abcxy"), state=st.sampled_from([1, 3]))
-    def declare_state(self, sender, about, state):
+    @rule(host=st.integers(0, 2), about=st.sampled_from("abcxy"), state=st.sampled_from([1, 3]))
+    def declare_state(self, host, about, state):
         """Let one host declare the host ``about`` suspect (1) or dead (3)."""
-        target = self.hosts[sender].get(HostId(about)) or member(about)
-        self.hosts[sender].declare(target, MemberState(state))
+        target = self.hosts[host].get(HostId(about)) or member(about)
+        self.hosts[host].declare(target, MemberState(state))
 
     @rule(host=st.integers(0, 2))
     def leave(self, host):
--- a/tests/process/test_versions.py
+++ b/tests/process/test_versions.py
@@ -91,8 +91,8 @@
         match peer.build_push(base_revision):
             case SectionsPush(base=base) as push:
                 fits = base == store.versions().revision
-                offered = store.offer_sections(push)
-                assert fits or offered in (OfferResult.OTHER_BASE, OfferResult.NOT_NEWER)
+                result = store.offer_sections(push)
+                assert fits or result in (OfferResult.OTHER_BASE, OfferResult.NOT_NEWER)
                 self.offered[index].add(store.versions().revision)
             case TextPush(revision=revision, text=text):
                 store.offer_text(text, revision)
