--- a/src/masticgate/process/_backoff.py
+++ b/src/masticgate/process/_backoff.py
@@ -1,4 +1,4 @@
-"""Exponential backoff with jitter between retries of reads of the platform."""
+"""Exponential backoff with jitter, for reads of the platform that fail."""
 
 import random
 
@@ -11,7 +11,7 @@
 
 
 class Backoff:
-    """Doubles the delay with each failure in a row, up to ``maximum``, and adds jitter.
+    """Doubles the delay with each failure in a row, up to ``maximum``, and applies jitter.
 
     The jitter keeps hosts that failed at the same time from retrying at the same time.
     """
--- a/src/masticgate/process/_caller_service.py
+++ b/src/masticgate/process/_caller_service.py
@@ -181,5 +181,8 @@
 
 
 def is_refused(result: Answer | NotRun) -> bool:
-    """Return whether a search was refused before it was sent to any service."""
+    """Return whether a search was refused before it was sent to any service.
+
+    A search whose deadline had passed by then counts as late, not as refused.
+    """
     return isinstance(result, NotRun) and result.reason is not Reason.DEADLINE
--- a/src/masticgate/process/_distribution.py
+++ b/src/masticgate/process/_distribution.py
@@ -108,7 +108,7 @@
             self._abort_reads()
 
     def compare_versions(self, peer: Hello, peer_versions: Versions, send_reply: SendReply) -> None:
-        """Fetch what ``peer`` has newer, unless the same versions are already being fetched.
+        """Fetch what ``peer`` has newer, unless a fetch of versions as new is in progress.
 
         While this host starts, the versions of ``peer`` are recorded too.
         """
@@ -128,10 +128,11 @@
     def handle_push(
         self, push: TextPush | SectionsPush | CataloguePush, send_reply: SendReply
     ) -> None:
-        """Offer what a peer sent to the store.
+        """Offer the store what a peer sent.
 
-        Sections are changes relative to a text. If this host has another revision, fetch the
-        sections relative to that; if its text of the revision differs, fetch the whole text.
+        A push of sections holds the changes since the text of a base revision. If this host is at
+        another revision, fetch the changes since that one; if its text of the base revision
+        differs from the peer's, fetch the whole text.
         """
         match push:
             case TextPush(revision=revision, text=text):
--- a/src/masticgate/process/_heartbeats.py
+++ b/src/masticgate/process/_heartbeats.py
@@ -24,7 +24,7 @@
 ROUNDS_PER_KEEPALIVE = 2
 """A host that is linked but not a neighbour is sent a heartbeat once in this many rounds.
 
-It keeps the link open, which would otherwise be closed because no message arrives over it.
+Without it, no message would arrive over the link, which would therefore be closed.
 """
 
 ROUNDS_PER_DIGEST = 4
--- a/src/masticgate/process/_host_list.py
+++ b/src/masticgate/process/_host_list.py
@@ -20,7 +20,7 @@
     A host that the list marks as leaving becomes leaving only if its current incarnation has been
     known for ``MAX_HOST_LIST_LAG``. Until then the mark may be out of date and mean the previous
     incarnation. All other entries get incarnation 0, so they never replace one that the host itself
-    has sent. ``known_since`` holds the current incarnation of each listed host and when it was
+    has sent. ``known_since`` maps each listed host to its current incarnation and when that was
     first seen.
     """
 
--- a/src/masticgate/process/_host_runtime.py
+++ b/src/masticgate/process/_host_runtime.py
@@ -85,9 +85,10 @@
     def choose_snapshot(
         self, services: Sequence[ServiceId], tried: frozenset[SnapshotVersion]
     ) -> Snapshot | None:
-        """Return a snapshot in which to search ``services``, but none that is in ``tried``.
+        """Return the snapshot in which to search ``services``, ``None`` if all are in ``tried``.
 
-        Return ``None`` if there is no other one.
+        It is the newest one not in ``tried`` that no service is known to lack, or else the newest
+        one not in ``tried``.
         """
         return self.versions.choose_snapshot(services, tried)
 
@@ -113,7 +114,7 @@
                 return self.admission.admit(rank, admission_number, scope.remaining)
 
     def owners(self, service: ServiceId) -> Sequence[HostId]:
-        """Return the reachable hosts that may serve ``service``, the owner first."""
+        """Return the reachable hosts that may serve ``service``, in the order to try them."""
         match self.policy.routing:
             case LocalRouting():
                 return [self.own_host]
@@ -127,7 +128,10 @@
     def send(
         self, host: HostId, message: Ask | Book | Cancel | Forward, inbox: Inbox | None
     ) -> NotRun | None:
-        """Send ``message`` to ``host``, which may be this host; replies go to ``inbox``."""
+        """Send ``message`` to ``host``, which may be this host; replies go to ``inbox``.
+
+        Return ``NotRun`` if the host cannot have received all of it.
+        """
         if host == self.own_host and isinstance(message, Forward):
             # An earlier incarnation of this host minted the ticket, and its records are lost.
             return NotRun(Reason.MINTER_LOST, Step.FORWARD, peer=host)
--- a/src/masticgate/process/_links.py
+++ b/src/masticgate/process/_links.py
@@ -29,10 +29,11 @@
 
 
 class Links:
-    """One link to each neighbour, and to each other host that requests are sent to.
+    """The links that this host opens, at most one to each host.
 
-    The neighbours of a host are the other hosts that it watches. ``handler`` handles the messages
-    that arrive over the links, and ``start_task`` starts the task of a new link.
+    They lead to its neighbours (the hosts that it watches), to hosts that it sends requests to, to
+    seeds, and to dead hosts that may respond again. ``handler`` handles the messages that arrive
+    over the links, and ``start_task`` starts the task of a new link.
     """
 
     def __init__(
@@ -77,7 +78,7 @@
         return link is not None and link.state is LinkState.OPEN
 
     def is_closed(self, host: HostId) -> bool:
-        """Return whether there is a link to ``host`` that has closed."""
+        """Return whether a link to ``host`` failed to open or has closed, and is not open again."""
         link = self.links.get(host)
         return link is not None and link.state is LinkState.CLOSED
 
@@ -87,7 +88,7 @@
         return link is None or self._unanswered_time(link) > SILENCE_TIMEOUT
 
     def probe(self, host: HostId) -> None:
-        """Send ``host`` a heartbeat, unless it sent something recently or owes a reply to one."""
+        """Send ``host`` a heartbeat if it sent nothing recently and none is unanswered."""
         link = self.links.get(host)
         if link is None or link.unanswered_since is not None:
             return
@@ -100,7 +101,10 @@
         return link is not None and self.clock.now() - link.last_received < RESPONSIVE_WINDOW
 
     def last_received(self, host: HostId) -> Millis | None:
-        """Return when ``host`` last sent something over its link, ``None`` without a link."""
+        """Return when ``host`` last sent something over its link, ``None`` without a link.
+
+        If it sent nothing yet, return when the link was created.
+        """
         link = self.links.get(host)
         return link.last_received if link is not None else None
 
--- a/src/masticgate/process/_member_rules.py
+++ b/src/masticgate/process/_member_rules.py
@@ -12,10 +12,10 @@
 from ._messages import Member, MemberState
 
 NEAR_NEIGHBOURS = 6
-"""The number of hosts that each host watches: those after it on the ring of hashed ids."""
+"""Each host watches this many hosts that follow it on the ring of hashed ids."""
 
 FOREIGN_NEIGHBOURS = 2
-"""The number of further hosts that each host watches, in other failure domains than its own.
+"""Each host watches this many further hosts, in other failure domains than its own.
 
 If no further host is in another failure domain, the next ones on the ring are watched.
 """
@@ -52,7 +52,7 @@
 
 
 def choose_neighbours(own: Member, others: Iterable[Member]) -> list[Member]:
-    """Return the hosts that ``own`` watches: a bounded number, or all if there are few."""
+    """Return the hosts that ``own`` watches, all of ``others`` if they are few."""
     start = _position(own.host)
     ring = sorted(others, key=lambda member: (_position(member.host) - start) % RING_SIZE)
     rest = ring[NEAR_NEIGHBOURS:]
--- a/src/masticgate/process/_members.py
+++ b/src/masticgate/process/_members.py
@@ -46,8 +46,8 @@
 
     A host's incarnation identifies one run of its process. ``own_member`` is the entry of this
     host itself, ``tombstones`` holds the last entries of removed hosts, and ``remaining_sends``
-    says how many times the entry of a host is still to be sent as an update. A usable host is one
-    that may own services. ``on_change`` is called with the entries that changed, outside the lock.
+    maps each host to how many times its entry is still to be sent as an update. A usable host may
+    own services. ``on_change`` is called with the entries that changed, outside the lock.
     """
 
     def __init__(
@@ -73,9 +73,9 @@
     def merge(self, members: Iterable[Member]) -> tuple[Member, ...]:
         """Store those of ``members`` that are newer; return corrections for their sender.
 
-        The corrections are this host's entries of the hosts whose received entries are older and
-        differ in the incarnation, or in whether the host is usable, and its own entry if a
-        received one changed it.
+        A correction is the known entry of a host whose received entry is not stored and differs in
+        the incarnation, or in whether the host is usable. This host's own entry is one too if a
+        received entry changed it.
         """
         changed: list[Member] = []
         corrections: list[Member] = []
@@ -141,7 +141,10 @@
         return tuple(m for m in held if bucket_of(m.host) in differing), True
 
     def remove_expired(self) -> None:
-        """Remove hosts that have been leaving or dead for long; keep refusing older updates."""
+        """Remove hosts that have been leaving or dead for ``DEPARTED_MEMBER_TTL``.
+
+        Their last entries become tombstones.
+        """
         limit = self.clock.now() - DEPARTED_MEMBER_TTL
         with self.lock:
             for host, member in list(self.members.items()):
@@ -177,7 +180,7 @@
             corrections.append(self.own_member)
 
     def _updated_own_member(self, member: Member) -> Member | None:
-        """Return the entry that replaces this host's own after ``member``, ``None`` if none does.
+        """Return this host's new entry after it received ``member``, ``None`` if nothing changes.
 
         A report that this host is suspect or dead is refuted by a higher counter; a report that it
         is leaving is accepted.
--- a/src/masticgate/process/_messages.py
+++ b/src/masticgate/process/_messages.py
@@ -101,10 +101,9 @@
 
 @dataclass(frozen=True, slots=True)
 class ServicePressure:
-    """The pressure of one service.
+    """The pressure of one service: the share of each rank's queries that it can take.
 
-    ``admitted`` holds the share of queries that the service can admit, from 0 to 1, for each of
-    the ranks urgent, standard and bulk.
+    ``admitted`` holds the shares, from 0 to 1, in the order urgent, standard and bulk.
     """
 
     service: ServiceId
--- a/src/masticgate/process/_peer_service.py
+++ b/src/masticgate/process/_peer_service.py
@@ -31,8 +31,9 @@
 class PeerService:
     """Passes each message from a peer to the part of the process that handles it.
 
-    ``own_hello`` is the hello of this host. The attributes that are declared without a value are
-    parts that are built after this one; they are set before the first message arrives.
+    ``own_hello`` is the first message that this host sends on each link. The attributes that are
+    declared without a value are parts that are built after this one; they are set before the first
+    message arrives.
     """
 
     def __init__(
--- a/src/masticgate/process/_reply_router.py
+++ b/src/masticgate/process/_reply_router.py
@@ -28,8 +28,7 @@
 class ReplyRouter:
     """Keeps the messages that await a reply, by query and by host, and routes their replies.
 
-    ``on_late_outcome`` is called with the outcome of a booking for which no request waits any
-    more.
+    ``on_late_outcome`` is called with the outcome of a booking that no request waits for any more.
     """
 
     def __init__(self, on_late_outcome: Callable[[QueryId, BookingOutcome], None]) -> None:
--- a/src/masticgate/process/_server.py
+++ b/src/masticgate/process/_server.py
@@ -251,7 +251,7 @@
 
 
 def seed_members(settings: Settings) -> list[Member]:
-    """Return the other hosts that the settings name, with 0 for their unknown incarnations."""
+    """Return an entry for each seed but this host, with 0 for the unknown incarnation."""
     return [
         Member(
             HostId(seed.host),
--- a/src/masticgate/process/_settings.py
+++ b/src/masticgate/process/_settings.py
@@ -22,7 +22,11 @@
 
 
 class PlatformSettings(StrictModel):
-    """The addresses of the platform's services, and the keys that hosts watch there."""
+    """The addresses of the platform's two services, and the keys that hosts watch there.
+
+    ``configuration`` is the address of the configuration service, and ``hosts`` that of the host
+    list.
+    """
 
     configuration: AddressText
     hosts: AddressText
--- a/src/masticgate/process/_startup.py
+++ b/src/masticgate/process/_startup.py
@@ -42,7 +42,7 @@
     Enough are :data:`MIN_STARTUP_PEERS` peers in :data:`MIN_STARTUP_DOMAINS` failure domains, or
     as many as there are among the ``seeds``, the other hosts that the settings name. In addition,
     the read of the platform must have ended, with or without an answer, and this host must have
-    the highest versions that the peers named; a highest revision that it refused counts too.
+    the highest versions that the peers reported, or have refused the highest revision.
     """
 
     def __init__(
@@ -57,7 +57,7 @@
         self.platform_answered = False
 
     def record_platform_read(self, answered: bool) -> None:
-        """Record that the read of the platform has ended, and whether the platform answered."""
+        """Record that the read of the platform has ended, and whether it returned the text."""
         with self.condition:
             self.platform_read_done = True
             self.platform_answered = answered
--- a/src/masticgate/process/_timeline.py
+++ b/src/masticgate/process/_timeline.py
@@ -47,9 +47,9 @@
     """One change of state of one host.
 
     ``sequence`` numbers the events of a host from 1, and ``wall`` is the time of the host's wall
-    clock. ``subject`` names what changed, such as a host, a service or a searcher. ``seen`` holds,
-    for each other host, the highest sequence that this host had received from it before the event;
-    it orders the events of hosts whose clocks differ.
+    clock. ``subject`` names what changed, such as a host, a service or a searcher. ``seen`` maps
+    each other host to the highest sequence that it had reported to this host before the event; it
+    orders the events of hosts whose clocks differ.
     """
 
     host: HostId
@@ -89,7 +89,7 @@
         return event
 
     def record_sequence(self, host: HostId, sequence: int) -> None:
-        """Record that the latest event of ``host``, as it reported, is number ``sequence``."""
+        """Record ``sequence``, which ``host`` reported as the number of its latest event."""
         with self.lock:
             self.seen[host] = max(sequence, self.seen.get(host, 0))
 
--- a/src/masticgate/process/_versions.py
+++ b/src/masticgate/process/_versions.py
@@ -25,7 +25,7 @@
 from ._timeline import EventKind, Timeline
 
 MAX_DIGEST_REVISIONS = 64
-"""The number of revisions whose digests are kept.
+"""The most revisions whose section digests are kept; the lowest are dropped first.
 
 A peer at one of these revisions is sent only the sections that changed since; others are sent the
 whole text.
@@ -66,8 +66,8 @@
     changed. ``on_configuration`` is called with each configuration that comes into force.
 
     ``problems`` lists why the highest refused revision was refused; it is empty once a higher
-    revision is accepted. ``unavailable`` holds, for each service, the published snapshots that its
-    searchers lack.
+    revision is accepted. ``unavailable`` maps a service to the published snapshots that its
+    searchers are known to lack.
     """
 
     def __init__(
@@ -97,7 +97,10 @@
         return None if self.starting else self.accepted
 
     def versions(self) -> Versions:
-        """Return the accepted versions, which are not in force yet while this host starts."""
+        """Return the accepted revision and the newest snapshot, 0 for none.
+
+        The revision is not in force yet while this host starts.
+        """
         accepted = self.accepted
         revision = accepted.revision if accepted else Revision(0)
         return Versions(revision, self.catalogue.newest)
@@ -162,9 +165,10 @@
     def choose_snapshot(
         self, services: Sequence[ServiceId], tried: frozenset[SnapshotVersion]
     ) -> Snapshot | None:
-        """Return a snapshot in which to search ``services``, but none that is in ``tried``.
+        """Return the snapshot in which to search ``services``, ``None`` if all are in ``tried``.
 
-        Return ``None`` if there is no other one.
+        It is the newest one not in ``tried`` that no service is known to lack, or else the newest
+        one not in ``tried``.
         """
         return self.catalogue.choose_snapshot(services, self.unavailable, tried)
 
--- a/tests/process/faults.py
+++ b/tests/process/faults.py
@@ -9,7 +9,7 @@
 DESK, LEDGER = ("d1a", "d1b"), ("l1a", "l1b")
 ORDERS = ("oa", "ob")
 SEARCHERS = DESK + LEDGER + ORDERS
-"""The ids of searchers in the small configuration text, by department."""
+"""The ids of all searchers in the small text; each tuple above holds those of a department."""
 
 
 @dataclass(frozen=True)
--- a/tests/process/test_against_naive.py
+++ b/tests/process/test_against_naive.py
@@ -32,7 +32,10 @@
 
 
 def compare(fleets, minimum):
-    """Search in both fleets; check that whole answers are equal, in at least ``minimum`` pairs."""
+    """Search in both fleets, and check that the answers are equal where both are whole.
+
+    At least ``minimum`` pairs of answers must be whole.
+    """
     compared = 0
     for index, text, scope in itertools.product(range(3), TEXTS, SCOPES):
         replies = [fleet.search(index, scope, text=text) for fleet in fleets]
--- a/tests/process/test_distribution.py
+++ b/tests/process/test_distribution.py
@@ -13,7 +13,7 @@
 """The longest time until an edit is in force on every host."""
 
 PLATFORM_BACK_SECONDS = 12.0
-"""The same after an outage of the platform, in which hosts wait up to 10 s between reads."""
+"""The same after an outage of the platform, since hosts then wait up to 10 s between reads."""
 
 
 @pytest.fixture(scope="class")
@@ -76,7 +76,7 @@
         fleet.kill("h3")
         nowhere = f"{fleet.ip_address}:9"
         fleet.start_host(2, platform={"configuration": nowhere, "hosts": nowhere})
-        fleet.wait_until(fleet.is_ready, 10.0, "the host did not start with its peers alone")
+        fleet.wait_until(fleet.is_ready, 10.0, "the host did not start without the platform")
         wait_in_force(fleet, fleet.publish_text(edit(6)))
 
 
@@ -128,7 +128,7 @@
 
 
 def answers(fleet: Fleet) -> bool:
-    """Return whether the first host answers a search, with whatever status."""
+    """Return whether the first host answers a search, whatever the status."""
     try:
         return fleet.search(0, ["desk/1"]).status > 0
     except OSError:
@@ -145,7 +145,7 @@
                     fleet.control_platform("status")["pending_watches"] == watchers * WATCHED_KEYS
                 )
 
-            fleet.wait_until(is_settled, 10.0, "not exactly the watchers watch")
+            fleet.wait_until(is_settled, 10.0, "the platform does not have two watches per watcher")
             domains = {host["failure_domain"] for host in fleet.hosts}
             before = fleet.control_platform("status")["requests"]
             wait_in_force(fleet, fleet.publish_text(edit(3)))
@@ -159,7 +159,7 @@
 class TestWatchers:
     def test_both_lost_watchers_of_a_failure_domain_are_replaced(self):
         with Fleet(SMALL, hosts=7) as fleet:
-            fleet.wait_until(lambda: is_settled(fleet), 10.0, "a domain lacks two watchers")
+            fleet.wait_until(lambda: is_settled(fleet), 10.0, "not every domain has two watchers")
             lost = [index for index in watchers(fleet) if domain_of(fleet, index) == "north"]
             assert len(lost) == 2
             for index in lost:
--- a/tests/process/test_recovery.py
+++ b/tests/process/test_recovery.py
@@ -27,12 +27,12 @@
 
 
 def owned_services(fleet, index):
-    """Return the services that the host with index ``index`` owns, by its own status."""
+    """Return the services that the host with index ``index`` owns, according to its own status."""
     return set(fleet.status(index)["owned"])
 
 
 def wait_for_state(fleet, host, state, observers):
-    """Wait until every one of ``observers``, indexes of hosts, knows ``host`` in ``state``."""
+    """Wait until all ``observers``, indexes of hosts, report that ``host`` is in ``state``."""
     fleet.wait_until(
         lambda: all(peer_status(fleet, index, host)["state"] == state for index in observers),
         SETTLE_SECONDS,
--- a/tests/process/test_soak.py
+++ b/tests/process/test_soak.py
@@ -25,7 +25,7 @@
 class Records:
     """The outcomes that callers received, and the searches that the searchers logged.
 
-    ``outcomes`` holds the outcomes of each ticket's requests. ``searched`` holds the query, the
+    ``outcomes`` maps each ticket to the outcomes of its requests. ``searched`` holds the query, the
     snapshot and the shard of each search that a searcher ran.
     """
 
@@ -93,7 +93,7 @@
 
 
 def check_bookings(fleet, records):
-    """Check that each ticket ran at most once, and that its outcomes agree with that."""
+    """Check that each ticket's booking ran at most once, and that its outcomes agree."""
     runs = defaultdict(int)
     for searcher in fleet.searcher_reports().values():
         for booking in searcher["bookings"]:
@@ -136,7 +136,7 @@
             stopping.set()
             for caller in callers:
                 caller.join()
-        time.sleep(1.0)  # Bookings that still run at the searchers finish.
+        time.sleep(1.0)  # Let the bookings that still run at the searchers finish.
         records.collect(fleet)
         for answer in records.answers:
             check_answer(fleet, records, answer)
