--- a/src/masticgate/process/_detector.py
+++ b/src/masticgate/process/_detector.py
@@ -1,4 +1,4 @@
-"""Failure detection: a watched host that stays silent is declared suspect, then dead."""
+"""Failure detection: a monitored host that stays silent is declared suspect, then dead."""
 
 from collections.abc import Callable, Iterable
 
@@ -9,7 +9,7 @@
 from ._timeline import EventKind, Timeline
 
 SUSPECT_INTERVALS = 3
-"""A watched host is declared suspect after this many heartbeat intervals of silence."""
+"""A monitored host is declared suspect after this many heartbeat intervals of silence."""
 
 DEAD_INTERVALS = 4
 """A suspect host that stays silent is declared dead after this many further intervals."""
@@ -33,7 +33,7 @@
     host last sent something, or ``None`` if there is no link to it.
 
     The silence of a host is counted from the latest of three times: when it last sent something,
-    ``watched_since`` (when it became a neighbour, or was last found without a link) and
+    ``monitored_since`` (when it became a neighbour, or was last found without a link) and
     ``resumed_at`` (when this process started, or last resumed after a pause). A suspect host that
     is alive refutes the suspicion by a membership update.
     """
@@ -51,7 +51,7 @@
         self.timeline = timeline
         self.checked_at = clock.now()
         self.resumed_at = clock.now()
-        self.watched_since: dict[HostId, Millis] = {}
+        self.monitored_since: dict[HostId, Millis] = {}
         self.timeout_factors: dict[HostId, int] = {}
 
     def check(self, neighbours: Iterable[Member], interval: Millis) -> None:
@@ -66,17 +66,17 @@
             self.timeline.add(EventKind.PAUSED, self.members.own_member.host, f"{gap:.0f} ms")
             self.resumed_at = now
         self.checked_at = now
-        watched = list(neighbours)
-        self.watched_since = {m.host: self.watched_since.get(m.host, now) for m in watched}
-        for member in watched:
+        monitored = list(neighbours)
+        self.monitored_since = {m.host: self.monitored_since.get(m.host, now) for m in monitored}
+        for member in monitored:
             self._check_one(member, now, interval)
 
     def _check_one(self, member: Member, now: Millis, interval: Millis) -> None:
         received_at = self.last_received(member.host)
         if received_at is None:
-            self.watched_since[member.host] = now
+            self.monitored_since[member.host] = now
             return
-        silence = now - max(received_at, self.watched_since[member.host], self.resumed_at)
+        silence = now - max(received_at, self.monitored_since[member.host], self.resumed_at)
         if silence <= interval:
             self.timeout_factors.pop(member.host, None)
         match member.state:
--- a/src/masticgate/process/_heartbeats.py
+++ b/src/masticgate/process/_heartbeats.py
@@ -75,8 +75,8 @@
     def beat(self) -> None:
         """Do one interval's work: check the neighbours, then send the heartbeats that are due."""
         self.sequence += 1
-        self.detector.check(self._watched_members(), self.interval())
-        for member in self._watched_members():
+        self.detector.check(self._monitored_members(), self.interval())
+        for member in self._monitored_members():
             self.links.ensure(member.host, member.address)
         send_to_all = self.sequence % ROUNDS_PER_KEEPALIVE == 0
         for host in self.links.open_hosts():
@@ -92,7 +92,7 @@
         for host in self.links.open_hosts():
             self._send(host, with_digest=False)
 
-    def _watched_members(self) -> list[Member]:
+    def _monitored_members(self) -> list[Member]:
         """Return the usable neighbours; choose the neighbours again if the usable hosts changed."""
         usable_hosts = self.members.list_usable()
         if usable_hosts is not self.usable_hosts:
@@ -101,8 +101,8 @@
             chosen = choose_neighbours(own_member, [m for m in others if m.host != own_member.host])
             self.usable_hosts = usable_hosts
             self.neighbours = [member.host for member in chosen]
-        watched = [self.members.get(host) for host in self.neighbours]
-        return [member for member in watched if member is not None and is_usable(member)]
+        monitored = [self.members.get(host) for host in self.neighbours]
+        return [member for member in monitored if member is not None and is_usable(member)]
 
     def _digest_peer(self) -> HostId | None:
         """Return the neighbour that is sent a digest in this round, ``None`` if none is due."""
--- a/tests/process/test_members.py
+++ b/tests/process/test_members.py
@@ -109,21 +109,21 @@
 
 
 class TestNeighbours:
-    def test_hosts_all_watch_each_other_if_few(self):
+    def test_hosts_all_monitor_each_other_if_few(self):
         others = [member(f"h{n}") for n in range(6)]
         assert len(choose_neighbours(member("a"), others)) == 6
 
     def test_each_host_has_a_bounded_number_of_neighbours_if_many(self):
         """A host watches the 6 hosts after it on the ring of hashed ids, and 2 in other domains."""
         hosts = [member(f"h{n}", domain=f"d{n % 17}") for n in range(400)]
-        watchers = {host.host: 0 for host in hosts}
+        monitor_counts = {host.host: 0 for host in hosts}
         for own_member in hosts:
             chosen = choose_neighbours(own_member, [h for h in hosts if h is not own_member])
             assert len(chosen) <= 8
             assert any(h.failure_domain != own_member.failure_domain for h in chosen)
             for host in chosen:
-                watchers[host.host] += 1
-        assert min(watchers.values()) >= 6
+                monitor_counts[host.host] += 1
+        assert min(monitor_counts.values()) >= 6
 
 
 class TestFailureDetector:
@@ -143,8 +143,8 @@
             self.clock.advance(INTERVAL)
             for host in responsive:
                 self.last_received[host] = self.clock.now()
-            watched = [self.view.get(h) for h in ("h0", "h1")]
-            self.detector.check([m for m in watched if is_usable(m)], INTERVAL)
+            monitored = [self.view.get(h) for h in ("h0", "h1")]
+            self.detector.check([m for m in monitored if is_usable(m)], INTERVAL)
 
     def state(self, host):
         return self.view.get(host).state
