--- a/src/masticgate/process/_detector.py
+++ b/src/masticgate/process/_detector.py
@@ -29,7 +29,7 @@
 class FailureDetector:
     """Declares silent neighbours suspect or dead; called only by the heartbeat task.
 
-    The neighbours of a host are the other hosts that it watches. ``last_received`` returns when a
+    The neighbours of a host are the other hosts that it monitors. ``last_received`` returns when a
     host last sent something, or ``None`` if there is no link to it.
 
     The silence of a host is counted from the latest of three times: when it last sent something,
--- a/src/masticgate/process/_heartbeats.py
+++ b/src/masticgate/process/_heartbeats.py
@@ -1,6 +1,6 @@
-"""The task that sends heartbeats to peers, watches the neighbours and probes dead hosts.
+"""The task that sends heartbeats to peers, monitors the neighbours and probes dead hosts.
 
-The neighbours of a host are the bounded number of other hosts whose liveness it watches.
+The neighbours of a host are the bounded number of other hosts whose liveness it monitors.
 """
 
 from collections.abc import Callable
--- a/src/masticgate/process/_links.py
+++ b/src/masticgate/process/_links.py
@@ -31,7 +31,7 @@
 class Links:
     """The links that this host opens, at most one to each host.
 
-    They lead to its neighbours (the hosts that it watches), to hosts that it sends requests to, to
+    They lead to its neighbours (the hosts that it monitors), to hosts that it sends requests to, to
     seeds, and to dead hosts that may respond again. ``handler`` handles the messages that arrive
     over the links, and ``start_task`` starts the task of a new link.
     """
--- a/src/masticgate/process/_member_rules.py
+++ b/src/masticgate/process/_member_rules.py
@@ -1,6 +1,6 @@
-"""Rules of the membership protocol: precedence of entries, digests, and who watches whom.
+"""Rules of the membership protocol: precedence of entries, digests, and who monitors whom.
 
-A host watches some of the other hosts, its neighbours: it declares them suspect, then dead, when
+A host monitors some of the other hosts, its neighbours: it declares them suspect, then dead, when
 they stay silent.
 """
 
@@ -12,12 +12,12 @@
 from ._messages import Member, MemberState
 
 NEAR_NEIGHBOURS = 6
-"""Each host watches this many hosts that follow it on the ring of hashed ids."""
+"""Each host monitors this many hosts that follow it on the ring of hashed ids."""
 
 FOREIGN_NEIGHBOURS = 2
-"""Each host watches this many further hosts, in other failure domains than its own.
+"""Each host monitors this many further hosts, in other failure domains than its own.
 
-If no further host is in another failure domain, the next ones on the ring are watched.
+If no further host is in another failure domain, the next ones on the ring are monitored.
 """
 
 DIGEST_BUCKETS = 64
@@ -52,7 +52,7 @@
 
 
 def choose_neighbours(own: Member, others: Iterable[Member]) -> list[Member]:
-    """Return the hosts that ``own`` watches, all of ``others`` if they are few."""
+    """Return the hosts that ``own`` monitors, all of ``others`` if they are few."""
     start = _position(own.host)
     ring = sorted(others, key=lambda member: (_position(member.host) - start) % RING_SIZE)
     rest = ring[NEAR_NEIGHBOURS:]
--- a/tests/process/test_members.py
+++ b/tests/process/test_members.py
@@ -114,7 +114,7 @@
         assert len(choose_neighbours(member("a"), others)) == 6
 
     def test_each_host_has_a_bounded_number_of_neighbours_if_many(self):
-        """A host watches the 6 hosts after it on the ring of hashed ids, and 2 in other domains."""
+        """A host monitors the 6 next hosts on the ring of hashed ids, and 2 in other domains."""
         hosts = [member(f"h{n}", domain=f"d{n % 17}") for n in range(400)]
         monitor_counts = {host.host: 0 for host in hosts}
         for own_member in hosts:
