--- a/src/masticgate/process/_heartbeats.py
+++ b/src/masticgate/process/_heartbeats.py
@@ -1,6 +1,6 @@
-"""The task that sends heartbeats to peers, watches the neighbours and probes dead hosts.
+"""The task that sends heartbeats to peers, monitors the neighbours and probes dead hosts.
 
-The neighbours of a host are the bounded number of other hosts whose liveness it watches.
+The neighbours of a host are the bounded number of other hosts whose liveness it monitors.
 """
 
 from collections.abc import Callable
@@ -24,7 +24,7 @@
 ROUNDS_PER_KEEPALIVE = 2
 """A host that is linked but not a neighbour is sent a heartbeat once in this many rounds.
 
-It keeps the link open, which would otherwise be closed because no message arrives over it.
+Without it, no message would arrive over the link, which would therefore be closed.
 """
 
 ROUNDS_PER_DIGEST = 4
@@ -75,8 +75,8 @@
     def beat(self) -> None:
         """Do one interval's work: check the neighbours, then send the heartbeats that are due."""
         self.sequence += 1
-        self.detector.check(self._watched_members(), self.interval())
-        for member in self._watched_members():
+        self.detector.check(self._monitored_members(), self.interval())
+        for member in self._monitored_members():
             self.links.ensure(member.host, member.address)
         send_to_all = self.sequence % ROUNDS_PER_KEEPALIVE == 0
         for host in self.links.open_hosts():
@@ -92,7 +92,7 @@
         for host in self.links.open_hosts():
             self._send(host, with_digest=False)
 
-    def _watched_members(self) -> list[Member]:
+    def _monitored_members(self) -> list[Member]:
         """Return the usable neighbours; choose the neighbours again if the usable hosts changed."""
         usable_hosts = self.members.list_usable()
         if usable_hosts is not self.usable_hosts:
@@ -101,8 +101,8 @@
             chosen = choose_neighbours(own_member, [m for m in others if m.host != own_member.host])
             self.usable_hosts = usable_hosts
             self.neighbours = [member.host for member in chosen]
-        watched = [self.members.get(host) for host in self.neighbours]
-        return [member for member in watched if member is not None and is_usable(member)]
+        monitored = [self.members.get(host) for host in self.neighbours]
+        return [member for member in monitored if member is not None and is_usable(member)]
 
     def _digest_peer(self) -> HostId | None:
         """Return the neighbour that is sent a digest in this round, ``None`` if none is due."""
