--- a/src/masticgate/process/_dispatcher.py
+++ b/src/masticgate/process/_dispatcher.py
@@ -43,7 +43,7 @@
         self.searchers.apply_shares(searchers)
         self.hedge_candidates = HedgeCandidates()
         self.idle_connections = IdleConnections()
-        self.next_expiry = Millis(0.0)
+        self.next_expiry_scan = Millis(0.0)
 
     def dispatch(self, now: Millis) -> list[QueueEntry]:
         """Assign all work that may be sent now; return the entries past their deadline.
@@ -102,9 +102,9 @@
         self.hedge_candidates.discard(entry)
 
     def _find_expired(self, now: Millis) -> list[QueueEntry]:
-        if now < self.next_expiry or not self.pending.size:
+        if now < self.next_expiry_scan or not self.pending.size:
             return []
-        self.next_expiry = Millis(now + EXPIRY_INTERVAL)
+        self.next_expiry_scan = Millis(now + EXPIRY_INTERVAL)
         expired = [entry for entry in self.pending.entries() if entry.work.deadline <= now]
         for entry in expired:
             self.pending.remove(entry)
--- a/tests/process/test_bookings.py
+++ b/tests/process/test_bookings.py
@@ -45,14 +45,14 @@
 
 
 def count_booking_requests(fleet):
-    logs = fleet.searcher_reports()
-    return sum(logs[name]["counts"].get("started", 0) for name in ("oa", "ob"))
+    reports = fleet.searcher_reports()
+    return sum(reports[name]["counts"].get("started", 0) for name in ("oa", "ob"))
 
 
 class TestBookingUnderFaults:
     """A booking runs at most once, and its outcome is "unknown" when nobody can be certain."""
 
-    def test_repeats_through_other_hosts_get_the_outcome_of_the_first_run(self, fleet):
+    def test_repeated_requests_through_other_hosts_get_outcome_of_first_run(self, fleet):
         fleet.set_behaviour([], service_ms=200.0, spread="fixed")
         ticket = fleet.mint(0)
         with ThreadPoolExecutor() as callers:
@@ -81,7 +81,7 @@
         assert outcome(fleet, 2, ticket) == "ran"
         assert count_runs(fleet, ticket) == 1
 
-    def test_paused_owner_leaves_it_unknown_and_a_later_retry_learns_the_truth(self, fleet):
+    def test_outcome_is_unknown_while_owner_is_paused_and_known_to_later_request(self, fleet):
         """Guard against an outcome that stays "unknown" although the owner reports it later.
 
         The owner is paused when the request arrives, so that the request times out with
--- a/tests/process/test_rank_queue.py
+++ b/tests/process/test_rank_queue.py
@@ -77,7 +77,7 @@
             )
         assert orders[0] == orders[1] == sorted(admission_numbers)
 
-    def test_expired_work_uses_up_no_floor(self):
+    def test_expired_work_uses_up_no_credit_of_its_rank(self):
         queue = RankQueue(RankOrder(SHARED_ORDER_AFTER), {Rank.BULK: 0.5})
         for number in range(9):
             queue.add(make_entry(f"u{number}", Rank.URGENT))
--- a/tests/process/test_repeat_budget.py
+++ b/tests/process/test_repeat_budget.py
@@ -4,7 +4,7 @@
 
 
 class TestRepeatBudget:
-    def test_covers_its_maximum_at_first_and_is_then_empty(self):
+    def test_starts_full_and_refuses_once_spent(self):
         budget = RepeatBudget()
         assert budget.spend(int(MAX_PARTS))
         assert not budget.spend(1)
--- a/tests/process/test_searcher_choice.py
+++ b/tests/process/test_searcher_choice.py
@@ -60,7 +60,7 @@
         states = [health.state for health in connections.pool.health.values()]
         assert states.count(SearcherState.EJECTED) == 1
 
-    def test_sends_no_work_to_drained_incarnation_but_to_the_next(self):
+    def test_uses_draining_searcher_again_only_as_new_incarnation(self):
         connections = FakeConnections()
         connections.add_all_idle()
         health = connections.pool.health["a"]
@@ -72,7 +72,7 @@
         connections.pool.record_load(SEARCHERS["a"], LoadReport(0, False, "2"))
         assert health.state is SearcherState.WARMING
 
-    def test_uses_restarted_searcher_again_that_states_no_incarnation(self):
+    def test_uses_draining_searcher_without_incarnation_again_after_a_failed_load_check(self):
         connections = FakeConnections()
         health = connections.pool.health["a"]
         health.drain()
--- a/tests/process/test_service_pool.py
+++ b/tests/process/test_service_pool.py
@@ -47,7 +47,7 @@
         connections.search()
         assert [r.reason for r in connections.results[waiting]] == [Reason.DEADLINE]
 
-    def test_stop_delivers_result_of_failed_attempt_and_not_not_run(self):
+    def test_stop_settles_work_queued_for_retry_with_result_of_failed_attempt(self):
         connections = FakeConnections()
         query, _ = connections.search()
         (attempt,) = connections.add_idle("a")
@@ -147,7 +147,7 @@
 
 
 class TestWaitForWork:
-    def test_idle_connection_gets_an_attempt(self):
+    def test_returns_an_attempt_if_work_is_queued(self):
         connections = FakeConnections()
         connections.search()
         outcome = connections.pool.wait_for_work(SEARCHERS["a"])
