--- a/src/masticgate/process/_admission.py
+++ b/src/masticgate/process/_admission.py
@@ -33,8 +33,8 @@
     """Keeps the owners' pressure reports, and counts the queries refused because of them.
 
     A query is admitted if its admission number is below the admitted share of every service that
-    it needs. The number is drawn once per query, so that all its services agree and no query is
-    sent to some of its services in vain.
+    it needs. The number is random, from 0 to 1, and drawn once per query, so that all its services
+    agree and no query is sent to some of its services in vain.
     """
 
     def __init__(self, clock: Clock) -> None:
@@ -77,7 +77,8 @@
     def pop_refused(self) -> dict[HostId, list[RefusedCount]]:
         """Return the counts of refused queries since the last call, by owner, and reset them.
 
-        Also discard the outdated pressure reports.
+        Also discard the outdated pressure reports, and the counts of services without a current
+        one.
         """
         with self.lock:
             refused, self.refused = self.refused, {}
--- a/src/masticgate/process/_command_explain.py
+++ b/src/masticgate/process/_command_explain.py
@@ -38,7 +38,7 @@
 
 @dataclass(frozen=True, slots=True)
 class LogLine:
-    """One line of a gateway's log."""
+    """One line of a gateway's log; ``wall`` is its wall-clock time in milliseconds."""
 
     wall: float
     host: str
@@ -68,9 +68,9 @@
     """Return the lines of ``request``, and those of state changes that may have affected it.
 
     A state change may have affected the request if it concerns the whole host, or a searcher or a
-    service that the request's lines name. All lines, also those of the request, are limited to
-    the last ``before_ms`` until the host's last line about the request. They are sorted by time,
-    as the clock of each host gave it.
+    service that the request's lines name. Lines of either kind are returned only if they are from
+    the ``before_ms`` milliseconds up to their host's last line about the request. They are sorted
+    by wall-clock time, as their host gave it.
     """
     request_lines = [line for line in lines if line.fields.get("request") == request]
     last_times = {line.host: line.wall for line in request_lines}
--- a/src/masticgate/process/_delivery_lock.py
+++ b/src/masticgate/process/_delivery_lock.py
@@ -12,7 +12,7 @@
 class DeliveryLock:
     """A context manager that holds ``lock``, and delivers results after it has released it.
 
-    Code that holds the lock appends each finished queue entry and its result to ``undelivered``.
+    Code that holds the lock appends each settled queue entry and its result to ``undelivered``.
     """
 
     def __init__(self) -> None:
--- a/src/masticgate/process/_dispatcher.py
+++ b/src/masticgate/process/_dispatcher.py
@@ -46,7 +46,7 @@
         self.next_expiry_scan = Millis(0.0)
 
     def dispatch(self, now: Millis) -> list[QueueEntry]:
-        """Assign all work that may be sent now; return the entries past their deadline.
+        """Assign all work that may be sent now; return the queued entries found to be expired.
 
         Due hedges are assigned first, except those less urgent than the most urgent queued work,
         which are assigned once the queue is empty.
@@ -69,10 +69,11 @@
         return bool(self.hedge_candidates.entries) or self.pending.size > 0
 
     def should_keep_timer(self) -> bool:
-        """Return whether the timer stays the same connection for another wait.
+        """Return whether the timer keeps its role for its next wait.
 
-        It also does if searches were assigned since the last call: while work arrives, one
-        wake-up at the end of a wait costs less than choosing and waking a timer at each attempt.
+        It does if a wake-up is needed or if searches were assigned since the last call: while
+        work arrives, one wake-up at the end of a wait costs less than choosing and waking a timer
+        at each attempt.
         """
         return self.hedge_candidates.pop_added() or self.needs_timer()
 
@@ -127,9 +128,10 @@
         return True
 
     def _choose(self, entry: QueueEntry, now: Millis) -> SearcherHealth | None:
-        """Return a searcher other than the one that failed ``entry``, ``None`` if there is none.
+        """Return the best searcher for ``entry``, ``None`` if only excluded ones may get it.
 
-        An ejected searcher, which gets one request as a probe, is not probed with a booking.
+        Excluded are the searcher at which ``entry`` failed and, for a booking, ejected searchers,
+        which get one request as a probe. The caller falls back to an excluded searcher.
         """
         excluded = [] if entry.failed_searcher is None else [entry.failed_searcher]
         if isinstance(entry.work, BookingWork):
--- a/src/masticgate/process/_hedge_budget.py
+++ b/src/masticgate/process/_hedge_budget.py
@@ -72,7 +72,7 @@
         return True
 
     def record_latency(self, now: Millis, latency: Millis) -> None:
-        """Record the latency of a first attempt, from which the hedge delay is derived."""
+        """Record the latency of an attempt other than a hedge, to derive the hedge delay from."""
         if isinstance(self.hedging, NoHedge):
             return
         self.window.record(now, latency)
--- a/src/masticgate/process/_idle_connections.py
+++ b/src/masticgate/process/_idle_connections.py
@@ -60,7 +60,7 @@
         self.by_searcher.setdefault(connection.health, []).append(connection)
 
     def remove(self, connection: IdleConnection) -> None:
-        """Remove a connection, which then stops being the timer."""
+        """Remove a connection; if it was the timer, there is none until another one is chosen."""
         connections = self.by_searcher[connection.health]
         connections.remove(connection)
         if not connections:
--- a/src/masticgate/process/_pools.py
+++ b/src/masticgate/process/_pools.py
@@ -87,7 +87,7 @@
                 self._close(name)
 
     def _open(self, configuration: Configuration, service: Service, host_count: int) -> ServicePool:
-        """Open a pool, or open it again if its last connections have not closed yet."""
+        """Open a pool; one that was closed is reused while it is kept in ``closing``."""
         pool = self.closing.pop(service.id, None)
         if pool is None:
             pool = ServicePool(
--- a/src/masticgate/process/_pressure.py
+++ b/src/masticgate/process/_pressure.py
@@ -52,7 +52,7 @@
         self.entry_hosts[host] = (send_pressure, self.clock.now())
 
     def handle_demand(self, demand: Demand) -> None:
-        """Count the work that an entry host refused as demand of this host's services."""
+        """Count the queries that an entry host refused as demand of this host's services."""
         pools = {pool.service: pool for pool in self.pools.list_pools()}
         for item in demand.refused:
             pool = pools.get(item.service)
--- a/src/masticgate/process/_rank_queue.py
+++ b/src/masticgate/process/_rank_queue.py
@@ -28,10 +28,10 @@
 class RankQueue:
     """The queued entries of one service; callers hold the lock of the service pool.
 
-    ``credit`` holds the pieces of work that each rank is owed by its floor. ``by_arrival`` and
-    ``by_admission_number`` hold the same entries in two orders. The admission number is drawn once
-    for each query, so that all owners of its services order overloaded queues in the same way. A
-    booking has none and comes first.
+    ``credit`` counts the pieces of work that each rank is owed by its floor. ``by_arrival`` and
+    ``by_admission_number`` hold the same entries in two orders. The admission number is a random
+    number, drawn once for each query, so that all owners of its services order overloaded queues
+    in the same way. A booking has none and comes first.
     """
 
     def __init__(self, order: Order, floors: Mapping[Rank, float]) -> None:
@@ -93,7 +93,8 @@
     def record_served(self, entry: QueueEntry) -> None:
         """Record that a popped entry was served, and credit each waiting rank with its floor.
 
-        It isn't called for an entry past its deadline, which uses up no credit.
+        A rank without queued work loses its credit. The method isn't called for an entry past its
+        deadline, which uses up no credit.
         """
         served = entry.work.rank
         for rank in Rank:
--- a/src/masticgate/process/_retry.py
+++ b/src/masticgate/process/_retry.py
@@ -1,4 +1,4 @@
-"""Decides which failed attempts may be retried at another searcher, and at what cost."""
+"""Decides after which failures work may be retried, and at what cost."""
 
 from enum import Enum
 
@@ -30,7 +30,7 @@
 def retry_cost(entry: QueueEntry, result: Result) -> RetryCost:
     """Return the cost of a retry of ``entry`` after ``result``.
 
-    It is forbidden for a booking, which may be sent only once.
+    Retries of a booking are forbidden, since it may be sent only once.
     """
     if not isinstance(entry.work, SearchWork) or entry.retries >= MAX_RETRIES:
         return RetryCost.FORBIDDEN
--- a/src/masticgate/process/_searcher_group.py
+++ b/src/masticgate/process/_searcher_group.py
@@ -2,7 +2,7 @@
 
 The owner of a service is the host that queues its work and holds the connections to its
 searchers. A searcher is ejected, which means it gets no work for a while, after failures in a row
-or when it is much slower than the others.
+or when it is much slower than the fastest one.
 """
 
 from collections.abc import Callable, Collection, Iterable, Iterator
@@ -17,7 +17,7 @@
 HEALTH_FAILURES = frozenset(
     {Reason.SEARCHER_LOST, Reason.SEARCHER_ERROR, Reason.SEARCHER_REFUSED, Reason.WRONG_VERSION}
 )
-"""The reasons of a failed attempt for which the searcher itself is to blame."""
+"""The reasons for a failed attempt that count against the searcher."""
 
 StateListener = Callable[[ServiceId, SearcherId, SearcherState], None]
 """Called with a service, a searcher of it and the state that the searcher changed to."""
@@ -77,13 +77,14 @@
     # Choice of the searcher that gets the next work.
 
     def all_draining(self) -> bool:
-        """Return whether every searcher drains, so that none takes new work."""
+        """Return whether no searcher takes new work: all are draining, or there are none."""
         return all(h.state is SearcherState.DRAINING for h in self.health.values())
 
     def usable_slots(self, now: Millis) -> int:
         """Return how many requests the searchers can run at once now.
 
-        A searcher that is warming up counts only with the requests that it may have in flight.
+        A searcher counts with its slots, or with the requests that it may have in flight if these
+        are fewer, as during its warm-up.
         """
         return sum(min(h.searcher.slots, h.max_in_flight(now)) for h in self.health.values())
 
@@ -133,9 +134,9 @@
         self._notify(before)
 
     def record_load(self, searcher: Searcher, report: LoadReport | None) -> None:
-        """Record a searcher's report of its load, ``None`` if it could not be asked.
+        """Record a searcher's report of its load, ``None`` if it sent no valid one.
 
-        The failure to ask matters only for a draining searcher, which may be restarting.
+        A missing report matters only for a draining searcher, which may be restarting.
         """
         health = self.find(searcher)
         before = self._states()
@@ -156,7 +157,7 @@
                 self._eject(health, now)
 
     def _eject(self, health: SearcherHealth, now: Millis) -> None:
-        """Eject ``health``, unless more than half of the service would then get no work."""
+        """Eject ``health``, unless over half of the searchers would then be ejected or draining."""
         unavailable = (SearcherState.EJECTED, SearcherState.DRAINING)
         out = sum(h.state in unavailable for h in self.health.values() if h is not health)
         if (out + 1) * 2 <= len(self.health):
@@ -174,7 +175,7 @@
 def _is_failure(attempt: SearcherAttempt, reason: Reason) -> bool:
     """Return whether a failed attempt counts against its searcher.
 
-    An attempt that was superseded by its hedge counts too. Neither that nor a lost searcher
+    An attempt that was superseded by its hedge counts too. Neither that nor ``SEARCHER_LOST``
     counts if the searcher has answered since the attempt was sent, as it is then alive.
     """
     answered_since = attempt.health.last_success_at >= attempt.sent_at
--- a/src/masticgate/process/_searcher_health.py
+++ b/src/masticgate/process/_searcher_health.py
@@ -20,7 +20,7 @@
 """A searcher this many times slower than the fastest one of its service is ejected."""
 
 SLOW_MIN_SAMPLES = 20
-"""The number of successes before a searcher's latency is compared with that of the others."""
+"""The number of successes before a searcher's latency is compared with that of the fastest."""
 
 INITIAL_EJECTION = Millis(500.0)
 MAX_EJECTION = Millis(8000.0)
@@ -59,7 +59,7 @@
     """How many requests a searcher gets at once."""
 
     WARMING = "warming"
-    """One or a few, and more as requests succeed."""
+    """One or a few, and more as requests succeed; none during the pause after a refusal."""
 
     ACTIVE = "active"
     """As many as this host has connections to it."""
@@ -92,8 +92,8 @@
     number of these that have been told to close.
 
     ``warm_up_limit`` is how many requests may be in flight while the searcher is warming up.
-    ``drained_incarnation`` is the incarnation that is shutting down, empty if unknown, and
-    ``lost_while_draining`` is whether a request has failed since the searcher began to drain.
+    ``drained_incarnation`` is the incarnation that is shutting down, empty if unknown.
+    ``lost_while_draining`` is set when a request or a load check fails while the searcher drains.
     """
 
     def __init__(self, searcher: Searcher) -> None:
@@ -108,7 +108,7 @@
         self.reset()
 
     def reset(self) -> None:
-        """Discard all observations and treat the searcher as newly started."""
+        """Treat the searcher as newly started: forget its latency, failures and ejections."""
         self.state = SearcherState.WARMING
         self.warm_up_limit = 1.0
         self.latency = Millis(0.0)
@@ -122,7 +122,7 @@
         self.lost_while_draining = False
 
     def resize(self, searcher: Searcher, connections: int) -> int:
-        """Set how many connections there should be; return how many have to be opened."""
+        """Set the searcher and how many connections it should have; return how many to open."""
         self.searcher = searcher
         self.connections = connections
         missing = max(0, connections - self.open_connections)
@@ -159,8 +159,9 @@
     def cost(self, now: Millis) -> tuple[float, int]:
         """Return the sort key for the choice among searchers, the lowest first.
 
-        The requests in flight and the latency seen here decide. The load that the searcher
-        reports only breaks a tie, since it may be wrong.
+        The requests in flight and the latency seen here decide; a searcher to probe, or without a
+        recent latency, comes first. The load that the searcher reports only breaks a tie, since it
+        may be wrong.
         """
         probe = self.state is SearcherState.EJECTED
         stale = self.in_flight == 0 and now - self.last_success_at > LATENCY_TTL
@@ -235,8 +236,9 @@
     def record_report(self, report: LoadReport) -> None:
         """Record a load report; reset a draining searcher that has restarted.
 
-        It has restarted when it reports another incarnation and no longer drains. If it states no
-        incarnation, it counts as restarted when a request to it has failed since it began to drain.
+        It has restarted when it reports another incarnation and no longer drains. If one of the
+        incarnations is unknown, it counts as restarted when it no longer drains and a request or
+        load check has failed since it began to drain.
         """
         self.reported_load = report.load
         if self.state is SearcherState.DRAINING:
--- a/src/masticgate/process/_service_load.py
+++ b/src/masticgate/process/_service_load.py
@@ -26,7 +26,8 @@
 """The capacity counts as known after this many completions while other work was waiting."""
 
 MAX_COMPLETION_GAP = Millis(500.0)
-"""A longer time between two completions is a stall of this host, not of the searchers."""
+"""A longer time between two completions counts as a stall of this host, not of the searchers, and
+is left out of the capacity."""
 
 INITIAL_SHARE = 0.95
 """The share of the estimated capacity that is admitted when refusing begins."""
@@ -126,7 +127,8 @@
     def shares(self, floors: Mapping[Rank, float]) -> dict[Rank, float]:
         """Return the share of each rank's demand to admit, 1 while nothing has to be refused.
 
-        ``floors`` holds the share of the capacity that a rank is guaranteed.
+        Also end refusing once :data:`RELEASE_AFTER` allows it. ``floors`` maps each rank to the
+        share of the capacity that it is guaranteed.
         """
         if self.admitted_rate is None:
             return dict.fromkeys(Rank, 1.0)
@@ -138,7 +140,7 @@
         return shares
 
     def capacity(self, slots: int) -> float | None:
-        """Return the completions per millisecond on ``slots`` slots, ``None`` while unknown."""
+        """Return the completions per millisecond of ``slots`` slots, ``None`` while unknown."""
         if self.busy_completions < MIN_COMPLETIONS:
             return None
         return self.busy_completions / max(1.0, self.busy_slot_millis) * slots
--- a/src/masticgate/process/_service_pool.py
+++ b/src/masticgate/process/_service_pool.py
@@ -42,8 +42,8 @@
     """Queues the work of one service and dispatches it to connections as they become idle.
 
     There is one task for each connection. It blocks in :meth:`wait_for_work`, sends the attempt
-    that is returned to it and passes the result to :meth:`finish`. Work is settled when it leaves
-    the pool and its result is delivered.
+    that is returned to it and passes the result to :meth:`finish`. To settle work is to remove it
+    from the pool and deliver its result.
 
     ``lock`` guards the pool. Methods that may settle work enter ``delivery_lock`` instead, which
     holds ``lock`` and delivers the results after it has released it.
@@ -78,12 +78,13 @@
         """The state of each searcher in use, by its id."""
         return self.searchers.health
 
-    # Called for requests, whether they came from this host or from a peer.
+    # Called for requests and for the exchange of pressure, and to configure or stop the pool.
 
     def submit(self, work: Work) -> NotRun | None:
         """Queue ``work`` and return ``None``, or return why it is refused.
 
-        Unless the work is refused or cancelled, its ``deliver`` is called once with the result.
+        The ``deliver`` of queued work is called once with the result, unless the work is a search
+        that is cancelled.
         """
         with self.delivery_lock:
             self.last_used = self.clock.now()
@@ -101,9 +102,9 @@
     def cancel(self, query: QueryId) -> None:
         """Cancel a query whose result is no longer needed.
 
-        A search is removed without a result, and its attempts in flight are aborted. A booking,
-        which may run only once, is settled as not run while it is queued, and continues once it
-        was sent.
+        A search is removed without a result, and its attempts in flight are aborted. A booking
+        may run only once: it is settled as not run if it is still queued, and continues if it was
+        sent.
         """
         with self.delivery_lock:
             entry = self.entries.get(query)
@@ -117,16 +118,19 @@
                     self._settle(entry, NotRun(Reason.CANCELLED, Step.QUEUE, peer=self.service))
 
     def record_refused(self, rank: Rank, count: int) -> None:
-        """Record that an entry host refused work because of this service's pressure.
+        """Record that an entry host refused ``count`` queries that need this service.
 
-        The entry host is the host that received the caller's request; pressure is the share of
-        each rank's demand that the service can take. Refused work still counts as demand.
+        The entry host is the host that received the queries from callers. It refuses them because
+        of the pressure of this or another service. They still count as demand.
         """
         with self.lock:
             self.load.record_arrivals(rank, count)
 
     def measure_pressure(self) -> dict[Rank, float]:
-        """Update the load, and return the share of each rank's demand to admit, from 0 to 1."""
+        """Update the load, and return the pressure of the service.
+
+        The pressure is the share of each rank's demand to admit, from 0 to 1.
+        """
         with self.lock:
             self.load.update(self._sample_pool())
             return self.load.shares(self.pending.floors)
@@ -171,7 +175,7 @@
     def wait_for_work(
         self, searcher: Searcher
     ) -> SearcherAttempt | CheckLoad | NoWork | CloseConnection:
-        """Wait for work for an idle connection of ``searcher``; return what it has to do.
+        """Wait until an idle connection to ``searcher`` has something to do, and return that.
 
         After :data:`MAX_IDLE_WAIT` without work, return :class:`CheckLoad` if it is time to ask
         for the searcher's load, and :class:`NoWork` otherwise.
@@ -187,11 +191,11 @@
                     return outcome
 
     def may_send(self, attempt: SearcherAttempt, abort: Callable[[], None]) -> bool:
-        """Return whether ``attempt`` is still wanted, just before its first byte is sent.
+        """Return whether ``attempt`` is still wanted and its deadline has not passed.
 
-        The deadline is checked again here, since the process may have been paused since the
-        dispatch. ``abort`` cancels the call: it may be called from another task until
-        :meth:`finish` is called, and must not block.
+        Call it just before the first byte is sent. The deadline is checked again here, because the
+        process may have been paused after the dispatch. ``abort`` cancels the call: it may be
+        called from another task until :meth:`finish` is called, and must not block.
         """
         with self.lock:
             attempt.abort = abort
@@ -199,7 +203,11 @@
             return not expired and attempt.state is AttemptState.WANTED
 
     def finish(self, attempt: SearcherAttempt, result: Result) -> None:
-        """Handle the result of ``attempt``: deliver it, retry the work, or ignore it as late."""
+        """Handle the result of ``attempt``: deliver it, retry the work, or ignore it.
+
+        A result is ignored if the work is done; any but hits also while another attempt is in
+        flight.
+        """
         with self.delivery_lock:
             entry = attempt.entry
             self._record_result(attempt, result)
@@ -215,7 +223,7 @@
         self.finish(attempt, NotRun(reason, Step.SEND, peer=attempt.searcher))
 
     def record_load(self, searcher: Searcher, report: LoadReport | None) -> None:
-        """Record the load that a searcher reports, ``None`` if it could not be asked."""
+        """Record a searcher's report of its load, ``None`` if it sent no valid one."""
         with self.delivery_lock:
             self.searchers.record_load(searcher, report)
             self.dispatch()
--- a/src/masticgate/process/_tickets.py
+++ b/src/masticgate/process/_tickets.py
@@ -17,7 +17,7 @@
 from ..request import Attempt, Booking, BookingOutcome, Ran
 
 TICKET_LIFETIME = Millis(120_000.0)
-"""The time after it was issued in which a ticket may be used; its outcome is kept twice as long."""
+"""How long after its issue a ticket may start an attempt; its outcome is kept twice as long."""
 
 MAX_TICKETS = 50_000
 """The maximum number of tickets that are kept; more are refused as overload."""
@@ -52,7 +52,7 @@
     ``outcome`` is the outcome of the latest attempt, ``content`` the service and the payload of
     the booking, and ``query`` the request that started the latest attempt. ``late_outcome`` is an
     outcome that the owner sent after that request stopped waiting, but before the request recorded
-    its own. ``requests`` holds the outcome that each request got or will get.
+    its own. ``requests`` maps each request that started or joined an attempt to its outcome.
     """
 
     expires_at: Millis
@@ -67,7 +67,7 @@
 
 @dataclass(frozen=True, slots=True)
 class TicketParts:
-    """The host and the incarnation, one run of a host, that issued a ticket."""
+    """The host that issued a ticket, and its incarnation, which identifies one run of the host."""
 
     host: HostId
     incarnation: Incarnation
@@ -84,8 +84,8 @@
 class TicketTable:
     """Issues tickets and lets each booking run at most once.
 
-    ``unresolved`` holds the tickets of the attempts whose outcome is not certain yet, by the
-    request that started the attempt.
+    ``unresolved`` maps each request that started an attempt to its ticket, until the outcome of
+    the attempt is certain.
     """
 
     def __init__(self, host: HostId, incarnation: Incarnation, clock: Clock) -> None:
--- a/src/masticgate/process/_work.py
+++ b/src/masticgate/process/_work.py
@@ -14,9 +14,9 @@
 class SearchWork:
     """The part of a search that one service answers.
 
-    It is idempotent, so it may be sent to several searchers. ``admission_number`` is drawn once for
-    each query: the hosts that queue its parts serve an overloaded rank in the order of these
-    numbers, so that all finish the same queries.
+    It is idempotent, so it may be sent to several searchers. ``admission_number`` is a random
+    number, drawn once for each query: the hosts that queue its parts serve an overloaded rank in
+    the order of these numbers, so that all finish the same queries.
     """
 
     query: QueryId
@@ -100,7 +100,7 @@
 
     ``hedge`` marks a second attempt that was made while a slow first one was in flight. ``abort``
     cancels the call from another task; the connection task sets it before it sends.
-    ``incarnation`` identifies the run of the searcher that replied, empty if it states none.
+    ``incarnation`` identifies the run of the searcher that refused the work, empty if unknown.
     """
 
     entry: QueueEntry
--- a/tests/process/fake_connections.py
+++ b/tests/process/fake_connections.py
@@ -60,9 +60,8 @@
 class FakeConnections:
     """Connections of a pool that become idle and finish their attempts when a test says so.
 
-    An attempt is one sending of a request to a searcher. ``results`` holds what was delivered for
-    each query, ``attempts`` the attempts in flight, and ``aborted`` the attempts whose call was
-    aborted.
+    An attempt sends a piece of work to one searcher. ``results`` holds what was delivered for each
+    query, ``attempts`` the attempts in flight, and ``aborted`` the attempts whose call was aborted.
     """
 
     def __init__(self, names="ab"):
--- a/tests/process/test_bookings.py
+++ b/tests/process/test_bookings.py
@@ -1,4 +1,4 @@
-"""Bookings through real processes, whose runs are counted in the searchers' own logs.
+"""Bookings through real processes, whose runs are counted in the searchers' own reports.
 
 A booking changes data at a searcher. The caller first gets a ticket for it from one host, the
 minter, and sends the ticket with each request. The owner of the service queues the booking and
@@ -50,7 +50,7 @@
 
 
 class TestBookingUnderFaults:
-    """A booking runs at most once, and its outcome is "unknown" when nobody can be certain."""
+    """A booking runs at most once, and its outcome is "unknown" if it is not certain."""
 
     def test_repeated_requests_through_other_hosts_get_outcome_of_first_run(self, fleet):
         fleet.set_behaviour([], service_ms=200.0, spread="fixed")
--- a/tests/process/test_repeat_budget.py
+++ b/tests/process/test_repeat_budget.py
@@ -1,4 +1,4 @@
-"""The budget for the searches that a host repeats at another owner while the first is silent."""
+"""The budget for the parts of searches that a host sends again while their owner is silent."""
 
 from masticgate.process._repeat_budget import EARNED_PER_PART, MAX_PARTS, RepeatBudget
 
--- a/tests/process/test_searcher_choice.py
+++ b/tests/process/test_searcher_choice.py
@@ -97,7 +97,10 @@
 
     @staticmethod
     def run(connections, results):
-        """Run four searches at once, each with the result given for its searcher."""
+        """Run four searches at once, each with the result given for its searcher.
+
+        Return all their attempts.
+        """
         for _ in range(4):
             connections.search()
         ran = []
