--- a/src/masticgate/process/_rank_queue.py
+++ b/src/masticgate/process/_rank_queue.py
@@ -50,7 +50,10 @@
         return len(self.by_arrival[rank])
 
     def oldest_wait(self, rank: Rank, now: Millis) -> Millis:
-        """Return how long the oldest queued entry of ``rank`` has waited, 0 if there is none."""
+        """Return how long ago the first queued entry of ``rank`` arrived, 0 if there is none.
+
+        A retried entry is queued last, but keeps the time at which it arrived at first.
+        """
         oldest = next(iter(self.by_arrival[rank].values()), None)
         return Millis(now - oldest.queued_at) if oldest else Millis(0.0)
 
