--- a/src/masticgate/process/_rank_queue.py
+++ b/src/masticgate/process/_rank_queue.py
@@ -28,10 +28,10 @@
 class RankQueue:
     """The queued entries of one service; callers hold the lock of the service pool.
 
-    ``credit`` holds the pieces of work that each rank is owed by its floor. ``by_arrival`` and
-    ``by_admission_number`` hold the same entries in two orders. The admission number is drawn once
-    for each query, so that all owners of its services order overloaded queues in the same way. A
-    booking has none and comes first.
+    ``credit`` counts the pieces of work that each rank is owed by its floor. ``by_arrival`` and
+    ``by_admission_number`` hold the same entries in two orders. The admission number is a random
+    number, drawn once for each query, so that all owners of its services order overloaded queues
+    in the same way. A booking has none and comes first.
     """
 
     def __init__(self, order: Order, floors: Mapping[Rank, float]) -> None:
@@ -50,7 +50,10 @@
         return len(self.by_arrival[rank])
 
     def oldest_wait(self, rank: Rank, now: Millis) -> Millis:
-        """Return how long the oldest queued entry of ``rank`` has waited, 0 if there is none."""
+        """Return how long ago the first queued entry of ``rank`` arrived, 0 if there is none.
+
+        A retried entry is queued last, but keeps the time at which it arrived at first.
+        """
         oldest = next(iter(self.by_arrival[rank].values()), None)
         return Millis(now - oldest.queued_at) if oldest else Millis(0.0)
 
@@ -93,7 +96,8 @@
     def record_served(self, entry: QueueEntry) -> None:
         """Record that a popped entry was served, and credit each waiting rank with its floor.
 
-        It isn't called for an entry past its deadline, which uses up no credit.
+        A rank without queued work loses its credit. The method isn't called for an entry past its
+        deadline, which uses up no credit.
         """
         served = entry.work.rank
         for rank in Rank:
--- a/tests/process/test_repeat_budget.py
+++ b/tests/process/test_repeat_budget.py
@@ -1,10 +1,10 @@
-"""The budget for the searches that a host repeats at another owner while the first is silent."""
+"""The budget for the parts of searches that a host sends again while their owner is silent."""
 
 from masticgate.process._repeat_budget import EARNED_PER_PART, MAX_PARTS, RepeatBudget
 
 
 class TestRepeatBudget:
-    def test_covers_its_maximum_at_first_and_is_then_empty(self):
+    def test_starts_full_and_refuses_once_spent(self):
         budget = RepeatBudget()
         assert budget.spend(int(MAX_PARTS))
         assert not budget.spend(1)
