--- a/bench/process/_control_fleet.py
+++ b/bench/process/_control_fleet.py
@@ -20,7 +20,7 @@
 FLEET_SIZES = [3, 7, 15, 30]
 """Numbers of hosts of the idle fleets."""
 
-IDLE_SECONDS = 8.0
+WINDOW_SECONDS = 8.0
 """The length of the window in which the use is measured."""
 
 SETTLE_SECONDS = 5.0
@@ -70,7 +70,7 @@
     with CountedFleet(SMALL, hosts) as fleet:
         time.sleep(SETTLE_SECONDS)
         before = fleet.counts()
-        time.sleep(IDLE_SECONDS)
+        time.sleep(WINDOW_SECONDS)
         return _mean_use(before, fleet.counts())
 
 
@@ -84,12 +84,12 @@
         deployment.text, deployment.hosts, searcher_processes=2, behaviour=SEARCHER_BEHAVIOUR
     ) as fleet:
         time.sleep(SETTLE_SECONDS)
-        load = Load(fleet, [deployment.wide_service], BUSY_RATES, 2 * IDLE_SECONDS)
+        load = Load(fleet, [deployment.wide_service], BUSY_RATES, 2 * WINDOW_SECONDS)
         if busy:
             load.start()
             time.sleep(SETTLE_SECONDS)
         before = fleet.counts()
-        time.sleep(IDLE_SECONDS)
+        time.sleep(WINDOW_SECONDS)
         after = fleet.counts()
         load.stop()
         return _mean_use(before, after)
--- a/bench/process/_events.py
+++ b/bench/process/_events.py
@@ -58,15 +58,16 @@
 class EventRunner:
     """Makes the event of one trial happen, and counts the searches that a departure should end.
 
-    ``started_at_departure`` is the number of searches that the searchers of the leaving department
-    had started at the time from which they must receive no new work. ``work_after_leaving`` is the
-    number that they started after it, or ``None`` if no department left.
+    ``started_before_leaving`` is the number of searches that the searchers of the leaving
+    department had started at the time from which they must receive no new work.
+    ``work_after_leaving`` is the number that they started after it, or ``None`` if no department
+    left.
     """
 
     fleet: Fleet
     deployment: Deployment
     work_after_leaving: int | None = None
-    started_at_departure: int = field(default=0)
+    started_before_leaving: int = field(default=0)
 
     def run(self, event: Event) -> None:
         """Make ``event`` happen, and wait until it is over if it is limited in time."""
@@ -85,9 +86,9 @@
             case PlatformDown():
                 fleet.control_platform("down", down=True)
             case Depart():
-                fleet.publish_text(self.deployment.text_without)
+                fleet.publish_text(self.deployment.edited_text)
                 time.sleep(LEAVING_SECONDS)
-                self.started_at_departure = self.count(
+                self.started_before_leaving = self.count(
                     "started", self.deployment.leaving_department
                 )
 
@@ -95,17 +96,17 @@
         """Count the effects of ``event`` once the load has ended."""
         if isinstance(event, Depart):
             started = self.count("started", self.deployment.leaving_department)
-            self.work_after_leaving = started - self.started_at_departure
+            self.work_after_leaving = started - self.started_before_leaving
 
-    def count(self, counter: str, group: str) -> int:
+    def count(self, counter: str, id_prefix: str) -> int:
         """Return the sum of one counter over the searchers of a group of services.
 
-        The group is those services whose ids begin with ``group``.
+        The group is those services whose ids begin with ``id_prefix``.
         """
         return sum(
             searcher["counts"].get(counter, 0)
             for searcher in self.fleet.searcher_reports(include_search_log=False).values()
-            if searcher["service"].startswith(group)
+            if searcher["service"].startswith(id_prefix)
         )
 
     def _repartition(self) -> None:
--- a/bench/process/_path_costs.py
+++ b/bench/process/_path_costs.py
@@ -42,7 +42,7 @@
     so the difference between the two is the time of the entry.
     """
     with Fleet(flat_text(FAN_OUTS), 2, behaviour={"service_ms": 1.0}) as fleet:
-        rows = [_search(fleet, size) for size in FAN_OUTS]
+        rows = [_search_micros(fleet, size) for size in FAN_OUTS]
         sizes = [float(size) for size in FAN_OUTS]
         owned_sizes = [size / 2 for size in sizes]
         return PathCosts(
@@ -54,7 +54,7 @@
         )
 
 
-def _search(fleet: Fleet, size: int) -> tuple[float, float]:
+def _search_micros(fleet: Fleet, size: int) -> tuple[float, float]:
     services = [f"d{size}/{n}" for n in range(size)]
     fleet.search(0, services)
     time.sleep(0.5)
--- a/bench/process/load.py
+++ b/bench/process/load.py
@@ -38,7 +38,7 @@
             return next(self.arrivals)
 
 
-def start_callers(plan: dict[str, Any]) -> list[Caller]:
+def make_callers(plan: dict[str, Any]) -> list[Caller]:
     """Return the callers for every host; each host has its own arrivals."""
     addresses: list[str] = plan["addresses"]
     rates = {rank: rate / len(addresses) for rank, rate in plan["rates"].items()}
@@ -58,7 +58,7 @@
 
 def run(plan: dict[str, Any]) -> list[Result]:
     """Run every caller as a task and return the results of all arrivals."""
-    callers = start_callers(plan)
+    callers = make_callers(plan)
     with ThreadPoolExecutor(len(callers)) as tasks:
         return [result for results in tasks.map(Caller.run, callers) for result in results]
 
--- a/bench/version/_deployment.py
+++ b/bench/version/_deployment.py
@@ -44,7 +44,7 @@
         return example(self.name)
 
     @property
-    def text_without(self) -> str:
+    def edited_text(self) -> str:
         """The text after an operator has marked the leaving department."""
         return mark_leaving(self.text, self.leaving_department)
 
--- a/bench/version/_version_costs.py
+++ b/bench/version/_version_costs.py
@@ -42,15 +42,15 @@
 
 def delta_calls() -> list:
     """Return one call for each text; each finds and encodes the delta of one edit."""
-    return [lambda push=push: encode_message(push()) for push in map(_delta, COPIES)]
+    return [lambda call=call: encode_message(call()) for call in map(_delta_call, COPIES)]
 
 
 def delta_bytes() -> list[float]:
     """Return the encoded size in bytes of the delta of one edit, for each text."""
-    return [float(len(encode_message(_delta(copies)()))) for copies in COPIES]
+    return [float(len(encode_message(_delta_call(copies)()))) for copies in COPIES]
 
 
-def _delta(copies: int):
+def _delta_call(copies: int):
     before = split_sections(accept_configuration(scaled_text(copies)))
     after = split_sections(accept_configuration(scaled_text(copies, edited=True)))
     known = before.digests
@@ -62,7 +62,7 @@
     """Return one call for each text; each applies the delta of one edit and accepts the result."""
     calls = []
     for copies in COPIES:
-        push = _delta(copies)()
+        push = _delta_call(copies)()
         before = split_sections(accept_configuration(scaled_text(copies)))
         calls.append(lambda push=push, before=before: _apply_and_accept(before, push))
     return calls
--- a/tests/gateway/test_gathering_at_peers.py
+++ b/tests/gateway/test_gathering_at_peers.py
@@ -24,7 +24,7 @@
     return number.to_bytes(16, "big")
 
 
-def shards() -> dict[str, list[StandInSearcher]]:
+def make_searchers() -> dict[str, list[StandInSearcher]]:
     return {
         "s1": [StandInSearcher(lambda head: reply_to(head, record(3) + record(1)))],
         "s2": [StandInSearcher(lambda head: reply_to(head, record(2)))],
@@ -61,7 +61,7 @@
 
 class TestGatheringAtPeers:
     def test_seed_gathers_and_entry_gateway_returns_answer_as_its_own(self):
-        searchers = shards()
+        searchers = make_searchers()
         with running_pair(searchers) as (entry, seed):
             status, head, body = RawCaller(entry).get().read()
             assert (status, body) == (200, record(3) + record(2))
@@ -74,14 +74,14 @@
         assert b"x-gateway" not in sent.lower()
 
     def test_gathers_itself_if_seed_is_stopping(self):
-        with running_pair(shards()) as (entry, seed):
+        with running_pair(make_searchers()) as (entry, seed):
             seed.stopping.set()
             assert RawCaller(entry).get().read()[0] == 200
             assert request_count(seed) == 0
             assert entry.metrics.counters["gathered_without_peer"] == 1
 
     def test_gathers_itself_if_seed_is_unreachable(self):
-        with running_pair(shards()) as (entry, seed):
+        with running_pair(make_searchers()) as (entry, seed):
             for task in [t for t in entry.fleet.tasks if t.searcher.startswith(PEER_SERVICE)]:
                 task.close()
             for listener in seed.listeners:
@@ -90,7 +90,7 @@
             assert entry.metrics.counters["gathered_without_peer"] == 1
 
     def test_seed_with_other_version_does_not_gather(self):
-        with running_pair(shards(), seed_version=7) as (entry, seed):
+        with running_pair(make_searchers(), seed_version=7) as (entry, seed):
             assert RawCaller(entry).get().read()[0] == 200
             assert request_count(seed) == 0
 
@@ -106,7 +106,7 @@
             assert caller.read()[0] == 504
             assert entry.metrics.counters["gathered_again"] == 1
 
-    def test_lost_query_without_searcher_is_not_reported_as_not_run(self):
+    def test_query_of_lost_seed_is_not_reported_as_not_run_if_no_searcher_is_left(self):
         searchers = {"s1": [HangingSearcher()], "s2": [HangingSearcher()]}
         with running_pair(searchers) as (entry, _):
             entry.fleet.budgets.window(PEER_SERVICE).slack = 1.0
--- a/tests/standins/fleet.py
+++ b/tests/standins/fleet.py
@@ -33,7 +33,7 @@
 CALL_TIMEOUT_SECONDS = 10.0
 """Bounds each socket operation of an HTTP call to a host or to a control address."""
 
-_fleet_numbers = itertools.count()
+_address_numbers = itertools.count()
 
 
 def allocate_ip_address() -> str:
@@ -41,7 +41,7 @@
 
     It is derived from the process id and from the number of addresses allocated before.
     """
-    number = os.getpid() * 7 + next(_fleet_numbers)
+    number = os.getpid() * 7 + next(_address_numbers)
     return f"127.{1 + number // 250 % 250}.{number % 250}.1"
 
 
