--- a/tests/gateway/test_gathering_at_peers.py
+++ b/tests/gateway/test_gathering_at_peers.py
@@ -21,6 +21,7 @@
 
 
 def record(number: int) -> bytes:
+    """Return a record of a searcher's answer; a merged answer has the two greatest."""
     return number.to_bytes(16, "big")
 
 
@@ -45,6 +46,7 @@
         running(routes, searchers, seeds=(SEED,)) as entry,
     ):
         entry.peers.update_gathering = lambda: None
+        # The seed is in ``relay_domains`` once it has replied to a heartbeat and is ready.
         for _ in range(200):
             if entry.peers.relay_domains:
                 break
--- a/tests/standins/__init__.py
+++ b/tests/standins/__init__.py
@@ -2,5 +2,6 @@
 
 An entry host serves callers and sends their requests on to searchers. The stand-ins are the
 searchers and the platform, which publishes the configuration, the snapshots and the host list.
-Each has a control address, through which a test changes its behaviour and reads its counts.
+Each process of stand-ins has a control address, through which a test changes their behaviour and
+reads their counts.
 """
--- a/tests/standins/fleet.py
+++ b/tests/standins/fleet.py
@@ -70,7 +70,7 @@
 def shard_map(configuration: Configuration, shards: int = 2, prefix: str = "s") -> dict[str, Any]:
     """Return a shard map with ``shards`` shards of weight 1.0 for each service that has searchers.
 
-    The names of the shards contain ``prefix``.
+    The id of a shard is the id of its service, a slash, ``prefix`` and the number of the shard.
     """
     return {
         service.id: {f"{service.id}/{prefix}{n}": 1.0 for n in range(shards)}
@@ -80,13 +80,13 @@
 
 
 class Fleet:
-    """One deployment: a platform, searchers and entry hosts, all in processes of their own.
+    """One deployment: a platform, searchers and entry hosts, none of them in this process.
 
     The platform and each entry host have a process each; the searchers share
     ``searcher_processes`` processes. The configuration text is ``text``, with 127.0.0.1 replaced by
-    the fleet's own IP address. ``routing`` and ``settings`` apply to all hosts, and
-    ``host_settings`` to single ones, by index. ``behaviour`` holds fields of ``Behaviour`` that all
-    searchers start with.
+    the fleet's own IP address. ``routing`` and ``settings`` are settings of all hosts, and
+    ``host_settings`` maps the index of a host to settings of that host alone. ``behaviour`` holds
+    fields of ``Behaviour`` that all searchers start with.
     """
 
     def __init__(
@@ -187,7 +187,10 @@
         self.publish_hosts(self.hosts)
 
     def start_host(self, index: int, **overrides: Any) -> None:
-        """Start one entry host as a new incarnation, without any state of an earlier one."""
+        """Start one entry host as a new incarnation, without any state of an earlier one.
+
+        ``overrides`` replace or add settings of this incarnation.
+        """
         host = self.hosts[index]
         settings = {
             "host": host["host"],
--- a/tests/standins/http.py
+++ b/tests/standins/http.py
@@ -38,7 +38,7 @@
 
 
 class HttpProtocol(asyncio.Protocol):
-    """One connection; its requests are answered in order, one at a time.
+    """One connection, whose client sends a request only when the one before is answered.
 
     ``on_connection_change`` is called with 1 when the connection opens and with -1 when it closes.
     ``exchange`` is the request that is not answered yet.
@@ -90,7 +90,10 @@
 async def listen(
     address: str, handle: Handler, on_connection_change: Callable[[int], None] = lambda change: None
 ) -> asyncio.Server:
-    """Call ``handle`` for each request that arrives at ``address`` (``127.0.0.1:port``)."""
+    """Start a server that calls ``handle`` for each request to ``address``.
+
+    An address is an IP address and a port, such as ``127.0.0.1:9000``.
+    """
     ip_address, _, port = address.rpartition(":")
     loop = asyncio.get_running_loop()
     return await loop.create_server(
--- a/tests/standins/load.py
+++ b/tests/standins/load.py
@@ -15,10 +15,11 @@
 
 @dataclass(frozen=True)
 class Outcome:
-    """The outcome of one request: when it was sent, to which host, and the body of the answer.
+    """The outcome of one request: when it was sent, to which host, and the body of the response.
 
+    ``sent_at`` is a time of the monotonic clock, and ``host`` an index into the fleet's hosts.
     ``kind`` is "whole" or "partial" for an answer, "unreachable" when the connect failed,
-    "connection_lost" when no answer arrived, and otherwise the reason of the refusal.
+    "connection_lost" when no response arrived, and otherwise the reason in an error response.
     """
 
     sent_at: float
--- a/tests/standins/platform.py
+++ b/tests/standins/platform.py
@@ -13,7 +13,9 @@
 class Platform:
     """Values with revisions that are watched by long polls, and a host list.
 
-    A watch is a read that waits for a revision above the one that the reader has.
+    A watch is a read that waits for a revision above the one that the reader has. Unless
+    ``frozen_values`` is empty, it is served instead of ``values``. ``previous_values`` holds the
+    values before the last change.
     """
 
     def __init__(self) -> None:
@@ -106,7 +108,7 @@
             exchange.answer(200, {"revision": revision, "value": value})
 
     def handle_control(self, exchange: Exchange) -> None:
-        """Run a command of a test; answer any other command with the counts."""
+        """Run a command of a test; answer any other request with the counts."""
         body = exchange.json() if exchange.body else {}
         match body.get("command"):
             case "put":
--- a/tests/standins/relay.py
+++ b/tests/standins/relay.py
@@ -18,7 +18,8 @@
 class Relay:
     """Relays connections from ``address`` to ``target``, except those of blocked hosts.
 
-    The host at the other end is known from its hello. Each connection has threads of its own.
+    The host that opened a connection is known from its hello. Each connection has threads of its
+    own.
     """
 
     def __init__(self, address: str, target: str) -> None:
--- a/tests/standins/searcher.py
+++ b/tests/standins/searcher.py
@@ -16,7 +16,8 @@
 class Behaviour:
     """How a searcher treats requests; a test may change each field while the searcher runs.
 
-    Durations are in milliseconds, and shares are from 0 to 1.
+    Durations are in milliseconds, and shares are from 0 to 1. Requests for the searcher's load are
+    always answered.
     """
 
     service_ms: float = 20.0
@@ -52,16 +53,17 @@
     """Whether new requests are received but never answered."""
 
     lost: bool = False
-    """Whether connections are refused, and those of new and running requests are closed.
+    """Whether connections are refused, and no search or booking is answered on open ones.
 
-    Setting it back does not open the server again.
+    The connection of a new request is closed at once, and that of a running one when its service
+    time is over. Setting the field back does not open the server again.
     """
 
     held: list[int] = field(default_factory=lambda: [1])
     """The versions of the snapshots that the searcher holds; it answers 410 for others."""
 
     wrong_version: int = 0
-    """The version named in answers to searches instead of the requested one; 0 for none."""
+    """The version named in answers to searches; if 0, it is the requested one."""
 
     reported_load: int = -1
     """The reported number of queued and running requests; if negative, the true one is reported."""
@@ -100,7 +102,7 @@
         self.server: asyncio.Server | None = None
 
     def close_server(self) -> None:
-        """Refuse new connections; ``Behaviour.lost`` ends the requests on open ones."""
+        """Refuse new connections; on open ones, requests end as ``Behaviour.lost`` says."""
         if self.server is not None:
             self.server.close()
 
@@ -219,7 +221,7 @@
         return record
 
     def answer_booking(self, exchange: Exchange) -> None:
-        """Carry out a booking and answer it, unless the behaviour is to lose the answer."""
+        """Carry out a booking and answer it; with ``close_after_booking``, do not answer."""
         record = self.record_booking(exchange)
         if self.behaviour.close_after_booking:
             exchange.close()
