--- a/bench/connection/_connection_memory.py
+++ b/bench/connection/_connection_memory.py
@@ -38,7 +38,10 @@
 
 
 def measure_growth(add: Callable[[], None]) -> list[float]:
-    """Return the resident memory of this process after each of :data:`COUNTS` calls of ``add``."""
+    """Return the resident bytes of this process after each number of calls of ``add``.
+
+    The numbers are :data:`COUNTS`.
+    """
     sizes = []
     done = 0
     for count in COUNTS:
@@ -51,9 +54,10 @@
 
 
 def link_memory() -> list[float]:
-    """Measure the memory at growing numbers of links between hosts.
+    """Return the resident bytes of this process at growing numbers of links between hosts.
 
-    Each link has a reading task at both of its ends, which are both in this process.
+    The numbers are :data:`COUNTS`. Each link has a reading task at both of its ends, which are
+    both in this process.
     """
     tasks = ThreadPoolExecutor(2 * max(COUNTS))
     listener = socket.create_server(("127.0.0.1", 0))
@@ -83,9 +87,9 @@
 
 
 def searcher_connection_memory() -> list[float]:
-    """Measure the memory at growing numbers of connections to a searcher.
+    """Return the resident bytes of this process at growing numbers of connections to a searcher.
 
-    Each connection is used once, and then its task waits for work.
+    The numbers are :data:`COUNTS`. Each connection is used once, and then its task waits for work.
     """
     listener = socket.create_server(("127.0.0.1", 0), backlog=256)
     address = Address(f"127.0.0.1:{listener.getsockname()[1]}")
--- a/bench/connection/_message_costs.py
+++ b/bench/connection/_message_costs.py
@@ -49,7 +49,7 @@
 
 
 def reply(hits: int) -> Message:
-    """Return the reply of one service with ``hits`` hits."""
+    """Return an owner's reply for one service, with ``hits`` hits."""
     found = tuple(Hit(f"document-{n}", 0.5, ShardId("s0"), '{"title":"lamp"}') for n in range(hits))
     return Reply(
         QUERY,
--- a/bench/process/_control_fleet.py
+++ b/bench/process/_control_fleet.py
@@ -51,7 +51,7 @@
 
 
 class CountedFleet(Fleet):
-    """A fleet whose hosts run as :mod:`.counted_host` and write what their work costs to files."""
+    """A fleet whose hosts run as :mod:`.counted_host`; each writes its counts to a file."""
 
     def _spawn(self, name: str, command: list[str]) -> None:
         if "serve" in command:
--- a/bench/process/_cpu.py
+++ b/bench/process/_cpu.py
@@ -24,11 +24,11 @@
 """
 
 KINDS = {"host": "h", "searchers": "searchers", "platform": "platform", "load": "load"}
-"""The prefix of the names of processes, for each kind of process."""
+"""Maps each kind of process to the prefix of the names of its processes."""
 
 
 def cpu_seconds(pid: int) -> float:
-    """Return the processor seconds that a process has used, or 0 if it has ended."""
+    """Return the processor seconds that a process has used, or 0 if it no longer exists."""
     try:
         stat = Path(f"/proc/{pid}/stat").read_text()
     except OSError:
@@ -38,9 +38,9 @@
 
 
 def machine_seconds() -> dict[str, float]:
-    """Return the core seconds that this machine was busy, and those that were stolen from it.
+    """Return the processor seconds that this machine used, and those that were stolen from it.
 
-    Stolen time is what this virtual machine was ready to use while the computer ran others.
+    Time is stolen when this virtual machine is ready to run while its hypervisor runs others.
     """
     ticks = [int(value) for value in Path("/proc/stat").read_text().splitlines()[0].split()[1:]]
     stolen = ticks[STOLEN_TICKS]
--- a/bench/process/_demo_run.py
+++ b/bench/process/_demo_run.py
@@ -27,7 +27,7 @@
 
 @dataclass
 class DemoRun:
-    """Runs requests against one fleet, prints each answer and collects what was wrong with them."""
+    """Runs requests against one fleet, prints each answer and collects the problems found."""
 
     fleet: Fleet
     deployment: Deployment
--- a/bench/process/_events.py
+++ b/bench/process/_events.py
@@ -1,4 +1,4 @@
-"""Faults and changes that a scenario makes happen to a fleet under load."""
+"""Faults and changes that happen to a fleet during a trial of the bench or during the demo."""
 
 import signal
 import time
@@ -56,7 +56,7 @@
 
 @dataclass
 class EventRunner:
-    """Makes the event of one trial happen, and counts the searches that a departure should end.
+    """Makes events happen to a fleet, and counts the searches started after a departure.
 
     ``started_before_leaving`` is the number of searches that the searchers of the leaving
     department had started at the time from which they must receive no new work.
@@ -70,7 +70,7 @@
     started_before_leaving: int = field(default=0)
 
     def run(self, event: Event) -> None:
-        """Make ``event`` happen, and wait until it is over if it is limited in time."""
+        """Make ``event`` happen, and return when all its steps are done."""
         fleet = self.fleet
         match event:
             case LoseSearcher():
@@ -93,15 +93,15 @@
                 )
 
     def finish(self, event: Event) -> None:
-        """Count the effects of ``event`` once the load has ended."""
+        """Compute ``work_after_leaving`` if a department left; call this after the load."""
         if isinstance(event, Depart):
             started = self.count("started", self.deployment.leaving_department)
             self.work_after_leaving = started - self.started_before_leaving
 
     def count(self, counter: str, id_prefix: str) -> int:
-        """Return the sum of one counter over the searchers of a group of services.
+        """Return the sum of one counter over the searchers of some services.
 
-        The group is those services whose ids begin with ``id_prefix``.
+        These are the services whose ids begin with ``id_prefix``.
         """
         return sum(
             searcher["counts"].get(counter, 0)
--- a/bench/process/_forecast.py
+++ b/bench/process/_forecast.py
@@ -16,7 +16,7 @@
 from ._rows import Row, Unit, format_measure, format_number, markdown_table
 
 MAX_CALLERS = 256
-"""The most connections of callers to one host, each with a task."""
+"""The default limit of callers' connections to one host; each has a task."""
 
 MICROS_PER_SECOND = 1e6
 FRAME_BYTES_LIMIT = 4e6
@@ -55,8 +55,8 @@
 def control_sum(slopes: target.Slopes, unit: Unit, *, watcher: bool) -> float:
     """Return the sum of the control work of a host in ``unit``.
 
-    Bytes are those that the host sends. A watcher, which is a host that reads the platform, adds
-    the bytes that it reads.
+    Bytes per second are those that the host sends. A watcher, which is a host that reads the
+    platform, adds the bytes that it reads.
     """
     roles = ("entry", "relay", "member") + (("watcher",) if watcher else ())
     return sum(row.value for row in control_rows(slopes, unit, roles))
@@ -316,10 +316,9 @@
 
 
 def latency_table(slopes: target.Slopes) -> str:
-    """Return the table of the latency budget.
+    """Return the table that divides the 99th percentile of the latency among a query's steps.
 
-    It divides the 99th percentile among the steps of a query, beside the processor time that each
-    of them needs on an idle core.
+    It also shows the processor time that a step of a host needs on an idle core.
     """
     request_cpu = slopes.value_at("entry", 0) / 1e3
     asks_cpu = (
--- a/bench/process/_host_costs.py
+++ b/bench/process/_host_costs.py
@@ -58,7 +58,7 @@
 
 
 def refused_calls() -> list[Callable[[], object]]:
-    """Return one call for each fan-out; each requests a search that is refused as overload."""
+    """Return one call for each fan-out; each makes a search that is refused because of overload."""
     host = idle_host(flat_text(FAN_OUTS))
     catalogue = {
         "versions": [
@@ -75,7 +75,7 @@
 def _refused_call(host: Host, fan_out: int) -> Callable[[], object]:
     services = tuple(ServiceId(f"d{fan_out}/{n}") for n in range(fan_out))
     request = SearchRequest(services, "lamp", Rank.BULK, REMAINING, 10)
-    # Admission checks the services in order, so each call checks them all.
+    # Admission checks the services in order of their ids, so each call checks them all.
     last = max(services)
 
     def call() -> object:
@@ -90,7 +90,7 @@
 def heartbeat_calls() -> list[Callable[[], object]]:
     """Return one call for each number of members.
 
-    Each does the work of one round of heartbeats except sending them.
+    Each does the work of one round of heartbeats, except checking neighbours and sending messages.
     """
     return [_heartbeat_call(count, 1) for count in MEMBER_COUNTS]
 
@@ -98,7 +98,7 @@
 def large_text_heartbeat_calls() -> list[Callable[[], object]]:
     """Return one call for each size of the text, with the smallest number of members.
 
-    Each does the work of one round of heartbeats except sending them.
+    Each does the same as those of :func:`heartbeat_calls`.
     """
     return [_heartbeat_call(min(MEMBER_COUNTS), copies) for copies in COPIES]
 
@@ -117,7 +117,7 @@
 
 
 def change_calls() -> list[Callable[[], object]]:
-    """Return one call for each number of members; each marks a host as dead or as alive."""
+    """Return one call for each number of members; each marks a host as dead or as alive in turn."""
     return [_change_call(count) for count in MEMBER_COUNTS]
 
 
--- a/bench/process/_path_costs.py
+++ b/bench/process/_path_costs.py
@@ -20,7 +20,7 @@
 QUERIES = 240
 CALLERS = 4
 EXCHANGES = 240
-"""Requests for which the cost of a bare exchange is averaged."""
+"""The number of requests over which the cost of a bare exchange is averaged."""
 
 
 @dataclass(frozen=True)
@@ -55,6 +55,10 @@
 
 
 def _search_micros(fleet: Fleet, size: int) -> tuple[float, float]:
+    """Return the processor time in microseconds per search of ``size`` services.
+
+    The first figure is that of the entry, the second that of an owner of half of the services.
+    """
     services = [f"d{size}/{n}" for n in range(size)]
     fleet.search(0, services)
     time.sleep(0.5)
--- a/bench/process/_plots.py
+++ b/bench/process/_plots.py
@@ -54,5 +54,5 @@
 
 
 def _height(value: float | None) -> float:
-    """Return the height of a bar, NaN if not run, so that it differs from a measured 0."""
+    """Return the height of a bar: NaN for no figure, so that it differs from a measured 0."""
     return float("nan") if value is None else value
--- a/bench/process/_rows.py
+++ b/bench/process/_rows.py
@@ -47,8 +47,8 @@
 class Row:
     """One line of a role's table.
 
-    ``scale`` converts the product of the factors into ``unit``. ``mechanism`` names what carries
-    the cost, and ``control`` says whether it counts as control work.
+    ``scale`` converts the product of the factors into ``unit``. ``mechanism`` says what causes
+    the cost, and ``control`` whether it counts as control work.
     """
 
     label: str
--- a/bench/process/_scenario.py
+++ b/bench/process/_scenario.py
@@ -25,9 +25,9 @@
 class Scenario:
     """A load and what happens to the fleet during it.
 
-    ``rates`` are shares of the saturation by rank, and ``behaviour`` that of every searcher.
-    ``flooded`` names the rank whose load exceeds the saturation, if any, and ``event`` happens soon
-    after the warm-up.
+    ``rates`` maps each rank to its rate of searches, as a share of the saturation. ``behaviour``
+    holds fields of ``Behaviour`` for every searcher. ``flooded`` names the rank whose load exceeds
+    the saturation, if any, and ``event`` happens soon after the warm-up.
     """
 
     name: str
@@ -38,7 +38,7 @@
 
     @property
     def departs(self) -> bool:
-        """Whether the searches go to the service that depends on the leaving department."""
+        """Whether a department leaves; the searches then go to a service that depends on it."""
         return isinstance(self.event, Depart)
 
 
--- a/bench/process/_slope.py
+++ b/bench/process/_slope.py
@@ -10,7 +10,7 @@
 class Slope:
     """A cost at several sizes and its least-squares line.
 
-    ``values`` has the cost at each of ``sizes``, in ``unit``; ``per`` names what a size counts.
+    ``values`` are the costs at ``sizes``, in ``unit``; ``per`` names what a size counts.
     """
 
     name: str
--- a/bench/process/_target.py
+++ b/bench/process/_target.py
@@ -73,16 +73,16 @@
 WATCHERS = DOMAINS * WATCHERS_PER_DOMAIN
 CHANGES_A_SECOND = CHANGES_A_DAY / SECONDS_A_DAY
 SENDS_PER_UPDATE = RETRANSMIT_FACTOR * ceil(log2(HOSTS + 1))
-"""How often a host sends a membership update before it drops it."""
+"""How many times a host sends a membership update before it drops it."""
 
 MEMBER_UPDATES_A_DAY = FAILURES_A_DAY * 3 + REPLACEMENTS_A_DAY * 2
-"""Membership updates: three for a failure, when the host is suspected, is dead and is back.
+"""Three updates for a failure (the host is suspect, dead and back), and two for a replacement.
 
-There are two for a replacement, when the host leaves and is back.
+The two of a replacement say that the host leaves and is back.
 """
 
 OWNER_TABLES_A_DAY = (FAILURES_A_DAY + REPLACEMENTS_A_DAY) * 2
-"""Owner tables that a host computes since a host went or came back."""
+"""The number of owner tables that a host computes because a host went or came back."""
 
 DOMAIN_HOSTS = round(HOSTS / DOMAINS)
 REGION_HOSTS = HOSTS // REGIONS
@@ -113,7 +113,7 @@
         return self.value_at("wide_table", DEPARTMENTS) / 1e6
 
     def apply_seconds(self) -> float:
-        """Return the processor seconds to apply one delta and accept it at the target size."""
+        """Return the processor seconds to apply a delta and accept the text at the target size."""
         return self.value_at("adopt", SEARCHERS) / 1e6
 
     def accept_seconds(self) -> float:
--- a/bench/process/_trial.py
+++ b/bench/process/_trial.py
@@ -74,7 +74,10 @@
 
 
 def run_trial(deployment: Deployment, scenario: Scenario, routing: str, seconds: float) -> Trial:
-    """Start a fleet of the deployment's real size, load it for ``seconds`` and measure it."""
+    """Start a fleet of the deployment's real size, load it, and return the figures.
+
+    The figures of the ranks cover the ``seconds`` after the warm-up.
+    """
     fleet = Fleet(
         deployment.text,
         deployment.hosts,
--- a/bench/process/bench.py
+++ b/bench/process/bench.py
@@ -45,9 +45,9 @@
 ) -> None:
     """Run each chosen scenario on each chosen deployment with each chosen routing.
 
-    Without a choice, all are run. ``owner`` is the new routing and ``naive`` the baseline. A rest
-    before each trial helps on a virtual machine that is slowed down after a busy time. The
-    slowdown is shown as the stolen cores of a trial.
+    Without a choice, all are run. ``owner`` is the ordinary routing, called new in the comparison,
+    and ``naive`` the baseline. A rest before each trial helps on a virtual machine that is slowed
+    down after a busy time. The slowdown is shown as the stolen cores of a trial.
     """
     trials: list[Trial] = []
     click.echo(HEAD)
--- a/bench/process/counted_host.py
+++ b/bench/process/counted_host.py
@@ -1,10 +1,10 @@
-"""An entry host that counts its control work, run with the arguments ``SETTINGS COUNTS``.
+"""An entry host that counts its work, run with the arguments ``SETTINGS COUNTS``.
 
-Control work is what a host does besides requests. Every half second the host writes to the file
-``COUNTS`` the processor seconds that it used and the bytes that it sent to other hosts, by kind of
-message or task, so that control work and requests can be told apart. A counted section that runs
-inside another counts only for the outer one. Each thread is timed by its own processor clock, so
-waiting for other threads costs nothing.
+Every half second the host writes to the file ``COUNTS`` the processor seconds that it used and the
+bytes that it sent to other hosts, by kind of message or task. The kinds tell requests from control
+work, which is all that a host does besides requests. A counted section that runs inside another
+counts only for the outer one. Each thread is timed by its own processor clock, so the time that it
+waits is not counted.
 """
 
 import json
--- a/bench/process/demo.py
+++ b/bench/process/demo.py
@@ -1,6 +1,7 @@
 """The demo: ``python -m bench.process.demo`` runs requests against both deployments.
 
-The exit status is 0 only if every answer was whole or said correctly what was missing.
+The exit status is 0 only if each request got the expected outcome, and each answer was whole or
+said correctly what was missing.
 """
 
 import sys
--- a/bench/request/_audit.py
+++ b/bench/request/_audit.py
@@ -10,7 +10,10 @@
 
 @dataclass(frozen=True, slots=True)
 class LoggedSearch:
-    """An entry in a searcher's log: the shards that it searched for a query at a snapshot."""
+    """An entry in a searcher's log: the shards that it searched for a query at a snapshot.
+
+    ``query`` is the id of a query, a dot, and the number of snapshots tried so far.
+    """
 
     query: str
     snapshot: int
@@ -22,7 +25,7 @@
 ) -> list[str]:
     """Return the problems of ``answer``, or an empty list if it is correct.
 
-    ``needed`` has the weight of each shard that the search needs, from the shard map of the
+    ``needed`` maps each shard that the search needs to its weight, as in the shard map of the
     answer's snapshot. ``searched`` are the entries of the searchers' logs.
     """
     missing = {item["shard"] for item in answer["missing"]}
--- a/bench/request/_result.py
+++ b/bench/request/_result.py
@@ -3,7 +3,7 @@
 from dataclasses import dataclass
 
 LOST = "lost"
-"""The outcome of a request whose connection failed or whose host stayed silent."""
+"""The outcome of a request without a valid response, as when its connection failed or timed out."""
 
 
 @dataclass(frozen=True, slots=True)
--- a/bench/version/_deployment.py
+++ b/bench/version/_deployment.py
@@ -45,7 +45,7 @@
 
     @property
     def edited_text(self) -> str:
-        """The text after an operator has marked the leaving department."""
+        """The configuration text after an operator has marked a department as leaving."""
         return mark_leaving(self.text, self.leaving_department)
 
     @property
@@ -55,7 +55,10 @@
 
 
 def mark_leaving(text: str, department: str) -> str:
-    """Return an operators' text in which ``department`` is marked as leaving."""
+    """Return ``text`` with ``department`` marked as leaving.
+
+    :raises ValueError: the text has no such department, or it is marked already.
+    """
     before = f'"{department}": {{"leaving": false}}'
     if before not in text:
         raise ValueError(f"the text has no department {department}")
--- a/bench/version/_version_costs.py
+++ b/bench/version/_version_costs.py
@@ -51,6 +51,7 @@
 
 
 def _delta_call(copies: int):
+    """Return a call that finds the delta of one edit."""
     before = split_sections(accept_configuration(scaled_text(copies)))
     after = split_sections(accept_configuration(scaled_text(copies, edited=True)))
     known = before.digests
@@ -92,7 +93,7 @@
 
 
 def wide_table_calls() -> list:
-    """Return one call for each text; each computes the owner table for the most hosts."""
+    """Return one call for each text; each computes its owner table for the most hosts measured."""
     hosts = [HostId(f"host-{n:04}") for n in range(max(HOST_COUNTS))]
     configurations = [accept_configuration(scaled_text(copies)) for copies in COPIES]
     return [
@@ -107,7 +108,7 @@
 
 
 def table_memory() -> list[float]:
-    """Return the bytes of memory that the owner table of each text uses."""
+    """Return the bytes of memory of each text's owner table for the most hosts measured."""
     return [_table_held_bytes(copies) for copies in COPIES]
 
 
