--- a/bench/process/__init__.py
+++ b/bench/process/__init__.py
@@ -1,1 +1,1 @@
-"""Code and state that last for a process: the load processes, the bench and the demo."""
+"""Code and state that last for a process: the bench, the demo and the capacity forecast."""
--- a/bench/process/_capacity_page.py
+++ b/bench/process/_capacity_page.py
@@ -39,7 +39,7 @@
 
 
 def fill(page: str, contents: dict[str, str]) -> str:
-    """Return ``page`` with each table replaced by the one of its name in ``contents``.
+    """Return ``page`` with each table replaced by the one with the same name in ``contents``.
 
     :raises KeyError: ``contents`` has no table of a name that the page uses.
     """
--- a/bench/process/_events.py
+++ b/bench/process/_events.py
@@ -56,9 +56,9 @@
 
 @dataclass
 class EventRunner:
-    """Makes events happen to a fleet, and counts the searches started after a departure.
+    """Makes events happen to a fleet, and counts the sub-queries started after a departure.
 
-    ``started_before_leaving`` is the number of searches that the searchers of the leaving
+    ``started_before_leaving`` is the number of sub-queries that the searchers of the leaving
     department had started at the time from which they must receive no new work.
     ``work_after_leaving`` is the number that they started after it, or ``None`` if no department
     left.
--- a/bench/process/_path_costs.py
+++ b/bench/process/_path_costs.py
@@ -1,6 +1,6 @@
 """Measures the processor time of a search at its entry host and at the owners of its services.
 
-The entry host is the one that the caller sends the search to, and the owner of a service is the
+The entry host is the host to which the caller sends the search, and the owner of a service is the
 host that sends the sub-queries to its searchers.
 """
 
--- a/bench/process/_scenario.py
+++ b/bench/process/_scenario.py
@@ -1,6 +1,7 @@
 """The scenarios of the bench: loads as shares of the saturation, with faults and changes.
 
-The saturation is the rate of wide queries that the searchers of a deployment can finish.
+The saturation is the rate of wide searches that the searchers of a deployment can finish. A wide
+search fans out to many services.
 """
 
 from dataclasses import dataclass, field
@@ -9,7 +10,7 @@
 from ._events import Depart, Event, KillHost, LoseSearcher, PauseHost, PlatformDown, Repartition
 
 MIX = {"urgent": 0.2, "standard": 0.5, "bulk": 0.3}
-"""The share of each rank, which is the priority of a query, in an ordinary load."""
+"""The share of each rank, which is the priority of a search, in an ordinary load."""
 
 STRAGGLERS = {"straggler_share": 0.02, "straggler_ms": 180.0}
 """Settings of searchers that delay 2 % of the searches by 180 ms."""
--- a/bench/process/_trial.py
+++ b/bench/process/_trial.py
@@ -28,14 +28,15 @@
 class Trial:
     """The figures of one trial.
 
-    ``saturation`` is the rate of wide queries per second that the searchers can finish. The rank
+    ``saturation`` is the rate of wide searches per second that the searchers can finish. The rank
     ``flooded`` is the one whose load exceeds it, or empty; ``spare`` is what the other ranks leave
-    of it, counted by the queries that they finished. ``flooded_of_spare`` is the rate of whole
-    answers of the flooded rank divided by ``spare``. ``extra_load`` is the number of started
-    searches divided by the number needed, minus one. ``work_after_leaving`` is the number of
-    searches that the searchers of a leaving department started after the time from which they must
-    receive no new work. ``cores`` gives the use of the busiest process of each kind, and what the
-    trial and all other programs used of the machine.
+    of it, counted by the searches that they finished. ``flooded_of_spare`` is the rate of whole
+    answers of the flooded rank divided by ``spare``. ``extra_load`` is the number of sub-queries
+    that the searchers started divided by the number needed, minus one. ``work_after_leaving`` is
+    the number of sub-queries that the searchers of a leaving department started after the time from
+    which they must receive no new work, or ``None`` if no department left. ``cores`` gives the use
+    of the busiest process of each kind, and what the trial and all other programs used of the
+    machine.
     """
 
     deployment: str
@@ -63,8 +64,8 @@
     """The measurements of one run of load.
 
     ``results`` has the result of every arrival, which is one search sent by a load process.
-    ``started`` is the number of searches started by the searchers that the wide search needs. The
-    other fields are those of :class:`Trial`.
+    ``started`` is the number of sub-queries started by the searchers that the wide search needs.
+    The other fields are those of :class:`Trial`.
     """
 
     results: list[Result]
--- a/bench/version/_deployment.py
+++ b/bench/version/_deployment.py
@@ -18,7 +18,7 @@
 
 @dataclass(frozen=True)
 class Deployment:
-    """One customer's deployment and the wide search that loads it.
+    """A deployment and the wide search that loads it.
 
     The wide search goes to ``wide_service``, which depends on ``fan_out`` services whose ids begin
     with its own. Each of them has ``searchers`` searchers with ``slots`` slots, which is the number
@@ -50,7 +50,7 @@
 
     @property
     def saturation(self) -> float:
-        """The number of wide queries per second that the slots of one service can finish."""
+        """The number of wide searches per second that the slots of one service can finish."""
         return self.searchers * self.slots * 1000 / SERVICE_MS
 
 
