--- a/bench/process/_events.py
+++ b/bench/process/_events.py
@@ -1,4 +1,4 @@
-"""Faults and changes that a scenario makes happen to a fleet under load."""
+"""Faults and changes that happen to a fleet during a trial of the bench or during the demo."""
 
 import signal
 import time
@@ -56,20 +56,21 @@
 
 @dataclass
 class EventRunner:
-    """Makes the event of one trial happen, and counts the searches that a departure should end.
+    """Makes events happen to a fleet, and counts the sub-queries started after a departure.
 
-    ``started_at_departure`` is the number of searches that the searchers of the leaving department
-    had started at the time from which they must receive no new work. ``work_after_leaving`` is the
-    number that they started after it, or ``None`` if no department left.
+    ``started_before_leaving`` is the number of sub-queries that the searchers of the leaving
+    department had started at the time from which they must receive no new work.
+    ``work_after_leaving`` is the number that they started after it, or ``None`` if no department
+    left.
     """
 
     fleet: Fleet
     deployment: Deployment
     work_after_leaving: int | None = None
-    started_at_departure: int = field(default=0)
+    started_before_leaving: int = field(default=0)
 
     def run(self, event: Event) -> None:
-        """Make ``event`` happen, and wait until it is over if it is limited in time."""
+        """Make ``event`` happen, and return when all its steps are done."""
         fleet = self.fleet
         match event:
             case LoseSearcher():
@@ -85,27 +86,27 @@
             case PlatformDown():
                 fleet.control_platform("down", down=True)
             case Depart():
-                fleet.publish_text(self.deployment.text_without)
+                fleet.publish_text(self.deployment.edited_text)
                 time.sleep(LEAVING_SECONDS)
-                self.started_at_departure = self.count(
+                self.started_before_leaving = self.count(
                     "started", self.deployment.leaving_department
                 )
 
     def finish(self, event: Event) -> None:
-        """Count the effects of ``event`` once the load has ended."""
+        """Compute ``work_after_leaving`` if a department left; call this after the load."""
         if isinstance(event, Depart):
             started = self.count("started", self.deployment.leaving_department)
-            self.work_after_leaving = started - self.started_at_departure
+            self.work_after_leaving = started - self.started_before_leaving
 
-    def count(self, counter: str, group: str) -> int:
-        """Return the sum of one counter over the searchers of a group of services.
+    def count(self, counter: str, id_prefix: str) -> int:
+        """Return the sum of one counter over the searchers of some services.
 
-        The group is those services whose ids begin with ``group``.
+        These are the services whose ids begin with ``id_prefix``.
         """
         return sum(
             searcher["counts"].get(counter, 0)
             for searcher in self.fleet.searcher_reports(include_search_log=False).values()
-            if searcher["service"].startswith(group)
+            if searcher["service"].startswith(id_prefix)
         )
 
     def _repartition(self) -> None:
--- a/bench/process/_path_costs.py
+++ b/bench/process/_path_costs.py
@@ -1,6 +1,6 @@
 """Measures the processor time of a search at its entry host and at the owners of its services.
 
-The entry host is the one that the caller sends the search to, and the owner of a service is the
+The entry host is the host to which the caller sends the search, and the owner of a service is the
 host that sends the sub-queries to its searchers.
 """
 
@@ -20,7 +20,7 @@
 QUERIES = 240
 CALLERS = 4
 EXCHANGES = 240
-"""Requests for which the cost of a bare exchange is averaged."""
+"""The number of requests over which the cost of a bare exchange is averaged."""
 
 
 @dataclass(frozen=True)
@@ -42,7 +42,7 @@
     so the difference between the two is the time of the entry.
     """
     with Fleet(flat_text(FAN_OUTS), 2, behaviour={"service_ms": 1.0}) as fleet:
-        rows = [_search(fleet, size) for size in FAN_OUTS]
+        rows = [_search_micros(fleet, size) for size in FAN_OUTS]
         sizes = [float(size) for size in FAN_OUTS]
         owned_sizes = [size / 2 for size in sizes]
         return PathCosts(
@@ -54,7 +54,11 @@
         )
 
 
-def _search(fleet: Fleet, size: int) -> tuple[float, float]:
+def _search_micros(fleet: Fleet, size: int) -> tuple[float, float]:
+    """Return the processor time in microseconds per search of ``size`` services.
+
+    The first figure is that of the entry, the second that of an owner of half of the services.
+    """
     services = [f"d{size}/{n}" for n in range(size)]
     fleet.search(0, services)
     time.sleep(0.5)
--- a/bench/process/_scenario.py
+++ b/bench/process/_scenario.py
@@ -1,6 +1,7 @@
 """The scenarios of the bench: loads as shares of the saturation, with faults and changes.
 
-The saturation is the rate of wide queries that the searchers of a deployment can finish.
+The saturation is the rate of wide searches that the searchers of a deployment can finish. A wide
+search fans out to many services.
 """
 
 from dataclasses import dataclass, field
@@ -9,7 +10,7 @@
 from ._events import Depart, Event, KillHost, LoseSearcher, PauseHost, PlatformDown, Repartition
 
 MIX = {"urgent": 0.2, "standard": 0.5, "bulk": 0.3}
-"""The share of each rank, which is the priority of a query, in an ordinary load."""
+"""The share of each rank, which is the priority of a search, in an ordinary load."""
 
 STRAGGLERS = {"straggler_share": 0.02, "straggler_ms": 180.0}
 """Settings of searchers that delay 2 % of the searches by 180 ms."""
@@ -25,9 +26,9 @@
 class Scenario:
     """A load and what happens to the fleet during it.
 
-    ``rates`` are shares of the saturation by rank, and ``behaviour`` that of every searcher.
-    ``flooded`` names the rank whose load exceeds the saturation, if any, and ``event`` happens soon
-    after the warm-up.
+    ``rates`` maps each rank to its rate of searches, as a share of the saturation. ``behaviour``
+    holds fields of ``Behaviour`` for every searcher. ``flooded`` names the rank whose load exceeds
+    the saturation, if any, and ``event`` happens soon after the warm-up.
     """
 
     name: str
@@ -38,7 +39,7 @@
 
     @property
     def departs(self) -> bool:
-        """Whether the searches go to the service that depends on the leaving department."""
+        """Whether a department leaves; the searches then go to a service that depends on it."""
         return isinstance(self.event, Depart)
 
 
--- a/bench/version/_deployment.py
+++ b/bench/version/_deployment.py
@@ -18,7 +18,7 @@
 
 @dataclass(frozen=True)
 class Deployment:
-    """One customer's deployment and the wide search that loads it.
+    """A deployment and the wide search that loads it.
 
     The wide search goes to ``wide_service``, which depends on ``fan_out`` services whose ids begin
     with its own. Each of them has ``searchers`` searchers with ``slots`` slots, which is the number
@@ -44,18 +44,21 @@
         return example(self.name)
 
     @property
-    def text_without(self) -> str:
-        """The text after an operator has marked the leaving department."""
+    def edited_text(self) -> str:
+        """The configuration text after an operator has marked a department as leaving."""
         return mark_leaving(self.text, self.leaving_department)
 
     @property
     def saturation(self) -> float:
-        """The number of wide queries per second that the slots of one service can finish."""
+        """The number of wide searches per second that the slots of one service can finish."""
         return self.searchers * self.slots * 1000 / SERVICE_MS
 
 
 def mark_leaving(text: str, department: str) -> str:
-    """Return an operators' text in which ``department`` is marked as leaving."""
+    """Return ``text`` with ``department`` marked as leaving.
+
+    :raises ValueError: the text has no such department, or it is marked already.
+    """
     before = f'"{department}": {{"leaving": false}}'
     if before not in text:
         raise ValueError(f"the text has no department {department}")
--- a/bench/version/_version_costs.py
+++ b/bench/version/_version_costs.py
@@ -42,15 +42,16 @@
 
 def delta_calls() -> list:
     """Return one call for each text; each finds and encodes the delta of one edit."""
-    return [lambda push=push: encode_message(push()) for push in map(_delta, COPIES)]
+    return [lambda call=call: encode_message(call()) for call in map(_delta_call, COPIES)]
 
 
 def delta_bytes() -> list[float]:
     """Return the encoded size in bytes of the delta of one edit, for each text."""
-    return [float(len(encode_message(_delta(copies)()))) for copies in COPIES]
+    return [float(len(encode_message(_delta_call(copies)()))) for copies in COPIES]
 
 
-def _delta(copies: int):
+def _delta_call(copies: int):
+    """Return a call that finds the delta of one edit."""
     before = split_sections(accept_configuration(scaled_text(copies)))
     after = split_sections(accept_configuration(scaled_text(copies, edited=True)))
     known = before.digests
@@ -62,7 +63,7 @@
     """Return one call for each text; each applies the delta of one edit and accepts the result."""
     calls = []
     for copies in COPIES:
-        push = _delta(copies)()
+        push = _delta_call(copies)()
         before = split_sections(accept_configuration(scaled_text(copies)))
         calls.append(lambda push=push, before=before: _apply_and_accept(before, push))
     return calls
@@ -92,7 +93,7 @@
 
 
 def wide_table_calls() -> list:
-    """Return one call for each text; each computes the owner table for the most hosts."""
+    """Return one call for each text; each computes its owner table for the most hosts measured."""
     hosts = [HostId(f"host-{n:04}") for n in range(max(HOST_COUNTS))]
     configurations = [accept_configuration(scaled_text(copies)) for copies in COPIES]
     return [
@@ -107,7 +108,7 @@
 
 
 def table_memory() -> list[float]:
-    """Return the bytes of memory that the owner table of each text uses."""
+    """Return the bytes of memory of each text's owner table for the most hosts measured."""
     return [_table_held_bytes(copies) for copies in COPIES]
 
 
