--- a/src/masticgate/request/_merge.py
+++ b/src/masticgate/request/_merge.py
@@ -94,16 +94,16 @@
         return Answer(query, rank, self.snapshot.version, coverage, hits, missing)
 
     def _coverage(self) -> float:
-        merged = needed_weight = 0.0
+        merged_weight = needed_weight = 0.0
         services_with_shards = 0
         for service in self.scope.needed:
             shards = self.snapshot.shards_of(service.id)
             covered = self.merged.get(service.id, frozenset())
             needed_weight += sum(shards.values())
-            merged += sum(shards[shard] for shard in covered)
+            merged_weight += sum(shards[shard] for shard in covered)
             services_with_shards += bool(shards)
         services_without_shards = len(self._find_services_without_shards())
-        return _ratio(merged, needed_weight) * _ratio(
+        return _ratio(merged_weight, needed_weight) * _ratio(
             services_with_shards, services_with_shards + services_without_shards
         )
 
--- a/src/masticgate/request/_search.py
+++ b/src/masticgate/request/_search.py
@@ -97,11 +97,11 @@
             return best or NotRun(Reason.NO_SNAPSHOT, Step.PIN)
         tried |= {snapshot.version}
         snapshot_search = _SnapshotSearch(query, scope, snapshot, tried, runtime)
-        complete = snapshot_search.run()
+        finished = snapshot_search.run()
         answer = snapshot_search.merge.build_answer(query.id, query.rank, query.limit)
         if best is None or answer.coverage > best.coverage:
             best = answer
-        if complete:
+        if finished:
             return best
 
 
--- a/src/masticgate/version/_schema.py
+++ b/src/masticgate/version/_schema.py
@@ -19,8 +19,8 @@
 
     :raises ValueError: ``text`` is anything else.
     """
-    number, _, port = text.rpartition(":")
-    IPv4Address(number)
+    ip_address, _, port = text.rpartition(":")
+    IPv4Address(ip_address)
     if not (port.isascii() and port.isdecimal() and 0 < int(port[:6]) <= MAX_PORT):
         raise ValueError(f"no port from 1 to {MAX_PORT}")
     return text
--- a/src/masticgate/version/_text.py
+++ b/src/masticgate/version/_text.py
@@ -105,8 +105,8 @@
         yield ("services", name, "department"), f"no department {service.department!r}"
     for index, needed in enumerate(service.depends_on):
         if needed not in validated.services:
-            place: Path = ("services", name, "depends_on", index)
-            yield place, f"service {name!r} depends on {needed!r}, which is not in the text"
+            path: Path = ("services", name, "depends_on", index)
+            yield path, f"service {name!r} depends on {needed!r}, which is not in the text"
     if not service.searchers and not service.depends_on:
         yield ("services", name), "has neither searchers nor dependencies"
 
@@ -118,8 +118,8 @@
             for key, value in (("id", searcher.id), ("address", searcher.address)):
                 other = used_by.setdefault(f"{key} {value}", name)
                 if other != name or _is_repeated(service, index, key, value):
-                    place: Path = ("services", name, "searchers", index, key)
-                    yield place, f"searcher {key} {value!r} is already used by {other!r}"
+                    path: Path = ("services", name, "searchers", index, key)
+                    yield path, f"searcher {key} {value!r} is already used by {other!r}"
 
 
 def _is_repeated(service: ServiceText, index: int, key: str, value: str) -> bool:
--- a/tests/gateway/fakes.py
+++ b/tests/gateway/fakes.py
@@ -103,16 +103,16 @@
 
 
 def make_settings(ratio: float = 0.2, slack: float = 52.0) -> GatewaySettings:
-    here = Address("127.0.0.1:0")
+    any_port = Address("127.0.0.1:0")
     return GatewaySettings(
         HostId("g1"),
         FailureDomainId("z1"),
-        here,
-        here,
+        any_port,
+        any_port,
         None,
         None,
         (),
-        here,
+        any_port,
         Millis(6_000.0),
         Millis(3_000.0),
         RepeatBounds(ratio, slack, Millis(10_000.0)),
--- a/tests/version/test_placement.py
+++ b/tests/version/test_placement.py
@@ -36,7 +36,7 @@
         owned = Counter(owners[0] for s, owners in table.items() if s.startswith(f"{department}/"))
         assert max(owned.values()) <= 5
 
-    def test_limits_owners_of_a_department_for_any_host_count(self, configuration):
+    def test_limits_owners_of_a_department_with_many_hosts(self, configuration):
         table = owner_table(configuration, hosts(300))
         for department in configuration.departments:
             services = [
