--- a/src/masticgate/_failures.py
+++ b/src/masticgate/_failures.py
@@ -1,6 +1,7 @@
 """Failures that are returned instead of raised, with their reason, step and peer.
 
-The type of a failure says whether the work certainly did not run or may have run.
+The type of a failure says whether the work certainly did not run or may have run. The peer is the
+host, searcher or service that the failure concerns, or an empty string.
 """
 
 from dataclasses import dataclass
@@ -11,8 +12,9 @@
     """The step of a request at which a failure occurred.
 
     ``READ`` is reading input, ``PIN`` is choosing a snapshot, and ``ROUTE`` is choosing the
-    services of a request and a host or searcher for each. ``FORWARD`` is sending to another host,
-    and ``TICKET`` is using a booking's ticket.
+    services of a request and a host or searcher for each. ``FORWARD`` is sending to another host
+    and waiting for its reply, and ``UPSTREAM`` is waiting for a searcher's response. ``TICKET`` is
+    issuing or using a booking's ticket.
     """
 
     READ = "read"
@@ -37,8 +39,8 @@
     unanswered for too long. A searcher that sheds work declines it without running it.
     ``SEARCHER_REFUSED`` means that nothing could be sent to the searcher.
 
-    ``VERSION_GONE`` means that searchers do not hold the snapshot, and ``WRONG_VERSION`` that a
-    searcher answered from another one. ``BUDGET`` means that the budget for hedges and retries was
+    ``VERSION_GONE`` means that a searcher does not hold the snapshot, and ``WRONG_VERSION`` that it
+    answered from another one. ``BUDGET`` means that the budget for hedges and retries was
     used up, and ``COVERAGE`` that too few of the shards answered.
     """
 
--- a/src/masticgate/platform/_configuration.py
+++ b/src/masticgate/platform/_configuration.py
@@ -28,7 +28,7 @@
 def decode_configuration(value: object) -> RouteTable:
     """Return the configuration that the decoded JSON ``value`` describes.
 
-    :raises FieldError: a field is missing or has another type.
+    :raises FieldError: a field is missing or has an invalid value.
     """
     fields = Fields.of("config", value)
     services = [
--- a/src/masticgate/request/_booking.py
+++ b/src/masticgate/request/_booking.py
@@ -72,7 +72,8 @@
 def run_booking(booking: Booking, tickets: Tickets, runtime: Runtime) -> BookingOutcome:
     """Run ``booking`` at most once under its ticket, and return its outcome.
 
-    ``NotRun`` is returned only if the booking did not run and this attempt can no longer run it.
+    ``NotRun`` means that this request did not run the booking and never will. Another request under
+    the ticket may have run it, or may still do so.
     """
     if not runtime.is_own_ticket(booking.ticket):
         return _forward(booking, runtime)
@@ -136,8 +137,8 @@
 def _send_once(booking: Booking, attempt: Attempt, runtime: Runtime) -> BookingOutcome:
     """Send the booking to an owner of its service.
 
-    Refuse it if the service is unknown, runs no bookings, or belongs to a department that is
-    leaving.
+    Refuse it if there is no configuration yet, or if the service is unknown, runs no bookings, or
+    belongs to a department that is leaving.
     """
     configuration = runtime.configuration()
     service = configuration.services.get(booking.service) if configuration else None
--- a/src/masticgate/request/_merge.py
+++ b/src/masticgate/request/_merge.py
@@ -30,7 +30,7 @@
     ``coverage`` is the weight of the merged shards divided by the weight of all needed shards,
     from 0 to 1. The needed shards and their weights are those of the snapshot's shard map. A
     needed service without shards in this map counts as missing, with the average weight of the
-    other needed services.
+    needed services that have some, unless it runs bookings.
     """
 
     query: QueryId
--- a/src/masticgate/request/_messages.py
+++ b/src/masticgate/request/_messages.py
@@ -1,8 +1,8 @@
 """Messages that hosts exchange about one request.
 
-The entry host received the request from its caller. It sends the parts of a search and the
-attempts of a booking to the owners of the services, which are the hosts that send requests to the
-services' searchers.
+The host that received the request from its caller sends the parts of a search to the owners of the
+services, which are the hosts that send requests to the services' searchers. It forwards a booking
+to the host that minted the ticket, which sends each attempt to the owner of the service.
 """
 
 from dataclasses import dataclass
@@ -42,9 +42,10 @@
 
 @dataclass(frozen=True, slots=True)
 class VersionGone:
-    """The searchers of a service no longer hold ``snapshot``, or do not hold it yet.
+    """A searcher of the service no longer holds ``snapshot``, or does not hold it yet.
 
-    ``held`` lists the versions of the index that they hold.
+    ``held`` lists the versions of the index that it holds. The other searchers of the service are
+    taken to hold the same.
     """
 
     snapshot: SnapshotVersion
@@ -82,7 +83,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Reply:
-    """The result of one service of a search, sent by its owner."""
+    """The result of a search at one service, sent by the owner of the service."""
 
     query: QueryId
     service: ServiceId
@@ -157,7 +158,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Delivery:
-    """A message in the inbox of a request, and the host that sent it."""
+    """A reply in the inbox of a request, and the host that sent it.
+
+    If the host was lost, the process creates a reply with a failure in its place.
+    """
 
     source: HostId
     message: Reply | BookReply | ForwardReply
--- a/src/masticgate/request/_runtime.py
+++ b/src/masticgate/request/_runtime.py
@@ -35,7 +35,7 @@
     clock: Clock
 
     def configuration(self) -> Configuration | None:
-        """Return the configuration in force, or ``None`` before the first one is applied."""
+        """Return the configuration in force, or ``None`` if there is none yet."""
         ...
 
     def choose_snapshot(
@@ -62,7 +62,7 @@
         ...
 
     def owners(self, service: ServiceId) -> Sequence[HostId]:
-        """Return the hosts to which requests for ``service`` may be sent, the owner first."""
+        """Return the reachable hosts that may serve ``service``, in the order to try them."""
         ...
 
     def open_inbox(self) -> Inbox:
--- a/src/masticgate/request/_search.py
+++ b/src/masticgate/request/_search.py
@@ -23,13 +23,13 @@
 """Time in milliseconds before the deadline, reserved for merging and returning the answer."""
 
 SILENCE_CHECK_INTERVAL = Millis(40.0)
-"""Interval in milliseconds at which a waiting search checks for owners that send nothing."""
+"""Interval in milliseconds at which a waiting search checks for silent owners."""
 
 MIN_RESTART_TIME = Millis(25.0)
 """A search restarts only if at least this many milliseconds remain to its deadline."""
 
 MAX_OWNERS_TRIED = 3
-"""The maximum number of owners to which one search sends the part of one service."""
+"""The maximum number of owners to which a search in one snapshot sends the part of a service."""
 
 OWNER_FAILURES = frozenset(
     {
@@ -68,10 +68,10 @@
 def run_search(query: Query, runtime: Runtime) -> Answer | NotRun:
     """Run ``query`` and return its answer, or a failure if it did not run.
 
-    All hits of the answer come from one snapshot. If searchers no longer hold this snapshot, the
-    whole search restarts on another one. If the deadline does not allow that, or no other snapshot
-    is left, the answer is the one with the highest coverage so far. The coverage is the share of
-    the needed shards, by weight, that the answer includes.
+    All hits of the answer come from one snapshot. If a searcher does not hold this snapshot, the
+    whole search restarts on another one, as long as the deadline allows it and one is left. Of the
+    answers from the snapshots that were tried, the one with the highest coverage is returned. The
+    coverage is the share of the needed shards, by weight, that the answer includes.
     """
     configuration = runtime.configuration()
     if configuration is None:
@@ -223,7 +223,10 @@
         return self.runtime.choose_snapshot(needed, self.tried_snapshots) is not None
 
     def _handle_failure(self, service: ServiceId, failure: Failure, source: HostId) -> None:
-        """Try another owner after a failure of the owner ``source``, or record the failure."""
+        """Try another owner after a failure of the owner ``source``, or record the failure.
+
+        A failure of an owner that has been replaced is ignored.
+        """
         if service not in self.merge.pending or self.tried_owners[service][-1] != source:
             return
         if failure.reason in OWNER_FAILURES and self._next_owner(service) is not None:
--- a/src/masticgate/request/gateway/_attempts.py
+++ b/src/masticgate/request/gateway/_attempts.py
@@ -28,8 +28,11 @@
     ``tried`` holds the searchers of all attempts. ``reached_searcher`` says whether one of them may
     have received the request, and ``possibly_ran`` whether one may have run it, both according to
     the outcomes so far. ``cancelled_after_start`` says whether an attempt was cancelled after
-    sending may have begun. ``failure`` is the latest failure of an attempt, and ``repeat_failure``
-    says why the budget or the upstream client last refused a repeat.
+    sending may have begun. ``answer`` is a successful answer, or else the first one with an error.
+
+    ``failure`` is the latest failure of an attempt, or why none could be sent. Its type is
+    ``NotRun`` even if the request may have run; only :attr:`may_have_run` says that.
+    ``repeat_failure`` says why the budget or the upstream client last refused a repeat.
     """
 
     def __init__(
--- a/src/masticgate/request/gateway/_exchange.py
+++ b/src/masticgate/request/gateway/_exchange.py
@@ -27,13 +27,14 @@
     """A request as a gateway received it, from a caller or from another gateway.
 
     ``id`` is the caller's id of the request; if the caller repeats it, the repeat has another id.
-    ``target`` is the path with its query string, as received, and ``headers`` holds the headers to
-    forward. ``caller_timeout`` is how long the caller waits for its answer, counted from
-    ``arrived_at``, in milliseconds. ``is_first_on_connection`` says whether this is the first
-    request on its connection. ``network_time`` is the estimated time that the request and its
-    answer spend on the network between caller and gateway; the route's objective includes it.
-    ``version`` is set if one gateway forwards the request to another: it is the version of the
-    configuration by which the other gateway has to serve the request.
+    ``target`` is the path with its query string, as received. ``host`` is the host name in the
+    ``Host`` header, without the port, and ``headers`` holds the headers to forward.
+    ``caller_timeout`` is how long the caller waits for its answer, counted from ``arrived_at``, in
+    milliseconds. ``is_first_on_connection`` says whether this is the first request on its
+    connection. ``network_time`` is the estimated time that the request and its answer spend on the
+    network between caller and gateway; the route's objective includes it. ``version`` is set if one
+    gateway forwards the request to another: it is the version of the configuration by which the
+    other gateway has to serve the request.
     """
 
     id: RequestId
@@ -77,8 +78,8 @@
 class ReceiveInfo:
     """How an answer was received.
 
-    ``skipped`` counts the answers to other requests that were discarded on the same connection
-    since its previous accepted answer.
+    ``skipped`` counts the answers that were discarded on the same connection since its previous
+    accepted answer. They had no request id or another one, or more than one id or stamp.
     """
 
     connection: ConnectionNumber = ConnectionNumber(0)
@@ -103,7 +104,8 @@
 class Answered:
     """A complete answer of a searcher, which may report an error of the searcher.
 
-    ``stamp`` authenticates the answer; it is empty if the searcher sent none.
+    ``stamp`` authenticates the answer; it is empty if the searcher sent none. ``latency`` includes
+    the time to open the connection if it was opened for this request.
     """
 
     searcher: SearcherId
@@ -130,7 +132,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Lost:
-    """No answer was received; the request may have run unless ``sent`` is ``False``."""
+    """No valid answer was received; the request may have run unless ``sent`` is ``False``."""
 
     searcher: SearcherId
     sent: bool
--- a/src/masticgate/request/gateway/_gather.py
+++ b/src/masticgate/request/gateway/_gather.py
@@ -29,7 +29,7 @@
 """Shortest wait for the answers of shards in milliseconds, whatever the objective."""
 
 MAX_LOGGED_SHARDS = 4
-"""Number of missing shards, and of irregular parts, that are described in the log."""
+"""The maximum number of missing shards, and of irregular answers, described in a log line."""
 
 RETRY_AFTER = Millis(30.0)
 """Time in milliseconds after which a refused caller should try again.
--- a/src/masticgate/request/gateway/_reply.py
+++ b/src/masticgate/request/gateway/_reply.py
@@ -26,8 +26,8 @@
     shards without an answer. ``missing_causes`` and ``irregular_parts`` are for the log.
     ``missing_causes`` says why some of these shards are missing or, if another gateway merged the
     answers, names that gateway. ``irregular_parts`` describes how some irregular answers were
-    received. An answer is irregular if only the end of the connection marked its end, or if answers
-    to other requests were discarded before it.
+    received. An answer is irregular if only the end of the connection marked its end, or if other
+    answers were discarded before it.
     """
 
     stamps: tuple[str, ...]
--- a/src/masticgate/version/_difference.py
+++ b/src/masticgate/version/_difference.py
@@ -10,7 +10,8 @@
     """Return one line of text for each change from ``before`` to ``after``.
 
     The line of a department that starts to leave is followed by one line for each service of
-    another department that depends on it directly.
+    another department that depends on it directly. Changes of ``deployment``, ``leaves_on`` and
+    ``bookings`` are not described.
     """
     return [
         *_department_changes(before, after),
--- a/src/masticgate/version/_graph.py
+++ b/src/masticgate/version/_graph.py
@@ -12,8 +12,8 @@
 class Scope:
     """The services of one search, including all direct and indirect dependencies.
 
-    ``needed`` lists the services that count in the coverage of the answer. ``leaving`` contains the
-    ids of the needed services whose department is leaving.
+    ``needed`` lists the services that have searchers; the coverage of the answer counts their
+    shards. ``leaving`` contains the ids of the needed services whose department is leaving.
     """
 
     needed: tuple[Service, ...]
--- a/src/masticgate/version/_jsonc.py
+++ b/src/masticgate/version/_jsonc.py
@@ -16,7 +16,11 @@
 
 @dataclass(frozen=True, slots=True)
 class Position:
-    """A position in a text; lines and columns are counted from 1."""
+    """A position in a text; lines and columns are counted from 1.
+
+    A column counts the bytes of the line in UTF-8, or its characters if the JSON parser reported
+    the problem.
+    """
 
     line: int
     column: int
--- a/src/masticgate/version/_messages.py
+++ b/src/masticgate/version/_messages.py
@@ -16,8 +16,8 @@
 class Versions:
     """The versions that a host has, 0 for none.
 
-    ``revision`` is that of the configuration in force, and ``catalogue`` the newest snapshot in
-    the snapshot catalogue.
+    ``revision`` is that of the accepted configuration, and ``catalogue`` the newest snapshot in the
+    snapshot catalogue.
     """
 
     revision: Revision
@@ -26,7 +26,10 @@
 
 @dataclass(frozen=True, slots=True)
 class FetchVersions:
-    """Asks a host for the versions that are newer than ``current``, the sender's own."""
+    """Asks a host for the versions that are newer than ``current``.
+
+    These are the sender's own, or have the revision 0 to request the whole text.
+    """
 
     current: Versions
 
--- a/src/masticgate/version/_placement.py
+++ b/src/masticgate/version/_placement.py
@@ -17,14 +17,14 @@
 """The maximum number of services of one department that a host owns, if there are enough hosts."""
 
 MIN_GROUP_HOSTS = 3
-"""The minimum number of hosts that own the services of a department, if there are that many."""
+"""The minimum number of hosts that are assigned to a department, if there are that many."""
 
 MAX_OWNER_CANDIDATES = 8
 """The maximum number of hosts among which the connections to one searcher are divided."""
 
 
 def department_group_size(service_count: int) -> int:
-    """Return the number of hosts that own a department with ``service_count`` services."""
+    """Return how many hosts to assign to a department with ``service_count`` services."""
     return max(MIN_GROUP_HOSTS, ceil(service_count / SERVICES_PER_OWNER))
 
 
@@ -36,7 +36,7 @@
 def department_group(
     department: DepartmentId, service_count: int, hosts: Iterable[HostId]
 ) -> list[HostId]:
-    """Return the hosts that own the ``service_count`` services of ``department``."""
+    """Return the hosts that are assigned to ``department`` with its ``service_count`` services."""
     return rank_hosts(f"department:{department}", hosts)[: department_group_size(service_count)]
 
 
--- a/src/masticgate/version/_sections.py
+++ b/src/masticgate/version/_sections.py
@@ -1,8 +1,9 @@
 """Divides an accepted text into sections, so that hosts exchange only what an edit changed.
 
 There is one section for each department, with its services, and a head for the rest. The text of a
-section is canonical JSON without defaults. The same configuration therefore results in the same
-sections on every host, whatever the comments and the order in the operators' text.
+section is canonical JSON, in which departments and services omit fields with their default value.
+The same configuration therefore results in the same sections on every host, whatever the comments
+and the order in the operators' text.
 """
 
 import json
--- a/src/masticgate/version/gateway/_routes.py
+++ b/src/masticgate/version/gateway/_routes.py
@@ -78,7 +78,7 @@
     """A service of a published configuration.
 
     ``connections`` is the number of connections that each of its searchers accepts from all
-    callers together.
+    gateways together.
     """
 
     id: ServiceId
--- a/tests/request/test_owner_change.py
+++ b/tests/request/test_owner_change.py
@@ -1,4 +1,4 @@
-"""A search while the owners of its services change."""
+"""Searches in which an owner refuses its part or is silent."""
 
 import pytest
 
