--- a/tests/connection/test_invalid_responses.py
+++ b/tests/connection/test_invalid_responses.py
@@ -88,14 +88,14 @@
 
     @FUZZ_SETTINGS
     @given(RESPONSES)
-    def test_reports_booking_not_run_only_for_known_reason(self, reply):
+    def test_reports_booking_not_run_only_for_known_reason_or_if_unsent(self, reply):
         work = BookingWork("q", "desk", "t", 1, Rank.BULK, Millis(9.0), "{}", print)
         match _book(FakeConnection(reply), work, FakeAttempt(), Clock()):
             case Ran():
                 assert reply.status == 200
             case NotRun(detail=detail):
-                not_received = isinstance(reply, HttpFailure)
-                assert not reply.sent if not_received else detail in ("draining", "shed", "cold")
+                no_response = isinstance(reply, HttpFailure)
+                assert not reply.sent if no_response else detail in ("draining", "shed", "cold")
             case other:
                 assert isinstance(other, Unknown)
 
--- a/tests/gateway/test_irregular_responses.py
+++ b/tests/gateway/test_irregular_responses.py
@@ -104,7 +104,7 @@
         running_task.close()
         assert running_task.handler.violations == [UnrequestedBytes(len(b"nobody asked"))]
 
-    def test_answer_without_length_records_that_connection_end_ended_it(self):
+    def test_answer_without_length_is_recorded_as_ended_by_close(self):
         running_task = RunningTask()
         running_task.run_call("q1", RESPONSE_WITHOUT_LENGTH % b"q1")
         running_task.close()
@@ -130,7 +130,7 @@
         assert b"masticgate_answer_skipped_total 1" in fleet.metrics.render()
 
 
-class TestRequestLine:
+class TestRequestLogLine:
     def test_describes_irregular_receive_of_a_query(self):
         irregular = ReceiveInfo(ConnectionNumber(3), BodyFraming.CLOSE, 0)
         answer = Answered(SearcherId("s1"), 200, (), b"", "s", Millis(1.0), irregular)
