--- a/src/masticgate/connection/_caller_app.py
+++ b/src/masticgate/connection/_caller_app.py
@@ -24,7 +24,7 @@
 from ..request import Answer, BookingOutcome, Ran
 
 MAX_REMAINING_MS = Millis(60_000.0)
-"""The longest time for which a caller may ask to wait for its answer."""
+"""The maximum of ``remaining_ms``, the time that a caller waits for its answer."""
 
 RETRY_AFTER_SECONDS = 1
 """The value of the ``Retry-After`` header in responses after which a caller may try again."""
--- a/src/masticgate/connection/_caller_server.py
+++ b/src/masticgate/connection/_caller_server.py
@@ -1,4 +1,4 @@
-"""The HTTP/1.1 server for callers, with one task for each connection and keep-alive."""
+"""The HTTP/1.1 server for callers, with keep-alive and one task for each connection."""
 
 import socket
 from concurrent.futures import Executor
@@ -146,9 +146,9 @@
         }
 
     def send_error(self, code: int, message: str | None = None, explain: str | None = None) -> None:
-        """Refuse a request that is not valid HTTP, with the same JSON body as other refusals.
+        """Refuse a request that the base class cannot handle, such as one that is not valid HTTP.
 
-        The base class calls this when it cannot parse a request.
+        The JSON body has the same fields as that of other refusals.
         """
         self.request_version = self.protocol_version
         self.close_connection = True
@@ -230,7 +230,7 @@
             _refuse_connection(connection)
 
     def serve(self, connection: socket.socket, peer: Any) -> None:
-        """Serve one connection until the caller closes it or sends nothing within the timeout."""
+        """Serve one connection until either side closes it or a read or write times out."""
         try:
             CallerConnection(connection, peer, self)  # type: ignore[arg-type]
         except OSError:
--- a/src/masticgate/connection/_frames.py
+++ b/src/masticgate/connection/_frames.py
@@ -79,7 +79,7 @@
 
 
 class BadFrameError(Exception):
-    """A received frame is truncated, too large, or does not contain a known message."""
+    """A received frame is truncated, too large, or cannot be decoded."""
 
 
 def encode_message(message: Message) -> bytes:
--- a/src/masticgate/connection/_peer.py
+++ b/src/masticgate/connection/_peer.py
@@ -1,8 +1,8 @@
 """The links between hosts: those that this host opens and those that it accepts.
 
 A link is a TCP connection to another host of the deployment, the peer. For each link, one task
-reads the messages that arrive. A host opens a link to each peer that it sends requests to, and gets
-the replies over the same link. It also sends heartbeats over this link, to detect that the peer is
+reads the messages that arrive. A host sends requests only over links that it opened, and gets the
+replies over the same link. It also sends heartbeats over these links, to detect that a peer is
 unresponsive.
 """
 
@@ -83,8 +83,9 @@
 
     ``incarnation`` identifies the run of the peer's process that accepted the link.
     ``last_received`` is when the last message arrived, and ``last_used`` when the last request was
-    sent. ``unanswered_since`` is when the first heartbeat after the last received message was sent,
-    or ``None`` if none was sent since.
+    sent; both begin with the time at which this object was created. ``unanswered_since`` is when
+    the first heartbeat after the last received message was sent, or ``None`` if none was sent
+    since.
     """
 
     def __init__(self, host: HostId, address: Address, handler: PeerHandler, clock: Clock) -> None:
--- a/src/masticgate/connection/_request_structs.py
+++ b/src/masticgate/connection/_request_structs.py
@@ -1,8 +1,9 @@
 """Functions that convert the messages of a request to and from Cap'n Proto structs.
 
-Each ``target`` and ``source`` is a struct of ``peer.capnp``. The entry host, which received the
-request, sends the parts of a search and the attempts of a booking to the owners of the services.
-An owner is the host that sends requests to the searchers of a service.
+Each ``target`` and ``source`` is a struct of ``peer.capnp``. The entry host of a search, which
+received it from its caller, sends its parts to the owners of the services. The host that minted the
+ticket of a booking sends the attempts of the booking to the owner of its service. An owner is the
+host that sends requests to the searchers of a service.
 """
 
 from typing import Any
--- a/src/masticgate/connection/_searcher.py
+++ b/src/masticgate/connection/_searcher.py
@@ -215,7 +215,7 @@
 
 
 def _read_refusal(body: bytes, attempt: SearcherAttempt) -> NotRun | Unknown:
-    """Return the failure that a refusal states.
+    """Return the failure that a refusal states, and record the searcher's incarnation.
 
     If the searcher does not state a known reason, it may have run the work.
     """
--- a/src/masticgate/connection/_socket.py
+++ b/src/masticgate/connection/_socket.py
@@ -44,9 +44,9 @@
         self.timeout = timeout
 
     def send(self, message: Message) -> bool:
-        """Send ``message``; return ``False`` if that failed, and close the connection.
+        """Send ``message``; if that fails, close the connection and return ``False``.
 
-        If the result is ``False``, the peer cannot have received the complete message.
+        The peer cannot have received the complete message if the result is ``False``.
         """
         data = encode_message(message)
         with self.lock:
--- a/src/masticgate/connection/gateway/_caller.py
+++ b/src/masticgate/connection/gateway/_caller.py
@@ -1,7 +1,7 @@
 """The server side of a caller's connection: HTTP/1.1 with keep-alive and pipelining.
 
-Each connection has a task of its own, which reads a request, passes it to the handler and sends the
-reply before it reads the next one.
+Each connection has a task of its own, which serves the requests one after another: it passes a
+request to the handler and sends the reply before it serves the next one.
 """
 
 import socket
@@ -65,8 +65,8 @@
 class CallerState(Enum):
     """The activity of a caller's connection.
 
-    An idle connection waits for a request, and one that is reading has received a part of one. One
-    that is serving runs the handler or sends the reply.
+    In state ``IDLE`` the connection waits for a request, in ``READING`` it has received a part of a
+    request, and in ``SERVING`` its task runs the handler or sends the reply.
     """
 
     IDLE = "idle"
@@ -103,7 +103,10 @@
             self.wakeable_socket.close()
 
     def stop_reading(self) -> None:
-        """End the task after the request in progress; any task may call this."""
+        """End the input of the connection, so that its task ends; any task may call this.
+
+        A request that has already arrived is still served.
+        """
         self.wakeable_socket.stop_reading()
 
     def _set_state(self, state: CallerState) -> None:
--- a/src/masticgate/connection/gateway/_listener.py
+++ b/src/masticgate/connection/gateway/_listener.py
@@ -13,8 +13,8 @@
 class Listener:
     """One listening socket and the open connections that it accepted.
 
-    When there are more than ``max_connections``, the connection is closed that became idle, or
-    began to read a request, the longest time ago.
+    When there are more than ``max_connections``, the connection that has been idle, or reading a
+    request, for the longest time is closed.
     """
 
     def __init__(
--- a/src/masticgate/connection/gateway/_response_parser.py
+++ b/src/masticgate/connection/gateway/_response_parser.py
@@ -34,9 +34,9 @@
 """
 
 EXTRA_HEAD_BYTES = 256
-"""Added to twice the size of a response's own headers: how many bytes of its body are checked.
+"""How many bytes longer than twice a response's own headers a head within its body may be.
 
-The check starts at a status line in the body and looks for the head of another response.
+The bytes from a status line on are compared with the response's headers only up to that length.
 """
 
 MAX_CHUNK_OVERHEAD = 0.5
