--- a/tests/connection/test_accept_failures.py
+++ b/tests/connection/test_accept_failures.py
@@ -55,6 +55,7 @@
     # file descriptor.
     def test_accepts_again_after_descriptors_ran_out(self, running):
         running.server.listener = ListenerFailingOnce(running.server.listener)
+        # The original listener may accept the first request, since its accept is in progress.
         get_status(running)
         get_status(running)
         assert get_status(running).startswith(b"HTTP/1.1 ")
--- a/tests/connection/test_booking_failures.py
+++ b/tests/connection/test_booking_failures.py
@@ -1,4 +1,4 @@
-"""Whether a failed response of a searcher proves that the work did not run."""
+"""Failed requests to a searcher, which count as not run or have an unknown outcome."""
 
 from types import SimpleNamespace
 
--- a/tests/connection/test_caller_server.py
+++ b/tests/connection/test_caller_server.py
@@ -81,6 +81,7 @@
 
 
 def read_response(stream) -> tuple[int, dict]:
+    """Return status and JSON object of the next response, or ``(0, {})`` if there is none."""
     line = stream.readline()
     if not line:
         return 0, {}
--- a/tests/connection/test_http_connection.py
+++ b/tests/connection/test_http_connection.py
@@ -18,8 +18,8 @@
 class ClosingServer:
     """Responds to each request, except to those for two paths.
 
-    It closes the connection after it read a request for ``/close``, and does not respond to a
-    request for ``/hold``.
+    It closes the connection when it has read a request for ``/close``. For ``/hold`` it only sets
+    ``request_held`` and clears ``closed``, which is set when the client closes a connection.
     """
 
     def __init__(self):
--- a/tests/gateway/loopback.py
+++ b/tests/gateway/loopback.py
@@ -43,7 +43,7 @@
 
 
 def reply_to(head: bytes, body: bytes = b"ok", status: int = 200, extra: bytes = b"") -> bytes:
-    """Return a response with a stamp and with the request id in ``head``."""
+    """Return a response to the request with ``head``; it has the request's id and a stamp."""
     identity = head_value(head, b"x-id")
     return b"HTTP/1.1 %d X\r\nx-id: %s\r\nx-stamp: s\r\n%sContent-Length: %d\r\n\r\n%s" % (
         status,
@@ -197,7 +197,7 @@
 ) -> Iterator[Gateway]:
     """Run a gateway in threads of this process, and yield it.
 
-    ``searchers`` has the searchers of each service, ``version`` is the version of the
+    ``searchers`` maps each service to its searchers, ``version`` is the version of the
     configuration, and ``settings`` replaces fields of the gateway's settings.
     """
     entries = [
--- a/tests/gateway/test_endless_responses.py
+++ b/tests/gateway/test_endless_responses.py
@@ -1,7 +1,7 @@
-"""Tests that a response without an end costs a bounded number of bytes and a bounded time.
+"""Tests that a gateway limits the size and the duration of endless responses.
 
-The gateway then closes the connection. Such responses come from searchers, from gateways that
-gather a query, or from the platform's store.
+At the limit it closes the connection. Such responses come from searchers, from gateways that gather
+a query, or from the platform's store.
 """
 
 import threading
--- a/tests/gateway/test_response_matching.py
+++ b/tests/gateway/test_response_matching.py
@@ -1,7 +1,8 @@
 """Tests that a call gets the complete response to its own request, or none.
 
 This holds whatever other bytes its connection carries: late, repeated, truncated and interim
-responses, and invalid bytes. Most tests run exchanges drawn by Hypothesis, on a real connection.
+responses, and invalid bytes. Most tests run exchanges over a real connection; Hypothesis draws the
+exchanges of some.
 """
 
 import random
@@ -75,7 +76,7 @@
 class DispatchTime(Enum):
     """When the next call is dispatched to a connection that has become idle.
 
-    ``AT_FINISH`` is while the handler of the connection handles the outcome of the last call,
+    ``AT_FINISH`` is while the handler of the connection handles the outcome of the previous call,
     ``BEFORE_RECEIVE`` before the connection's task receives again, and ``IN_RECEIVE`` while it
     receives.
     """
@@ -420,9 +421,9 @@
 def first_sent_parts(draw, response: PlannedResponse, truncation_weight: int) -> list[SentPart]:
     """Draw what a searcher sends when a response is due.
 
-    It is a response, or interim or invalid bytes and a response, or a response with another request
-    id or with none. ``truncation_weight`` is the weight of a truncated response; the other choices
-    have a weight of ten together.
+    It is a response, complete or truncated, or interim or invalid bytes and a response, or a
+    response with another request id or with none. ``truncation_weight`` is the weight of a
+    truncated response; the other choices have a weight of ten together.
     """
     match draw(st.sampled_from(FIRST_PART_KINDS + ["truncated"] * truncation_weight)):
         case "interim":
