--- a/src/masticgate/process/gateway/_service.py
+++ b/src/masticgate/process/gateway/_service.py
@@ -222,7 +222,7 @@
         kind = "none" if isinstance(route, Refused) else f"rank{route.rank}"
         self.metrics.record_request(kind, outcome, duration)
         late = not isinstance(route, Refused) and duration > route.objective
-        if outcome == "whole" and not late and _is_ordinary(reply):
+        if outcome == "whole" and not late and _is_regular(reply):
             self.ordinary_reply_count += 1
             if self.ordinary_reply_count % LOG_SAMPLE_INTERVAL:
                 return
@@ -256,7 +256,7 @@
             return reply
 
 
-def _is_ordinary(reply: Reply) -> bool:
+def _is_regular(reply: Reply) -> bool:
     """Return whether every answer in the reply came in the usual way.
 
     It did if it stated where it ends and no answers to other requests were discarded before it on
--- a/tests/gateway/test_follower.py
+++ b/tests/gateway/test_follower.py
@@ -151,7 +151,7 @@
         )
         assert not is_used(fleet, "a")
 
-    def test_stops_using_only_searcher_at_once_if_its_listing_does_not_return(self):
+    def test_stops_using_sole_searcher_at_once_if_its_listing_does_not_return(self):
         _, fleet, _ = follow(
             (0, contents(SearcherListed(make_entry("a")))),
             (5_000, Unavailable("down")),
