--- a/src/masticgate/process/gateway/__init__.py
+++ b/src/masticgate/process/gateway/__init__.py
@@ -1,6 +1,7 @@
-"""State that a gateway keeps for the life of its process.
+"""The parts of a gateway that live as long as its process.
 
-It covers the state of the searchers, the budgets for hedges and retries, the log and the metrics.
+They keep the catalogue, the state of the searchers and of the other gateways, the budgets for
+hedges and retries, the log and the metrics.
 """
 
 from ._catalogue import CatalogueSource as CatalogueSource
--- a/src/masticgate/process/gateway/_catalogue.py
+++ b/src/masticgate/process/gateway/_catalogue.py
@@ -106,7 +106,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Unavailable:
-    """The platform did not respond, or responded with an error; ``detail`` says which."""
+    """The source gave no usable response; ``detail`` says why."""
 
     detail: str
 
@@ -121,7 +121,7 @@
     def watch(self, after: Revision, wait: Millis) -> Changes | HistoryGone | Unavailable:
         """Wait at most ``wait`` for changes after the revision ``after``, and return them.
 
-        No changes are returned if none came within that time.
+        The result is an empty :class:`Changes` if there are none within that time.
         """
         ...
 
--- a/src/masticgate/process/gateway/_fleet.py
+++ b/src/masticgate/process/gateway/_fleet.py
@@ -1,7 +1,7 @@
 """The searchers of all services: their listings, their connections and the choice among them.
 
-The module also enforces the budgets for repeats. A repeat is a hedge, which is sent while the first
-attempt has no response yet, or a retry, which is sent after an attempt failed.
+The module also enforces the budgets for repeats. A repeat is a hedge, which is sent while an
+earlier attempt has no response yet, or a retry, which is sent after an attempt failed.
 """
 
 from dataclasses import dataclass
@@ -149,10 +149,9 @@
     def send(self, call: Call, tried: set[SearcherId]) -> DispatchedCall | NotRun:
         """Send ``call`` to the best searcher of its service that is not in ``tried``.
 
-        A searcher whose ejection is not over is sent the call only if no other is usable, the
-        request was sent to a searcher before, and the call is not a hedge. Return why the call was
-        not sent if there is no searcher for it, all connections are busy, or no task can be
-        started.
+        An ejected searcher that is not due for a probe is sent the call only if no other searcher
+        is usable, ``tried`` is not empty, and the call is not a hedge. Return why the call was not
+        sent if there is no searcher for it, all connections are busy, or no task can be started.
         """
         while True:
             with self.lock:
@@ -405,8 +404,8 @@
     def _expire_idle(self, replica: Replica, now: Millis) -> None:
         """Close idle connections before their searcher does; the lock is held.
 
-        Replace one if the searcher was used recently or is to be kept warm, and has at most two
-        connections.
+        Replace one if the searcher is active, was used recently or is kept warm, and has at most
+        two connections.
         """
         for task in list(replica.idle):
             idle_timeout = (
@@ -521,8 +520,8 @@
     def _update(self, replica: Replica, entry: SearcherEntry, now: Millis) -> None:
         """Apply a listing to its searcher; the lock is held.
 
-        A searcher that was leaving is active again, unless the listing or the one before it says
-        that the searcher drains.
+        A searcher that was leaving or gone is active again, unless the listing or the one before it
+        says that the searcher drains.
         """
         previous_phase = replica.entry.phase
         replica.entry = entry
--- a/src/masticgate/process/gateway/_follower.py
+++ b/src/masticgate/process/gateway/_follower.py
@@ -1,7 +1,7 @@
 """The task that keeps a gateway up to date with the catalogue that the platform publishes.
 
-The catalogue is the configuration and the listings of the searchers. The task reads all of it once,
-and then watches for changes.
+The catalogue is the configuration and the listings of the searchers. The task reads all of it, then
+watches for changes, and reads all of it again when the source requires that.
 """
 
 from threading import Event
@@ -64,11 +64,11 @@
 
 
 class Follower:
-    """Keeps the route table and the fleet up to date; :meth:`run` is its task.
+    """Keeps the configuration and the fleet up to date; :meth:`run` is its task.
 
     While the platform is unavailable, the last known state stays in force. ``held_searchers`` are
-    the searchers whose listing was found missing just after the platform became available again;
-    they stay in use until ``RELIST_TIMEOUT`` has passed.
+    the searchers whose listing was missing or removed within ``RELIST_TIMEOUT`` after the platform
+    became available again; they stay in use until that time has passed.
     """
 
     def __init__(
@@ -109,7 +109,7 @@
         return next((table for table in self.recent_tables if table.version == version), None)
 
     def age(self) -> Millis:
-        """Return the time since the last successful read or watch."""
+        """Return the time since the last successful read or watch, or since the start."""
         return Millis(self.clock.now() - self.last_contact_at)
 
     def _follow(self, after: Revision) -> None:
--- a/src/masticgate/process/gateway/_gateway.py
+++ b/src/masticgate/process/gateway/_gateway.py
@@ -127,7 +127,7 @@
         self.peers.start()
 
     def reload(self, settings: GatewaySettings) -> None:
-        """Apply changed settings to the fleet and to the stop of the process.
+        """Apply changed settings to the fleet, and the changed grace time.
 
         The addresses, the host id and the settings of :class:`Peers` stay as they were at the
         start.
@@ -137,10 +137,10 @@
         self.log.write(LogEvent.RELOADED, grace_ms=settings.grace, drain_ms=settings.drain)
 
     def stop(self) -> None:
-        """Finish the requests in progress, then exit the process within the grace time.
+        """Finish the callers' requests in progress, then exit the process within the grace time.
 
         New connections are accepted for a part of that time, although the readiness page already
-        reports that the gateway is not ready.
+        reports that the gateway is not ready. It does not wait for queries of other gateways.
         """
         started_at = self.clock.now()
         self.stopping.set()
--- a/src/masticgate/process/gateway/_hedge_delays.py
+++ b/src/masticgate/process/gateway/_hedge_delays.py
@@ -1,7 +1,7 @@
 """The delays after which requests are hedged, derived from recent latencies.
 
-A hedge repeats a request at another searcher while the first attempt has no response yet. The
-objective of a route is the latency that its answers should have.
+A hedge repeats a request at another searcher while an earlier attempt has no response yet. The
+objective of a route is the latency that its answers should not exceed.
 """
 
 from ..._ids import Millis, RouteId
--- a/src/masticgate/process/gateway/_metrics.py
+++ b/src/masticgate/process/gateway/_metrics.py
@@ -45,7 +45,10 @@
             self.gauges[name] = value
 
     def record_request(self, kind: str, outcome: str, latency: Millis) -> None:
-        """Record a request of ``kind`` that ended with ``outcome`` after ``latency``."""
+        """Record a request that ended with ``outcome`` after ``latency``.
+
+        ``kind`` is the rank of its route, such as ``rank0``, or ``none`` if it has no route.
+        """
         with self.lock:
             self.histograms.setdefault((kind, outcome), Histogram()).add(latency)
 
--- a/src/masticgate/process/gateway/_network_times.py
+++ b/src/masticgate/process/gateway/_network_times.py
@@ -45,7 +45,8 @@
 class NetworkTimes:
     """Estimates the network time of each request between its caller and the gateway.
 
-    It is a part of the route's objective, which is the latency that an answer should have.
+    The network time is a part of the route's objective, the latency that an answer should not
+    exceed.
     """
 
     def __init__(self) -> None:
--- a/src/masticgate/process/gateway/_peers.py
+++ b/src/masticgate/process/gateway/_peers.py
@@ -29,11 +29,11 @@
 """The Host header by which a gateway recognizes a heartbeat."""
 
 HEARTBEAT_INTERVAL = Millis(500.0)
-"""The interval between heartbeats to a seed that responds."""
+"""The interval between heartbeats to a seed that is a gatherer."""
 
 FIRST_HEARTBEAT_DELAY = Millis(50.0)
 HEARTBEAT_RETRY_INTERVAL = Millis(250.0)
-"""The interval between heartbeats to an unresponsive seed.
+"""The interval between heartbeats to a seed that does not respond or is not ready.
 
 It is short, so that a starting gateway soon finds the seeds.
 """
@@ -42,7 +42,10 @@
 """The timeouts for the connection to a seed, and for its reply to a heartbeat."""
 
 MAX_MISSED_HEARTBEATS = 2
-"""A gatherer is no longer used after this many missed heartbeats, which is about a second."""
+"""A gatherer is no longer used after this many missed heartbeats in a row.
+
+They take up to a second if its host refuses connections, and up to two if it does not respond.
+"""
 
 MEMBER_TTL = Millis(5_000.0)
 """How long a gateway counts as running after its last heartbeat."""
@@ -174,7 +177,7 @@
         return LocalPage(200, json.dumps(reply).encode())
 
     def find_relays(self) -> list[Address]:
-        """Return the seeds that relay the platform's catalogue, those in the own domain first.
+        """Return the seeds that relay the catalogue, those in this gateway's domain first.
 
         Return an empty list if this gateway is a seed, or if there are few gateways: each then
         reads from the platform itself, which saves one hop of delay.
--- a/src/masticgate/process/gateway/_relay.py
+++ b/src/masticgate/process/gateway/_relay.py
@@ -71,7 +71,7 @@
 MANY_SERVICES = 100
 """With fewer services, a starting gateway does not wait for a relay.
 
-It reads the catalogue from the platform at once, since that takes only a few calls.
+A read of the catalogue from the platform then takes only a few calls.
 """
 
 HTTP_GONE = 410
@@ -149,6 +149,7 @@
     """Reads the catalogue from a relay while there is one, and from the platform otherwise.
 
     ``relays`` returns the addresses of the gateways that relay now, the preferred one first.
+    ``wait`` blocks for the given number of seconds.
     """
 
     def __init__(
--- a/src/masticgate/process/gateway/_repeat_budgets.py
+++ b/src/masticgate/process/gateway/_repeat_budgets.py
@@ -34,7 +34,7 @@
         self.window(service).record_request(now)
 
     def spend(self, service: ServiceId, now: Millis, reserve: float = 0.0) -> bool:
-        """Spend one repeat; return ``False`` if less than ``reserve`` would remain."""
+        """Spend one repeat, or return ``False`` if less than ``reserve`` would remain."""
         return self.window(service).spend(now, reserve)
 
     def apply_shares(self, shares: GatewayShares) -> None:
--- a/src/masticgate/process/gateway/_repeat_window.py
+++ b/src/masticgate/process/gateway/_repeat_window.py
@@ -37,7 +37,7 @@
             self.requests.append((bucket, 1))
 
     def spend(self, now: Millis, reserve: float) -> bool:
-        """Spend one repeat; return ``False`` if less than ``reserve`` would remain."""
+        """Spend one repeat, or return ``False`` if less than ``reserve`` would remain."""
         self._expire(now)
         if len(self.repeats) + 1 + reserve > self._max_repeats(now):
             return False
--- a/src/masticgate/process/gateway/_replica.py
+++ b/src/masticgate/process/gateway/_replica.py
@@ -161,7 +161,7 @@
         return True
 
     def record_failure(self, now: Millis) -> bool:
-        """Record a failure; return ``True`` if it ejects the searcher."""
+        """Record a failure; return ``True`` if it ejects the searcher, or does so again."""
         self.consecutive_failures += 1
         self.raise_failure_rate(now)
         if self.state is ReplicaState.ACTIVE and self.consecutive_failures < FAILURES_TO_EJECT:
--- a/src/masticgate/process/gateway/_service.py
+++ b/src/masticgate/process/gateway/_service.py
@@ -35,9 +35,9 @@
 LOG_SAMPLE_INTERVAL = 16
 """One in this many ordinary requests is logged.
 
-A request is ordinary if its reply is whole and was ready within the route's objective, which is
-the latency that it should have, and if its answers came in the usual way: each stated where it
-ends, and no answers to other requests were discarded before it on its connection.
+A request is ordinary if its reply is whole, was ready within the route's objective, which is the
+latency that it should not exceed, and consists of regular answers. An answer is regular if it
+stated where it ends and no answers to other requests were discarded before it on its connection.
 """
 
 
@@ -172,9 +172,9 @@
     ) -> Reply:
         """Gather the query in this gateway, or forward it to another gateway that gathers it.
 
-        To gather a query is to send it to all its shards and to merge the answers.
-        If no other gateway began to gather it, it is gathered here. If the other gateway was lost
-        while it gathered, the query is gathered again here, if the budget for repeats allows it.
+        To gather a query is to send it to all its shards and to merge the answers. If no other
+        gateway began to gather it, it is gathered here. If the other gateway was lost while it
+        gathered, the query is gathered again here, if the budget for repeats allows it.
         """
         match self.peers.gathering:
             case GatherHere():
@@ -245,8 +245,8 @@
 def _refusal_as_unknown(reply: Reply) -> Reply:
     """Return ``reply``, with a refusal turned into a failure with an unknown outcome.
 
-    A lost gatherer may have sent parts of the query already, so that the reply must not state that
-    the query did not run.
+    A lost gatherer may have sent the query to some shards already, so that the reply must not state
+    that the query did not run.
     """
     match reply:
         case Refused(failure=failure):
@@ -257,11 +257,7 @@
 
 
 def _is_regular(reply: Reply) -> bool:
-    """Return whether every answer in the reply came in the usual way.
-
-    It did if it stated where it ends and no answers to other requests were discarded before it on
-    its connection.
-    """
+    """Return whether all answers in the reply are regular; ``True`` if it has none."""
     match reply:
         case Relayed(answer=answer):
             return answer.receive_info.is_regular
--- a/src/masticgate/process/gateway/_settings.py
+++ b/src/masticgate/process/gateway/_settings.py
@@ -23,7 +23,7 @@
 
     The gateway listens for callers on ``caller_address``, for readiness checks on
     ``readiness_address``, for readers of its metrics on ``metrics_address`` and for other gateways
-    on ``peer_address``. ``seeds`` has the peer addresses of a few gateways; some may be out of
+    on ``peer_address``. ``seeds`` holds the peer addresses of a few gateways; some may be out of
     date. ``store_address`` is the address of the platform's store. ``grace`` is the time from the
     request to stop until the process is killed, and ``drain`` how long a leaving searcher may still
     be sent requests.
--- a/src/masticgate/process/gateway/_shares.py
+++ b/src/masticgate/process/gateway/_shares.py
@@ -17,7 +17,10 @@
 """The part of the allowed slack that is used; the rest is a margin."""
 
 PEER_REPEAT_SHARE = 0.1
-"""The part of the allowed ratio for queries that are repeated because their gatherer was lost."""
+"""The part of the allowed ratio for queries that are forwarded to a gatherer and repeated.
+
+Such a query is sent to a second gatherer, or gathered by this gateway after its gatherer was lost.
+"""
 
 PEER_REPEAT_SLACK = 1.0
 """The number of such queries that may be repeated in a window in addition."""
@@ -49,7 +52,7 @@
         return bounds.ratio * USED_RATIO_SHARE, slack
 
     def peer_repeat_limits(self, bounds: RepeatBounds) -> tuple[float, float]:
-        """Return the ratio and slack that bound the queries that are gathered again."""
+        """Return the ratio and slack that bound the repeats of forwarded queries."""
         return bounds.ratio * PEER_REPEAT_SHARE, PEER_REPEAT_SLACK
 
     def _gateway_count(self, shard: bool) -> int:
--- a/src/masticgate/process/gateway/_task_pool.py
+++ b/src/masticgate/process/gateway/_task_pool.py
@@ -50,8 +50,9 @@
     """Starts each task at once or refuses it for good.
 
     If ``ThreadPoolExecutor.submit`` cannot start a thread, it raises, but keeps the task in its
-    queue, and from then on counts one of its busy threads as idle. Such an executor is therefore
-    left to finish its present tasks, and new tasks go to a new executor.
+    queue. After a thread has taken that task, the executor counts one idle thread too many, and may
+    queue a task instead of starting it. Such an executor is therefore left to finish its present
+    tasks, and new tasks go to a new executor.
     """
 
     def __init__(self, max_tasks: int, log: EventLog, metrics: Metrics) -> None:
--- a/tests/gateway/soak.py
+++ b/tests/gateway/soak.py
@@ -165,8 +165,9 @@
     """A stand-in for a searcher, which records each request that it runs and injects faults.
 
     ``fault_rate`` raises the rates of refusals, lost responses and response faults.
-    ``extra_delay_s`` is the delay of each run in addition to 2 ms. ``runs`` has the id and the time
-    of each request that was run, and ``lost_requests`` the ids of requests whose response was lost.
+    ``extra_delay_s`` is the delay of each run in addition to 2 ms. ``runs`` lists each request that
+    was run, by its id and the time, and ``lost_requests`` the ids of requests whose response was
+    lost.
     ``drain_started_at`` is when the searcher was listed as draining, if it was.
     """
 
@@ -374,7 +375,7 @@
 class GatewayProcess:
     """A real gateway in a process of its own.
 
-    ``disturbed_at`` is when it was last started, or affected by an injected fault.
+    ``disturbed_at`` is when it was last started, or may have been affected by an injected fault.
     """
 
     def __init__(self, number: int, folder: Path, store: Store) -> None:
@@ -436,7 +437,7 @@
 class Soak:
     """One soak run of three gateways; ``seed`` determines the faults and their order.
 
-    ``replies`` has all replies that callers received, and ``problems`` describes each violation.
+    ``replies`` holds all replies that callers received, and ``problems`` describes each violation.
     """
 
     seed: int
@@ -551,7 +552,7 @@
     def run_caller(self, number: int) -> None:
         """Send requests one after another until the run ends, and record the replies.
 
-        The caller keeps its connection open until the gateway closes it.
+        The caller keeps its connection open until the gateway closes it or an error occurs.
         """
         rng = random.Random(f"{self.seed} caller {number}")
         gateway = self.gateways[number % GATEWAYS]
@@ -652,7 +653,7 @@
                 )
 
     def check_reply(self, reply: CallerReply, runs: list[str]) -> None:
-        """Check one reply; ``runs`` has the ids of the searchers that ran its request."""
+        """Check one reply; ``runs`` lists the ids of the searchers that ran its request."""
         if reply.status in (408, 421, 429, 503) and reply.path == "/book/x" and runs:
             self.problems.append(f"{reply.request} was refused but was run at {runs}")
         if reply.status in (400, 404):
--- a/tests/gateway/test_log.py
+++ b/tests/gateway/test_log.py
@@ -35,6 +35,7 @@
             for _ in range(MAX_LINES_PER_SECOND):
                 log.write(LogEvent.REQUEST, request="q" * 200)
             log.wake()
+        # The limit does not apply to the counts of dropped lines, at most one line per window.
         assert len(log.queue) <= MAX_QUEUED_LINES + 200
 
     def test_limits_lines_of_one_event_and_counts_dropped_lines(self):
--- a/tests/standins/searcher.py
+++ b/tests/standins/searcher.py
@@ -115,7 +115,7 @@
         self.counts["most_open"] = max(self.open_connections, self.counts.get("most_open", 0))
 
     def handle(self, exchange: Exchange) -> None:
-        """Answer a request for the load; refuse, lose or queue any other request."""
+        """Answer a request for the load; refuse, lose, ignore or queue any other request."""
         behaviour = self.behaviour
         if exchange.url == "/load":
             load = len(self.queue) + self.running
