--- a/src/masticgate/process/_admission.py
+++ b/src/masticgate/process/_admission.py
@@ -21,7 +21,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class _Limit:
+class _PressureReport:
     """The share of each rank's queries that a service can take, as its owner reported it."""
 
     owner: HostId
@@ -40,7 +40,7 @@
     def __init__(self, clock: Clock) -> None:
         self.clock = clock
         self.lock = Lock()
-        self.limits: dict[ServiceId, _Limit] = {}
+        self.reports: dict[ServiceId, _PressureReport] = {}
         self.refused: dict[tuple[ServiceId, Rank], int] = {}
 
     def record_pressure(self, owner: HostId, services: Iterable[ServicePressure]) -> None:
@@ -48,7 +48,7 @@
         now = self.clock.now()
         with self.lock:
             for item in services:
-                self.limits[item.service] = _Limit(owner, item.admitted, now)
+                self.reports[item.service] = _PressureReport(owner, item.admitted, now)
 
     def admit(
         self, rank: Rank, admission_number: float, services: Iterable[Service]
@@ -57,17 +57,17 @@
 
         A refused query is counted as demand of every service that it needs.
         """
-        limits = self.limits
-        if not limits:
+        reports = self.reports
+        if not reports:
             return None
         needed = [service.id for service in services]
         oldest = self.clock.now() - PRESSURE_TTL
         for service in needed:
-            limit = limits.get(service)
+            report = reports.get(service)
             if (
-                limit is None
-                or limit.reported_at < oldest
-                or admission_number < limit.admitted[rank]
+                report is None
+                or report.reported_at < oldest
+                or admission_number < report.admitted[rank]
             ):
                 continue
             self._count_refused(needed, rank)
@@ -83,16 +83,16 @@
         with self.lock:
             refused, self.refused = self.refused, {}
             oldest = self.clock.now() - PRESSURE_TTL
-            self.limits = {
-                service: limit
-                for service, limit in self.limits.items()
-                if limit.reported_at >= oldest
+            self.reports = {
+                service: report
+                for service, report in self.reports.items()
+                if report.reported_at >= oldest
             }
             by_owner: dict[HostId, list[RefusedCount]] = {}
             for (service, rank), count in refused.items():
-                limit = self.limits.get(service)
-                if limit is not None:
-                    counts = by_owner.setdefault(limit.owner, [])
+                report = self.reports.get(service)
+                if report is not None:
+                    counts = by_owner.setdefault(report.owner, [])
                     counts.append(RefusedCount(service, rank, count))
             return by_owner
 
--- a/tests/process/test_commands.py
+++ b/tests/process/test_commands.py
@@ -23,7 +23,7 @@
 
 class TestGroup:
     @pytest.mark.parametrize("command", ["serve", "check", "query", "book", "status", "timeline"])
-    def test_every_command_prints_its_usage(self, command):
+    def test_command_prints_its_usage(self, command):
         result = run(command, "--help")
         assert result.exit_code == 0 and "Usage" in result.output
 
--- a/tests/process/test_concurrency.py
+++ b/tests/process/test_concurrency.py
@@ -47,7 +47,7 @@
         assert fill(limit, Rank.BULK) == MIN_LIMIT / 2
 
 
-class TestSearchesOfAFullHost:
+class TestCallerService:
     def reason(self, policy: Policy) -> Reason:
         """Return why a search does not run on a host that is full and has no configuration."""
         clock = ManualClock()
@@ -58,13 +58,13 @@
         request = SearchRequest((ServiceId("desk"),), "", Rank.BULK, Millis(100.0), 1)
         return service.search(request).reason
 
-    def test_are_refused_as_overload_before_any_other_check(self):
+    def test_search_beyond_the_limit_is_refused_as_overload_before_other_checks(self):
         assert self.reason(OWNER_POLICY) is Reason.OVERLOAD
 
-    def test_are_all_admitted_by_the_naive_policy(self):
+    def test_naive_policy_admits_search_beyond_the_limit(self):
         assert self.reason(NAIVE_POLICY) is Reason.NO_CONFIGURATION
 
-    def test_do_not_change_the_limit_if_refused_before_their_fan_out(self):
+    def test_search_refused_before_its_fan_out_does_not_change_the_limit(self):
         clock = ManualClock()
         runtime = SimpleNamespace(policy=OWNER_POLICY, configuration=lambda: None)
         metrics = SimpleNamespace(count=lambda name: None)
