--- a/src/masticgate/process/_admission.py
+++ b/src/masticgate/process/_admission.py
@@ -33,8 +33,9 @@
     """Keeps the owners' pressure reports, and counts the queries refused because of them.
 
     A query is admitted if its admission number is below the admitted share of every service that
-    it needs. The number is random, from 0 to 1, and drawn once per query, so that all its services
-    agree and no query is sent to some of its services in vain.
+    it needs. A service without a current report admits all. The number is random, from 0 to 1, and
+    drawn once per query, so that all its services agree and no query is sent to some of its
+    services in vain.
     """
 
     def __init__(self, clock: Clock) -> None:
--- a/src/masticgate/process/_booking_log.py
+++ b/src/masticgate/process/_booking_log.py
@@ -17,7 +17,7 @@
 """If this many attempts are kept, the oldest are removed before they expire."""
 
 MAX_REMOVED_AT_ONCE = 2
-"""The maximum number of old attempts that are removed when a new one is recorded."""
+"""The maximum number of old attempts that are removed each time an attempt is received."""
 
 
 class BookingLog:
--- a/src/masticgate/process/_caller_service.py
+++ b/src/masticgate/process/_caller_service.py
@@ -33,7 +33,7 @@
 
 
 class CallerService:
-    """Runs the requests of callers and operators, and counts their results.
+    """Runs the requests of callers and operators; counts the results of searches and bookings.
 
     A booking changes data at a searcher. Its ticket makes sure that it runs at most once.
     """
--- a/src/masticgate/process/_command_check.py
+++ b/src/masticgate/process/_command_check.py
@@ -19,7 +19,7 @@
 def check(text: Path, against: Path | None) -> None:
     """Validate the operators' TEXT by the same rules as a host.
 
-    Exit status 0: hosts accept it; 5: hosts refuse it.
+    Exit status 0: hosts accept it; 5: hosts refuse it or the text given by --against.
     """
     configuration = _accept(text)
     services = sum(bool(s.searchers) for s in configuration.services.values())
--- a/src/masticgate/process/_command_timeline.py
+++ b/src/masticgate/process/_command_timeline.py
@@ -37,7 +37,7 @@
     """Merge the events of the entry HOSTs (address:port) into one timeline.
 
     An event comes after all events of other hosts that its host knew of, even if clocks differ.
-    Exit status 6: a host did not answer; the events of the others are still shown.
+    Exit status 6: a host did not send its events; those of the others are still shown.
     """
     events: list[Event] = []
     unreachable = False
--- a/src/masticgate/process/_concurrency.py
+++ b/src/masticgate/process/_concurrency.py
@@ -22,13 +22,18 @@
 """The limit falls at most once in this time, however many searches are late."""
 
 RANK_SHARES: Mapping[Rank, float] = {Rank.URGENT: 0.75, Rank.STANDARD: 0.5, Rank.BULK: 0.5}
-"""The share of the limit that one rank may use, so that no rank shuts the others out."""
+"""The share of the limit that one rank may use, so that no rank shuts the others out.
+
+Only these shares are enforced: together, the ranks may exceed the limit.
+"""
 
 
 class ConcurrencyLimit:
-    """Limits the searches in progress; the limit rises while they end in time, and falls if late.
+    """Limits the searches in progress of each rank to a share of ``limit``.
+
+    ``limit`` rises with each search that ends in time, and falls when searches are late.
 
-    It protects the host when a flood starts, before any owner has reported its pressure, and when
+    This protects the host when a flood starts, before any owner has reported its pressure, and when
     this host itself is short of processor time.
     """
 
@@ -56,7 +61,10 @@
             self.in_progress[rank] -= 1
 
     def release(self, rank: Rank, *, late: bool) -> None:
-        """Record the end of a search; ``late`` says that it ended at its deadline, incomplete."""
+        """Record the end of a search.
+
+        ``late`` says that it ended at its deadline, incomplete, or with an exception.
+        """
         with self.lock:
             self.in_progress[rank] -= 1
             if not late:
--- a/src/masticgate/process/_dispatcher.py
+++ b/src/masticgate/process/_dispatcher.py
@@ -112,7 +112,7 @@
         return expired
 
     def _assign_next(self, now: Millis, expired: list[QueueEntry]) -> bool:
-        """Assign the next queued entry; return ``False`` if no searcher may take more work.
+        """Assign the next queued entry; return ``False`` if no idle connection may get more work.
 
         An entry past its deadline is appended to ``expired`` instead.
         """
@@ -139,7 +139,10 @@
         return self.searchers.choose(self.idle_connections.by_searcher, now, excluded)
 
     def _assign_hedges(self, now: Millis, delay: Millis, least_urgent: Rank | None) -> None:
-        """Assign the due hedges, or only those at least as urgent as ``least_urgent``."""
+        """Assign the due hedges that the budget allows, the most urgent first.
+
+        Leave out those less urgent than ``least_urgent``, if it is given.
+        """
         for entry in self.hedge_candidates.list_due(now, delay):
             if least_urgent is not None and entry.work.rank > least_urgent:
                 return
--- a/src/masticgate/process/_distribution.py
+++ b/src/masticgate/process/_distribution.py
@@ -1,8 +1,8 @@
 """Distribution of versions: from the platform and from peers to this host, and on to peers.
 
-Versions are the revision of the configuration text and the snapshot catalogue. Each host
-validates what it receives, and sends on only what it has accepted, so a refused text spreads no
-further.
+The versions of a host are the revision of its configuration text and the newest snapshot of its
+snapshot catalogue. Each host validates the texts and catalogues that it receives, and sends on only
+what it has accepted, so a refused text spreads no further.
 """
 
 from collections.abc import Callable, Container
@@ -35,7 +35,7 @@
 """Sends a message on the connection over which a peer's message arrived."""
 
 FETCH_TIMEOUT = Millis(1000.0)
-"""How long to wait for versions to arrive from a peer before they are fetched from another."""
+"""How long to wait for the versions that a peer was asked for before any peer is asked again."""
 
 
 class Distribution:
@@ -108,7 +108,7 @@
             self._abort_reads()
 
     def compare_versions(self, peer: Hello, peer_versions: Versions, send_reply: SendReply) -> None:
-        """Fetch what ``peer`` has newer, unless a fetch of versions as new is in progress.
+        """Fetch what ``peer`` has newer, unless a fetch of versions at least as new is in progress.
 
         While this host starts, the versions of ``peer`` are recorded too.
         """
@@ -118,7 +118,10 @@
             send_reply(FetchVersions(self.versions.versions()))
 
     def answer_fetch(self, peer_versions: Versions, send_reply: SendReply) -> None:
-        """Send a peer that has ``peer_versions`` the text and the catalogue that are newer here."""
+        """Send a peer that has ``peer_versions`` what is newer here.
+
+        This is the text, or its sections that changed, and the catalogue.
+        """
         push = self.versions.build_push(peer_versions.revision)
         if push is not None:
             send_reply(push)
@@ -131,8 +134,8 @@
         """Offer the store what a peer sent.
 
         A push of sections holds the changes since the text of a base revision. If this host is at
-        another revision, fetch the changes since that one; if its text of the base revision
-        differs from the peer's, fetch the whole text.
+        another revision, fetch the changes since its own; if its text of the base revision differs
+        from the peer's, fetch the whole text.
         """
         match push:
             case TextPush(revision=revision, text=text):
@@ -143,7 +146,7 @@
                 self._handle_sections(push, send_reply)
 
     def announce(self) -> None:
-        """Send this host's versions to all peers at once, ahead of the next heartbeat."""
+        """Send this host's versions over every open link at once, ahead of the next heartbeat."""
         self.links.broadcast(Heartbeat(self.timeline.sequence, self.versions.versions(), ()))
 
     def _handle_sections(self, push: SectionsPush, send_reply: SendReply) -> None:
@@ -165,7 +168,7 @@
     def _should_fetch(self, peer_versions: Versions) -> bool:
         """Return whether to fetch ``peer_versions``; if so, record that they are being fetched.
 
-        A refused revision is not fetched again.
+        A revision that this host refused is no reason to fetch.
         """
         processed = self.versions.has_processed(peer_versions.revision)
         if processed and peer_versions.catalogue <= self.versions.catalogue.newest:
--- a/src/masticgate/process/_heartbeats.py
+++ b/src/masticgate/process/_heartbeats.py
@@ -1,6 +1,6 @@
 """The task that sends heartbeats to peers, monitors the neighbours and probes dead hosts.
 
-The neighbours of a host are the bounded number of other hosts whose liveness it monitors.
+The neighbours of a host are the other hosts that it monitors; their number is bounded.
 """
 
 from collections.abc import Callable
@@ -31,11 +31,11 @@
 """A digest of the usable hosts is sent once in this many rounds, to one neighbour after another."""
 
 ROUNDS_PER_PROBE = 4
-"""A dead host is probed once in this many rounds; the dead hosts take turns."""
+"""One dead host is probed once in this many rounds; the dead hosts take turns."""
 
 
 class Heartbeats:
-    """Maintains the links to the neighbours and the membership table of this host.
+    """Sends the heartbeats, and maintains the links to the neighbours and the membership table.
 
     ``on_heartbeat`` is called after each round of heartbeats.
     """
@@ -73,7 +73,11 @@
         return SHORT_INTERVAL if small else LONG_INTERVAL
 
     def beat(self) -> None:
-        """Do one interval's work: check the neighbours, then send the heartbeats that are due."""
+        """Run one round: check the neighbours, and send the heartbeats that are due.
+
+        Also open links to the neighbours and to a dead host that is to be probed, close idle links
+        and remove expired members.
+        """
         self.sequence += 1
         self.detector.check(self._monitored_members(), self.interval())
         for member in self._monitored_members():
@@ -115,6 +119,7 @@
         updates = self.members.next_updates()
         member = self.members.get(host)
         if member is not None and member.state is not MemberState.ALIVE and member not in updates:
+            # Lets the host refute that it is suspect or dead.
             updates = (*updates, member)
         digest = tuple(self.members.digest) if with_digest else ()
         heartbeat = Heartbeat(self.timeline.sequence, self.versions.versions(), updates, digest)
--- a/src/masticgate/process/_hedge_budget.py
+++ b/src/masticgate/process/_hedge_budget.py
@@ -39,8 +39,8 @@
 class HedgeBudget:
     """Limits hedges and retries to a fraction of the number of first attempts of a service.
 
-    Each first attempt earns a fraction of a token, and each hedge or retry spends one. Callers
-    hold the lock of the service pool.
+    Each first attempt earns a fraction of a token, and each hedge or retry spends one, except a
+    retry whose :class:`RetryCost` is free. Callers hold the lock of the service pool.
     """
 
     def __init__(self, hedging: Hedging) -> None:
--- a/src/masticgate/process/_hedge_candidates.py
+++ b/src/masticgate/process/_hedge_candidates.py
@@ -8,7 +8,7 @@
 
 
 class HedgeCandidates:
-    """The entries with one attempt in flight, in the order in which they were sent.
+    """The searches in flight that may still be hedged, in the order in which they were sent.
 
     Bookings are excluded, since they may be sent only once. Callers hold the lock of the service
     pool.
@@ -29,7 +29,7 @@
         self.entries.pop(id(entry), None)
 
     def list_due(self, now: Millis, delay: Millis) -> list[QueueEntry]:
-        """Return the entries that have been in flight for ``delay``, the most urgent first.
+        """Return the entries in flight for at least ``delay``, the most urgent first.
 
         Entries past their deadline are left out.
         """
@@ -43,9 +43,9 @@
         return found
 
     def next_due(self, now: Millis, delay: Millis) -> Millis:
-        """Return when the next entry becomes due that is not due yet.
+        """Return when the next entry that is not due yet becomes due.
 
-        If there is none, return when an entry sent now would become due.
+        If there is none, return when an entry that is sent now would become due.
         """
         for entry in self.entries.values():
             if entry.sent_at + delay > now:
--- a/src/masticgate/process/_host_list.py
+++ b/src/masticgate/process/_host_list.py
@@ -15,13 +15,16 @@
 
 
 class HostList:
-    """Converts each read of the host list; called only by the task that reads the list.
+    """Converts each read of the host list.
 
-    A host that the list marks as leaving becomes leaving only if its current incarnation has been
-    known for ``MAX_HOST_LIST_LAG``. Until then the mark may be out of date and mean the previous
-    incarnation. All other entries get incarnation 0, so they never replace one that the host itself
-    has sent. ``known_since`` maps each listed host to its current incarnation and when that was
-    first seen.
+    It is called by the startup task and later by the task that watches the list, never by both at
+    once.
+
+    If the list marks a host as leaving, the mark is applied to the host's current incarnation once
+    that has been known for ``MAX_HOST_LIST_LAG``. Until then the mark may be out of date and mean
+    the previous incarnation. All other entries get incarnation 0, so they never replace one that
+    the host itself has sent. ``known_since`` maps each listed host to its current incarnation and
+    when that was first seen.
     """
 
     def __init__(self, get_member: Callable[[HostId], Member | None]) -> None:
--- a/src/masticgate/process/_host_runtime.py
+++ b/src/masticgate/process/_host_runtime.py
@@ -24,10 +24,11 @@
 
 
 class HostRuntime:
-    """Routes the messages of requests to the owners of services, which may be this host.
+    """Implements :class:`~masticgate.request.Runtime` for the requests that this host runs.
 
-    The owner of a service is the host that queues its work. ``owner_table`` ranks, for each
-    service, the hosts in ``table_hosts``: the owner first, then those that replace it.
+    The owner of a service is the host that queues its work; it may be this host. ``owner_table``
+    maps each service to its owner, followed by the hosts that replace it in turn. It was computed
+    from ``table_hosts``, the usable hosts at that time.
     """
 
     def __init__(
@@ -79,7 +80,7 @@
         }
 
     def configuration(self) -> Configuration | None:
-        """Return the configuration in force."""
+        """Return the configuration in force, ``None`` if there is none."""
         return self.versions.configuration
 
     def choose_snapshot(
@@ -148,7 +149,10 @@
         return refusal
 
     def discard_replies(self, query: QueryId) -> None:
-        """Discard replies to ``query`` that arrive from now on."""
+        """Discard replies to ``query`` that arrive from now on.
+
+        The outcome of a booking is still recorded under its ticket.
+        """
         self.reply_router.unregister_query(query)
 
     def is_silent(self, host: HostId) -> bool:
@@ -158,8 +162,8 @@
     def allow_repeats(self, parts: int) -> bool:
         """Spend ``parts`` of the budget for repeats; return ``False`` if it is too small for them.
 
-        A repeat sends parts of a search to a second owner while the first, silent owner may still
-        answer. Each part that is sent to an owner adds to the budget.
+        A repeat sends parts of a search to another owner while a silent one may still answer. Each
+        part that is sent to an owner adds to the budget.
         """
         return self.repeat_budget.spend(parts)
 
@@ -192,7 +196,10 @@
         self.reply_router.deliver(self.own_host, reply)
 
     def _reachable_owners(self, service: ServiceId) -> list[HostId]:
-        """Return the reachable owners of ``service``, silent ones last, or else other hosts."""
+        """Return the reachable hosts that ``owner_table`` names for ``service``, silent ones last.
+
+        If there are none, fall back to other hosts. Also open links to the hosts named first.
+        """
         ranked = self.owner_table.get(service, [])
         self._open_links(ranked[:LINKED_OWNERS_PER_SERVICE])
         reachable = [host for host in ranked if self._is_reachable(host)]
--- a/src/masticgate/process/_idle_connections.py
+++ b/src/masticgate/process/_idle_connections.py
@@ -40,8 +40,8 @@
     """The idle connections of a service, by searcher.
 
     The task of one of them, ``timer``, also wakes up when a hedge is due or a searcher may get
-    work again. The others wait until they are assigned work. Callers hold the lock of the service
-    pool.
+    work again. The others wait until they are notified or have waited for too long. Callers hold
+    the lock of the service pool.
     """
 
     def __init__(self) -> None:
@@ -76,7 +76,7 @@
         connection.ready.notify()
 
     def ensure_timer(self) -> None:
-        """Choose a timer if there is none, and wake its task, so that it sets its timeout."""
+        """If there is no timer, choose one and wake its task, so that it sets its timeout."""
         if self.timer is None and self.by_searcher:
             self.timer = next(iter(self))
             self.timer.ready.notify()
--- a/src/masticgate/process/_latency_window.py
+++ b/src/masticgate/process/_latency_window.py
@@ -34,7 +34,7 @@
             self.sorted_latencies.remove(self.samples.popleft()[1])
 
     def percentile(self, percent: float) -> Millis | None:
-        """Return the latency that ``percent`` per cent of the samples do not exceed.
+        """Return the latency that at least ``percent`` per cent of the samples do not exceed.
 
         Return ``None`` while there are too few samples.
         """
--- a/src/masticgate/process/_links.py
+++ b/src/masticgate/process/_links.py
@@ -15,7 +15,8 @@
 PROBE_DELAY = Millis(20.0)
 """A host that has sent nothing for longer than this is sent a heartbeat before the next request.
 
-The reply to the heartbeat distinguishes a slow host from a lost one.
+The same is done while a search waits for its reply. The reply to the heartbeat distinguishes a slow
+host from a lost one.
 """
 
 RESPONSIVE_WINDOW = Millis(1000.0)
@@ -47,7 +48,10 @@
         self.stopping = False
 
     def ensure(self, host: HostId, address: Address) -> None:
-        """Open a link to ``host`` at ``address`` unless there is one to that address."""
+        """Open a link to ``host`` at ``address`` unless there is one to that address.
+
+        A link to another address is closed. After :meth:`stop`, nothing is opened.
+        """
         with self.lock:
             known = self.links.get(host)
             if self.stopping or (known is not None and known.address == address):
@@ -83,7 +87,10 @@
         return link is not None and link.state is LinkState.CLOSED
 
     def is_silent(self, host: HostId) -> bool:
-        """Return whether ``host`` has no link, or has left a heartbeat unanswered for too long."""
+        """Return whether ``host`` has no link, or has left a heartbeat unanswered for too long.
+
+        A link that is being opened again after it closed counts as a link.
+        """
         link = self.links.get(host)
         return link is None or self._unanswered_time(link) > SILENCE_TIMEOUT
 
--- a/src/masticgate/process/_logs.py
+++ b/src/masticgate/process/_logs.py
@@ -16,7 +16,7 @@
 
 
 def start_logs(settings: Settings) -> None:
-    """Write log lines of at least the level in the settings to standard error, in UTC."""
+    """Log at the level in the settings and above to standard error, with times in UTC."""
     handler = StreamHandler(sys.stderr, level=settings.log_level.upper(), bubble=False)
     handler.format_string = FORMAT
     handler.push_application()
