--- a/model/request/booking.py
+++ b/model/request/booking.py
@@ -3,7 +3,7 @@
 One incarnation of a host, the minter, mints the ticket, and several requests use it. Each request
 may begin one attempt, which has the request's id. A message stays in transit, so that it may arrive
 late, any number of times or never, which covers delay, duplication and loss; a pause of a host is a
-delay. When an owner crashes, the messages on its connections are lost.
+delay. When an owner crashes, the message in transit to it is lost.
 """
 
 from z3 import And, BoolSort, If, Implies, IntSort, Not, Or, Sum
--- a/model/version/adoption.py
+++ b/model/version/adoption.py
@@ -1,9 +1,9 @@
 """Specification of the revisions of the operators' text on three hosts, which never decrease.
 
 The platform answers with any published revision, however stale. A push of a peer may be late,
-duplicated or lost. A host starts without a revision, and applies the highest one that the platform
-and a serving peer report before it serves. At least one host always serves; without any, only the
-platform's revision would be left.
+duplicated or lost. A host starts without a revision, and applies that of a serving peer before it
+serves; it applies a newer one of the platform afterwards. At least one host always serves; without
+any, only the platform's revision would be left.
 """
 
 from z3 import And, BoolSort, If, Implies, IntSort, Not, Or
@@ -52,7 +52,7 @@
 
 
 def apply_revision(s: State, h: int, offered: object, fault: str) -> Action:
-    """A serving host applies a newer revision that the platform or a peer offers."""
+    """Return the step in which host ``h``, while it serves, applies ``offered`` if that is newer."""
     revision = getattr(s, f"revision{h}")
     newer = Or(offered > revision, And(fault == "apply a lower revision", offered > 0))
     change = {f"revision{h}": offered, "decreased": Or(s.decreased, offered < revision)}
@@ -60,7 +60,7 @@
 
 
 def advance_in_force(s: State) -> Action:
-    """The next revision is in force everywhere once every serving host has it."""
+    """Return the step that counts the next revision as in force, once every serving host has it."""
     reached = [
         Implies(getattr(s, f"serving{h}"), getattr(s, f"revision{h}") > s.in_force) for h in HOSTS
     ]
@@ -107,5 +107,9 @@
             ("apply a lower revision", "serve before a peer replied"),
         ),
     ),
-    {"a restarted host serves a newer revision": lambda s: And(s.in_force == 3, s.serving1)},
+    {
+        "a second edit is in force on every host that serves": lambda s: And(
+            s.in_force == 3, s.serving1
+        )
+    },
 )
