--- a/tests/process/test_bookings.py
+++ b/tests/process/test_bookings.py
@@ -1,4 +1,4 @@
-"""Bookings through real processes, whose runs are counted in the searchers' own reports.
+"""Bookings through real processes; the searchers report each booking that they ran.
 
 A booking changes data at a searcher. The caller first gets a ticket for it from one host, the
 minter, and sends the ticket with each request. The owner of the service queues the booking and
--- a/tests/process/test_concurrency.py
+++ b/tests/process/test_concurrency.py
@@ -49,7 +49,10 @@
 
 class TestCallerService:
     def reason(self, policy: Policy) -> Reason:
-        """Return why a search does not run on a host that is full and has no configuration."""
+        """Return why a bulk search does not run on a host without a configuration.
+
+        The host already has as many bulk searches in progress as the limit allows.
+        """
         clock = ManualClock()
         runtime = SimpleNamespace(policy=policy, configuration=lambda: None)
         metrics = SimpleNamespace(count=lambda name: None)
--- a/tests/process/test_owner_bookings.py
+++ b/tests/process/test_owner_bookings.py
@@ -1,6 +1,6 @@
-"""A booking at the owner of its service, which runs it once even if its message comes twice.
+"""The owner of a service sends a booking to a searcher once, even if its message arrives twice.
 
-The owner queues the work of a service and sends it to the service's searchers.
+The owner queues the work of the service.
 """
 
 from masticgate import (
@@ -70,8 +70,8 @@
     def test_second_copy_is_ignored_after_refusal_of_first_and_change_of_pool(self):
         """Guard against running a booking that was reported as not run.
 
-        The first copy arrives after its deadline and is refused. Then the number of hosts changes,
-        which reconfigures the pool, and the second copy arrives in time.
+        The first copy arrives at its deadline and is refused. Then the number of hosts changes, so
+        that queueing the second copy, which arrives in time, would reconfigure the pool.
         """
         setup = OwnerSetup()
         setup.book(remaining=0.0)
