--- a/model/version/adoption.py
+++ b/model/version/adoption.py
@@ -52,7 +52,7 @@
 
 
 def apply_revision(s: State, h: int, offered: object, fault: str) -> Action:
-    """Return the step in which host ``h``, while it serves, applies ``offered`` if that is newer."""
+    """Return the step in which host ``h``, if it serves, applies ``offered`` if that is newer."""
     revision = getattr(s, f"revision{h}")
     newer = Or(offered > revision, And(fault == "apply a lower revision", offered > 0))
     change = {f"revision{h}": offered, "decreased": Or(s.decreased, offered < revision)}
--- a/src/masticgate/process/_backoff.py
+++ b/src/masticgate/process/_backoff.py
@@ -1,4 +1,4 @@
-"""Exponential backoff with jitter, for reads of the platform that fail."""
+"""Exponential backoff with jitter, for retried reads of the platform or of a relay."""
 
 import random
 
