--- a/src/masticgate/process/_reply_router.py
+++ b/src/masticgate/process/_reply_router.py
@@ -69,9 +69,9 @@
     def fail_pending(self, host: HostId) -> None:
         """Put a failed reply into every inbox that waits for ``host``, which is lost."""
         with self.lock:
-            unanswered = [hosts[host] for hosts in self.pending.values() if host in hosts]
+            requests = [hosts[host] for hosts in self.pending.values() if host in hosts]
         failure = Unknown(Reason.OWNER_LOST, Step.FORWARD, peer=host)
-        for request in unanswered:
+        for request in requests:
             for reply in _failed_replies(request.message, failure):
                 request.inbox.put(Delivery(host, reply))
 
--- a/tests/process/test_versions.py
+++ b/tests/process/test_versions.py
@@ -234,7 +234,7 @@
         assert backoff.next_delay() <= 500
 
 
-class StaleReader:
+class FakeReader:
     """A reader of a platform that answers every watch at once, with ``results`` in order."""
 
     def __init__(self, *results) -> None:
@@ -251,7 +251,7 @@
         timeline = Timeline(HostId("h1"), ManualClock())
         role = WatchRole(timeline)
         role.update(True)
-        reader = StaleReader(*results)
+        reader = FakeReader(*results)
         watch = KeyWatch(
             "k", reader, timeline, lambda v: received.append(v.revision), role, ManualClock()
         )
