--- a/src/masticgate/process/__init__.py
+++ b/src/masticgate/process/__init__.py
@@ -1,6 +1,6 @@
 """Everything that lives as long as the process: members, queues, tickets, metrics, settings.
 
-The public names of this package open no sockets. An entry host, which does, is built by
+The public names of this package open no sockets. An entry host, which does, is in
 :mod:`masticgate.process.server`.
 """
 
--- a/src/masticgate/process/_member_rules.py
+++ b/src/masticgate/process/_member_rules.py
@@ -40,19 +40,19 @@
 
     The later incarnation (run of the host's process) wins. Within one incarnation, leaving wins
     over every other state; then the higher counter wins, which the host itself raises to refute
-    that it is suspect or dead; then the worse state. The order is total, so hosts that receive
-    the same updates end with the same entry, in whatever order the updates arrive.
+    that it is suspect or dead; then the worse state. Hosts that receive the same updates thus
+    end with the same incarnation, state and counter, in whatever order the updates arrive.
     """
     return _precedence(new) > _precedence(known)
 
 
 def needs_correction(received: Member, known: Member) -> bool:
-    """Return whether the difference between ``received`` and ``known`` affects routing."""
+    """Return whether two entries of a host differ in the incarnation or in :func:`is_usable`."""
     return received.incarnation != known.incarnation or is_usable(received) != is_usable(known)
 
 
 def choose_neighbours(own: Member, others: Iterable[Member]) -> list[Member]:
-    """Return the hosts that ``own`` monitors, all of ``others`` if they are few."""
+    """Return those of ``others`` that ``own`` monitors: all if at most ``NEAR_NEIGHBOURS``."""
     start = _position(own.host)
     ring = sorted(others, key=lambda member: (_position(member.host) - start) % RING_SIZE)
     rest = ring[NEAR_NEIGHBOURS:]
--- a/src/masticgate/process/_members.py
+++ b/src/masticgate/process/_members.py
@@ -26,7 +26,7 @@
 """With ``n`` known hosts, an update is sent ``RETRANSMIT_FACTOR * ceil(log2(n + 1))`` times."""
 
 MAX_UPDATES_PER_MESSAGE = 20
-"""The most membership updates that one message carries."""
+"""The most updates that :meth:`Members.next_updates` returns for one message."""
 
 DEPARTED_MEMBER_TTL = Millis(7_200_000.0)
 """A host that is leaving or dead stays in the table for this long after its last change.
@@ -131,7 +131,8 @@
     def compare_digest(self, peer_digest: Sequence[int]) -> tuple[tuple[Member, ...], bool]:
         """Return the entries to send to a host with ``peer_digest``, and whether it differs.
 
-        The entries are those of the differing buckets, tombstones included.
+        It is compared with this host's digest. The entries are those of the differing buckets,
+        tombstones included.
         """
         with self.lock:
             differing = differing_buckets(self.digest, peer_digest)
--- a/src/masticgate/process/_messages.py
+++ b/src/masticgate/process/_messages.py
@@ -69,7 +69,7 @@
 
 @dataclass(frozen=True, slots=True)
 class HeartbeatReply:
-    """Answers a heartbeat; carries the membership updates that the heartbeat's sender lacks.
+    """Answers a heartbeat; carries the membership updates that the heartbeat's sender may lack.
 
     The fields mean the same as those of :class:`Heartbeat`.
     """
@@ -112,6 +112,9 @@
 
 @dataclass(frozen=True, slots=True)
 class Pressure:
-    """Reports to an entry host the pressure of the services that the sender owns."""
+    """Reports to an entry host the pressure of the sender's services.
+
+    Services that can take all queries are left out.
+    """
 
     services: tuple[ServicePressure, ...]
--- a/src/masticgate/process/_owner.py
+++ b/src/masticgate/process/_owner.py
@@ -79,7 +79,7 @@
         self._submit(work)
 
     def cancel(self, cancel: Cancel) -> None:
-        """Cancel the work that is queued or in flight for a query."""
+        """Cancel the work of a query; a booking that was sent to a searcher continues."""
         for pool in self.pools.list_pools():
             pool.cancel(cancel.query)
 
--- a/src/masticgate/process/_policy.py
+++ b/src/masticgate/process/_policy.py
@@ -51,8 +51,8 @@
 class Hedge:
     """A slow attempt is hedged: another searcher is asked too, and the first answer is used.
 
-    ``budget`` is the number of hedges and retries allowed per first attempt, and
-    ``minimum_delay`` the least age at which an attempt is hedged.
+    A hedge spends one token, and so do most retries. ``budget`` is how many tokens each first
+    attempt earns, and ``minimum_delay`` the least age at which an attempt is hedged.
     """
 
     budget: float = 0.048
--- a/src/masticgate/process/_pools.py
+++ b/src/masticgate/process/_pools.py
@@ -69,7 +69,7 @@
         """Close the pools that are no longer needed.
 
         These are pools of services that are no longer configured or whose department is leaving,
-        and idle pools of services that this host does not own.
+        and idle pools of services that are not in ``owned``.
         """
         now = self.clock.now()
         with self.lock:
@@ -81,7 +81,7 @@
                     self._close(name)
 
     def stop(self) -> None:
-        """Close every pool; queued work is settled as not run."""
+        """Close every pool, which settles the queued work."""
         with self.lock:
             for name in list(self.pools):
                 self._close(name)
--- a/src/masticgate/process/_repeat_budget.py
+++ b/src/masticgate/process/_repeat_budget.py
@@ -7,9 +7,9 @@
 from threading import Lock
 
 EARNED_PER_PART = 0.005
-"""What the budget earns for each part of a search that is sent to an owner.
+"""What the budget earns for each part of a search that is sent to an owner, in parts.
 
-A part of a search is what one service answers of it.
+Each part of a search is answered by one service.
 """
 
 MAX_PARTS = 64.0
--- a/src/masticgate/process/_reply_router.py
+++ b/src/masticgate/process/_reply_router.py
@@ -67,7 +67,10 @@
             self.on_late_outcome(reply.query, reply.outcome)
 
     def fail_pending(self, host: HostId) -> None:
-        """Put a failed reply into every inbox that waits for ``host``, which is lost."""
+        """Put a failed reply into the inbox of each request to ``host``, whose link is lost.
+
+        Requests that ``host`` has answered get one too, and ignore it.
+        """
         with self.lock:
             requests = [hosts[host] for hosts in self.pending.values() if host in hosts]
         failure = Unknown(Reason.OWNER_LOST, Step.FORWARD, peer=host)
--- a/src/masticgate/process/_searcher_health.py
+++ b/src/masticgate/process/_searcher_health.py
@@ -159,9 +159,9 @@
     def cost(self, now: Millis) -> tuple[float, int]:
         """Return the sort key for the choice among searchers, the lowest first.
 
-        The requests in flight and the latency seen here decide; a searcher to probe, or without a
-        recent latency, comes first. The load that the searcher reports only breaks a tie, since it
-        may be wrong.
+        The requests in flight per slot and the latency seen here decide; a searcher to probe, or
+        without a recent latency, comes first. The load that the searcher reports only breaks a
+        tie, since it may be wrong.
         """
         probe = self.state is SearcherState.EJECTED
         stale = self.in_flight == 0 and now - self.last_success_at > LATENCY_TTL
--- a/src/masticgate/process/_service_load.py
+++ b/src/masticgate/process/_service_load.py
@@ -154,7 +154,7 @@
             self.limited_at = sample.now
 
     def _scale_to_slots(self, slots: int) -> None:
-        """Scale the admitted rate at once when a searcher is lost or comes back."""
+        """Scale the admitted rate at once when the slots change, as when a searcher is lost."""
         if self.admitted_rate is not None and slots and self.slots and slots != self.slots:
             self.admitted_rate *= slots / self.slots
         self.slots = slots or self.slots
@@ -190,9 +190,9 @@
 ) -> dict[Rank, float]:
     """Return the share of each rank's demand that ``capacity`` can take, from 0 to 1.
 
-    Each rank gets the capacity that the more urgent ranks leave, but at least its floor, which is
-    a share of the capacity, and at most its demand. ``capacity`` and ``demand`` are rates in the
-    same unit.
+    Each rank gets the capacity that the more urgent ranks and the floors of the less urgent ones
+    leave, but at least its own floor, which is a share of the capacity, and at most its demand.
+    ``capacity`` and ``demand`` are rates in the same unit.
     """
     guaranteed = {rank: min(demand[rank], floors.get(rank, 0.0) * capacity) for rank in Rank}
     remaining = capacity
--- a/src/masticgate/process/_service_pool.py
+++ b/src/masticgate/process/_service_pool.py
@@ -194,8 +194,8 @@
         """Return whether ``attempt`` is still wanted and its deadline has not passed.
 
         Call it just before the first byte is sent. The deadline is checked again here, because the
-        process may have been paused after the dispatch. ``abort`` cancels the call: it may be
-        called from another task until :meth:`finish` is called, and must not block.
+        process may have been paused after the dispatch. ``abort`` aborts the call to the searcher.
+        Other tasks may call it until :meth:`finish` is called, so it must not block.
         """
         with self.lock:
             attempt.abort = abort
--- a/src/masticgate/process/_settings.py
+++ b/src/masticgate/process/_settings.py
@@ -14,7 +14,7 @@
 
 
 class SeedSettings(StrictModel):
-    """Another entry host, to which this host connects when it starts."""
+    """An entry host to which the other hosts connect when they start."""
 
     host: Name
     address: AddressText
--- a/src/masticgate/process/_tickets.py
+++ b/src/masticgate/process/_tickets.py
@@ -17,7 +17,10 @@
 from ..request import Attempt, Booking, BookingOutcome, Ran
 
 TICKET_LIFETIME = Millis(120_000.0)
-"""How long after its issue a ticket may start an attempt; its outcome is kept twice as long."""
+"""How long after its issue a ticket may start an attempt.
+
+The outcome is kept at least twice as long.
+"""
 
 MAX_TICKETS = 50_000
 """The maximum number of tickets that are kept; more are refused as overload."""
@@ -49,10 +52,11 @@
 class _Record:
     """The state of one ticket.
 
-    ``outcome`` is the outcome of the latest attempt, ``content`` the service and the payload of
-    the booking, and ``query`` the request that started the latest attempt. ``late_outcome`` is an
-    outcome that the owner sent after that request stopped waiting, but before the request recorded
-    its own. ``requests`` maps each request that started or joined an attempt to its outcome.
+    ``outcome`` is the outcome of the latest attempt, or of the next one if that did not run.
+    ``content`` is the service and the payload of the booking, and ``query`` the request that
+    started the latest attempt. ``late_outcome`` is an outcome that the owner sent after that
+    request stopped waiting, but before the request recorded its own. ``requests`` maps each
+    request that started or joined an attempt to its outcome.
     """
 
     expires_at: Millis
@@ -113,8 +117,8 @@
     def begin(self, booking: Booking) -> "Attempt | Future[BookingOutcome] | NotRun | Unknown":
         """Start or join the attempt of a booking, or return why neither is possible.
 
-        Return the new attempt, or the future outcome of one that is running or has run. A request
-        that is repeated gets the outcome of its first copy.
+        Return the new attempt, or the future outcome of one that is running or may have run. A
+        request that is repeated gets the outcome of its first copy.
         """
         with self.lock:
             record = self.records.get(booking.ticket)
--- a/src/masticgate/process/_versions.py
+++ b/src/masticgate/process/_versions.py
@@ -54,7 +54,7 @@
     """The changes are relative to a revision other than the one that this host has accepted."""
 
     OTHER_TEXT = "other_text"
-    """At the revision that the changes are relative to, this host's text isn't the sender's."""
+    """The changes don't turn this host's text into the sender's, or a section is invalid."""
 
 
 class VersionStore:
--- a/src/masticgate/process/_work.py
+++ b/src/masticgate/process/_work.py
@@ -99,7 +99,7 @@
     """One attempt to run an entry's work at one searcher.
 
     ``hedge`` marks a second attempt that was made while a slow first one was in flight. ``abort``
-    cancels the call from another task; the connection task sets it before it sends.
+    aborts the call to the searcher from another task; the connection task sets it before it sends.
     ``incarnation`` identifies the run of the searcher that refused the work, empty if unknown.
     """
 
@@ -117,7 +117,7 @@
         return self.health.searcher.id
 
     def cancel(self, state: AttemptState) -> None:
-        """Mark the attempt as unwanted, and abort its call if that was started."""
+        """Mark the attempt as unwanted, and abort its call to the searcher if that was started."""
         self.state = state
         if self.abort is not None:
             self.abort()
