--- a/bench/process/_control_fleet.py
+++ b/bench/process/_control_fleet.py
@@ -24,7 +24,7 @@
 """The length of the window in which the use is measured."""
 
 SETTLE_SECONDS = 5.0
-"""The wait before the window, in which the hosts start and connect."""
+"""The wait after the hosts have started, and again after the load has."""
 
 BUSY_RATES = {"urgent": 2.0, "standard": 14.0, "bulk": 4.0}
 """Queries a second to the whole fleet by rank; each fans out to 20 services."""
--- a/bench/process/slopes.py
+++ b/bench/process/slopes.py
@@ -156,7 +156,7 @@
 
 
 def conditions() -> dict[str, Any]:
-    """Return when and on which machine the figures were measured."""
+    """Return the time, the processors, the Python version and the load of the machine."""
     return {
         "date": datetime.now(UTC).strftime("%Y-%m-%d %H:%M"),
         "processors": os.cpu_count(),
--- a/tests/process/test_owner_faults.py
+++ b/tests/process/test_owner_faults.py
@@ -98,7 +98,7 @@
     def test_holds_while_text_changes_under_load(self):
         """Guard against connections beyond the owner's share when a new text changes the pool.
 
-        The hosts share the connections that a searcher allows; this only host may open all 3.
+        The hosts share the connections that a searcher allows; a host that is alone may open all 3.
         """
         text = SMALL.replace('"connections": 25', '"connections": 3')
         with Fleet(text, hosts=1, behaviour={"service_ms": 30.0}) as fleet, Load(fleet, [0]):
--- a/tests/process/test_recovery.py
+++ b/tests/process/test_recovery.py
@@ -11,7 +11,7 @@
 from tests.texts import SMALL
 
 SETTLE_SECONDS = 15.0
-"""The longest time until the hosts agree again after a fault."""
+"""The longest time until the hosts agree again after a fault, or until one has stopped."""
 
 
 @pytest.fixture(scope="class")
--- a/tests/process/test_soak.py
+++ b/tests/process/test_soak.py
@@ -19,6 +19,7 @@
 HOSTS = 4
 WORKERS = 4
 SCOPE = ("desk/1", "ledger/1")
+"""The services that a search in ``desk/1`` needs."""
 
 
 @dataclass
@@ -93,7 +94,7 @@
 
 
 def check_bookings(fleet, records):
-    """Check that each ticket's booking ran at most once, and that its outcomes agree."""
+    """Check that each booking ran at most once, and that the outcomes agree with the logs."""
     runs = defaultdict(int)
     for searcher in fleet.searcher_reports().values():
         for booking in searcher["bookings"]:
