--- a/tests/process/test_owner_faults.py
+++ b/tests/process/test_owner_faults.py
@@ -132,7 +132,7 @@
 
 
 class TestBookingOnClosedConnection:
-    def test_is_unknown_and_ran_once_if_searcher_closes_a_reused_connection(self, fleet):
+    def test_is_unknown_and_ran_once_if_searcher_closes_connection_without_response(self, fleet):
         """Guard against resending a booking when a reused connection ends without a response.
 
         An HTTP client may take that as an idle connection that timed out, and send the request
