--- a/bench/process/_events.py
+++ b/bench/process/_events.py
@@ -21,7 +21,7 @@
 
 @dataclass(frozen=True)
 class LoseSearcher:
-    """One searcher that the wide search needs refuses connections from now on."""
+    """One searcher that the wide search needs refuses connections and answers no more requests."""
 
 
 @dataclass(frozen=True)
--- a/tests/process/test_owner_faults.py
+++ b/tests/process/test_owner_faults.py
@@ -133,10 +133,10 @@
 
 class TestBookingOnClosedConnection:
     def test_is_unknown_and_ran_once_if_searcher_closes_connection_without_response(self, fleet):
-        """Guard against resending a booking when a reused connection ends without a response.
+        """Guard against resending a booking whose connection ends without a response.
 
-        An HTTP client may take that as an idle connection that timed out, and send the request
-        again, although the searcher has run it.
+        On a reused connection, an HTTP client may take that as an idle connection that timed out,
+        and send the request again, although the searcher has run it.
         """
         first = fleet.book(0, fleet.mint(0), "orders")
         assert first.body["outcome"] == "ran"
