--- a/src/masticgate/process/_timeline.py
+++ b/src/masticgate/process/_timeline.py
@@ -46,10 +46,10 @@
 class Event:
     """One change of state of one host.
 
-    ``sequence`` numbers the events of one run of a host from 1, and ``wall`` is the time of its wall
-    clock. ``subject`` names what changed, such as a host, a service or a searcher. ``seen`` maps
-    each other host to the highest sequence that it had reported to this host before the event; it
-    orders the events of hosts whose clocks differ.
+    ``sequence`` numbers the events of one run of a host from 1, and ``wall`` is the time of the
+    host's wall clock. ``subject`` names what changed, such as a host, a service or a searcher.
+    ``seen`` maps each other host to the highest sequence that it had reported to this host before
+    the event; it orders the events of hosts whose clocks differ.
     """
 
     host: HostId
