--- a/tests/process/test_owner_faults.py
+++ b/tests/process/test_owner_faults.py
@@ -98,7 +98,7 @@
     def test_holds_while_text_changes_under_load(self):
         """Guard against connections beyond the owner's share when a new text changes the pool.
 
-        The hosts share the connections that a searcher allows; this only host may open all 3.
+        The hosts share the connections that a searcher allows; a host that is alone may open all 3.
         """
         text = SMALL.replace('"connections": 25', '"connections": 3')
         with Fleet(text, hosts=1, behaviour={"service_ms": 30.0}) as fleet, Load(fleet, [0]):
@@ -132,11 +132,11 @@
 
 
 class TestBookingOnClosedConnection:
-    def test_is_unknown_and_ran_once_if_searcher_closes_a_reused_connection(self, fleet):
-        """Guard against resending a booking when a reused connection ends without a response.
+    def test_is_unknown_and_ran_once_if_searcher_closes_connection_without_response(self, fleet):
+        """Guard against resending a booking whose connection ends without a response.
 
-        An HTTP client may take that as an idle connection that timed out, and send the request
-        again, although the searcher has run it.
+        On a reused connection, an HTTP client may take that as an idle connection that timed out,
+        and send the request again, although the searcher has run it.
         """
         first = fleet.book(0, fleet.mint(0), "orders")
         assert first.body["outcome"] == "ran"
