--- a/tests/gateway/test_irregular_responses.py
+++ b/tests/gateway/test_irregular_responses.py
@@ -104,7 +104,7 @@
         running_task.close()
         assert running_task.handler.violations == [UnrequestedBytes(len(b"nobody asked"))]
 
-    def test_answer_without_length_is_recorded_as_ended_by_close(self):
+    def test_response_without_length_is_recorded_as_ended_by_close(self):
         running_task = RunningTask()
         running_task.run_call("q1", RESPONSE_WITHOUT_LENGTH % b"q1")
         running_task.close()
@@ -131,7 +131,7 @@
 
 
 class TestRequestLogLine:
-    def test_describes_irregular_receive_of_a_query(self):
+    def test_detail_of_merged_reply_describes_irregular_answers(self):
         irregular = ReceiveInfo(ConnectionNumber(3), BodyFraming.CLOSE, 0)
         answer = Answered(SearcherId("s1"), 200, (), b"", "s", Millis(1.0), irregular)
         merged = Merged(("s",), 0, b"", (), (f"{answer.searcher}: {answer.receive_info}",))
