--- a/bench/process/_capacity_page.py
+++ b/bench/process/_capacity_page.py
@@ -19,7 +19,7 @@
 
 PAGE = ROOT / "docs" / "CAPACITY.md"
 TABLE = re.compile(r"<!-- table: (?P<name>[a-z -]+) -->\n.*?<!-- end -->", re.DOTALL)
-"""Matches the place of one table in the page, with the table that is there now."""
+"""Matches one table of the page and the comments that mark its start and its end."""
 
 
 def tables(slopes: Slopes) -> dict[str, str]:
@@ -52,7 +52,7 @@
 
 
 def slope_table(slopes: Slopes) -> str:
-    """Return the table of the measured costs, each with its straight line and how well it fits."""
+    """Return the table of the measured costs, each with the line fitted to it and its r²."""
     rows = []
     for line in slopes.figures["slopes"].values():
         unit = {"us": "µs", "bytes": "B"}[line["unit"]]
--- a/bench/process/_comparison.py
+++ b/bench/process/_comparison.py
@@ -13,7 +13,12 @@
 class Row:
     """The figures of one rank in one scenario on one deployment, for both routings.
 
-    A figure is ``None`` if that routing was not run.
+    ``p99`` and ``whole`` are ``capped_p99`` (in milliseconds) and ``whole`` of ``RankFigures``.
+    ``kept`` is the finished work of all ranks in a flood, divided by what the same routing finished
+    at saturation.
+
+    A figure is ``None`` if that routing was not run. ``kept`` is also ``None`` in scenarios without
+    a flood, and if the scenario at saturation was not run.
     """
 
     deployment: str
@@ -24,11 +29,6 @@
     whole_new: float | None
     whole_naive: float | None
     kept_new: float | None
-    """In a flood, the finished work divided by what the same routing finished at saturation.
-
-    It is ``None`` in other scenarios, and if the scenario at saturation was not run.
-    """
-
     kept_naive: float | None
 
 
--- a/bench/process/_control_fleet.py
+++ b/bench/process/_control_fleet.py
@@ -34,9 +34,11 @@
 class HostUse:
     """What one host used per second, averaged over its fleet.
 
-    CPU is in seconds per second, that is in cores, and ``control_sent``, ``work_sent`` and
-    ``sent_by_kind`` in bytes per second. ``resident`` is the memory in bytes and ``threads`` the
-    number of threads at the end. ``by_kind`` gives the CPU by kind of message or task.
+    CPU is in seconds per second, that is in cores; ``by_kind`` gives it by kind of message or task,
+    and ``all_cpu`` is that of the whole process. ``control_sent`` and ``work_sent`` are the bytes
+    per second of the messages for control work and of those for requests; ``sent_by_kind`` gives
+    them by kind of message. ``resident`` is the memory in bytes and ``threads`` the number of
+    threads at the end.
     """
 
     hosts: int
--- a/src/masticgate/connection/_frames.py
+++ b/src/masticgate/connection/_frames.py
@@ -126,7 +126,7 @@
 def decode_message(data: bytes) -> Message:
     """Return the message that is encoded in ``data``.
 
-    :raises BadFrameError: the data is not a valid frame, or a value in it is not allowed.
+    :raises BadFrameError: ``data`` is not a valid ``Frame`` struct, or a value is not allowed.
     """
     try:
         with SCHEMA.Frame.from_bytes(data) as frame:
--- a/src/masticgate/process/_rank_queue.py
+++ b/src/masticgate/process/_rank_queue.py
@@ -1,7 +1,8 @@
-"""The order in which a service's queued work is served: urgent first, with floors for the rest.
+"""The queue of one service's work, which is served by rank or by arrival as the policy says.
 
-The rank of work is its urgency: urgent, standard or bulk. The floor of a rank is the share of the
-served work that it gets even when more urgent work is queued.
+The rank of work is its urgency: urgent, standard or bulk. By rank, urgent work is served first, and
+the floor of a lower rank is the share of the served work that it gets even when more urgent work is
+queued.
 """
 
 from collections.abc import Iterator, Mapping
@@ -50,9 +51,9 @@
         return len(self.by_arrival[rank])
 
     def oldest_wait(self, rank: Rank, now: Millis) -> Millis:
-        """Return how long ago the first queued entry of ``rank`` arrived, 0 if there is none.
+        """Return how long ago the entry at the head of ``rank`` arrived, 0 if there is none.
 
-        A retried entry is queued last, but keeps the time at which it arrived at first.
+        A retried entry is queued last but keeps its time of arrival, so it may be older.
         """
         oldest = next(iter(self.by_arrival[rank].values()), None)
         return Millis(now - oldest.queued_at) if oldest else Millis(0.0)
--- a/src/masticgate/process/_settings.py
+++ b/src/masticgate/process/_settings.py
@@ -1,4 +1,4 @@
-"""The settings of an entry host's process: JSON with comments, validated by type."""
+"""The settings of an entry host's process: JSON with comments, validated by type and range."""
 
 from dataclasses import dataclass
 from pathlib import Path
@@ -22,10 +22,10 @@
 
 
 class PlatformSettings(StrictModel):
-    """The addresses of the platform's two services, and the keys that hosts watch there.
+    """The addresses of the platform's two services, and two keys of the configuration service.
 
     ``configuration`` is the address of the configuration service, and ``hosts`` that of the host
-    list.
+    list. ``text_key`` holds the configuration text, and ``snapshots_key`` the snapshot catalogue.
     """
 
     configuration: AddressText
@@ -47,9 +47,10 @@
     """All settings of an entry host.
 
     Peers connect to ``peer_address``. The host listens there, or on ``peer_listen_address`` if
-    that is set. ``caller_timeout_ms`` bounds each wait for a caller to send or accept bytes, and
-    ``shutdown_ms`` the wait for requests in progress when the host stops. ``routing`` is ``naive``
-    only to compare the ordinary policy with a simple one.
+    that is set. Connections of callers beyond ``max_callers`` are refused. ``caller_timeout_ms``
+    bounds each wait for a caller to send or accept bytes, and ``shutdown_ms`` the wait for requests
+    in progress when the host stops. ``routing`` is ``naive`` only to compare the ordinary policy
+    with a simple one.
     """
 
     host: Name
@@ -74,7 +75,7 @@
 
 @dataclass(frozen=True, slots=True)
 class InvalidSettings:
-    """The problems found in invalid settings; the process doesn't start with these."""
+    """The problems found in settings; a process with invalid settings does not start."""
 
     problems: tuple[str, ...]
 
--- a/src/masticgate/request/gateway/_attempts.py
+++ b/src/masticgate/request/gateway/_attempts.py
@@ -89,9 +89,9 @@
         return self._send(None)
 
     def send_hedge(self) -> bool:
-        """Send a hedge to another searcher, if the route's limit and the budget allow it.
+        """Send a hedge, if the deadline, the route's limit and the budget allow it.
 
-        Only the first call may send one. Return whether it was sent.
+        Return whether it was sent. Only one hedge is tried; later calls return ``False``.
         """
         if self.hedged:
             return False
@@ -119,7 +119,7 @@
         return True
 
     def retry(self) -> bool:
-        """Send a retry after a failure, if the route's limit and the budget allow it.
+        """Send a retry after a failure, if the deadline, the route's limit and the budget allow it.
 
         Return whether it was sent.
         """
@@ -131,7 +131,7 @@
         return replace(self.failure, detail=detail)
 
     def describe_attempts(self) -> str:
-        """Return the number of attempts, and why a repeat was refused, if one was."""
+        """Return the number of attempts, and why a repeat was last refused, if one was."""
         if self.repeat_failure is None:
             return f"attempts: {self.attempt_count}"
         return f"attempts: {self.attempt_count}, repeat {describe_failure(self.repeat_failure)}"
--- a/src/masticgate/version/_snapshot.py
+++ b/src/masticgate/version/_snapshot.py
@@ -61,9 +61,9 @@
         unavailable: Mapping[ServiceId, frozenset[SnapshotVersion]],
         tried: frozenset[SnapshotVersion],
     ) -> Snapshot | None:
-        """Return the newest snapshot not in ``tried`` that no service is known to lack.
+        """Return the newest snapshot not in ``tried`` that none of ``services`` is known to lack.
 
-        ``unavailable`` maps each service to the versions that its searchers are known not to hold.
+        ``unavailable`` maps services to the versions that their searchers are known not to hold.
         If every untried snapshot is unavailable at one of ``services``, return the newest untried
         one. Return ``None`` if all were tried.
         """
--- a/src/masticgate/version/gateway/_routes.py
+++ b/src/masticgate/version/gateway/_routes.py
@@ -40,8 +40,9 @@
 class Shards:
     """Sends every request of a route to all services and merges their answers.
 
-    Each service is one shard. The merged answer holds the greatest ``top`` records. The request
-    fails if the share of the shards that answer, from 0 to 1, is below ``min_shard_ratio``.
+    Each service is one shard. An answer consists of records of a fixed length; the merged answer
+    holds the greatest ``top`` of them, compared byte by byte. The request fails if the share of the
+    shards that answer, from 0 to 1, is below ``min_shard_ratio``, or if none answers.
     """
 
     services: tuple[ServiceId, ...]
--- a/tests/gateway/test_irregular_responses.py
+++ b/tests/gateway/test_irregular_responses.py
@@ -1,4 +1,7 @@
-"""Tests that connections report bytes that belong to none of their calls."""
+"""Tests of irregular responses of searchers.
+
+They belong to none of a connection's calls, state no length, or make its task fail.
+"""
 
 import json
 import threading
--- a/tests/standins/__main__.py
+++ b/tests/standins/__main__.py
@@ -1,6 +1,6 @@
-"""Runs the stand-ins that a plan describes: ``python -m tests.standins PLAN.json``.
+"""Runs stand-ins for the platform or for searchers: ``python -m tests.standins PLAN.json``.
 
-A plan describes either the platform or several searchers. ``Fleet`` writes the plans.
+The plan describes either the platform or several searchers. ``Fleet`` writes the plans.
 """
 
 import json
@@ -15,7 +15,7 @@
 
 
 async def run(plan: dict[str, Any]) -> None:
-    """Serve the stand-ins of ``plan`` until the process is ended."""
+    """Serve the platform or the searchers of ``plan``; neither of the two calls returns."""
     if "platform" in plan:
         await serve_platform(Platform(), plan["platform"], plan["control"])
     searchers = {
