--- a/src/masticgate/process/_booking_log.py
+++ b/src/masticgate/process/_booking_log.py
@@ -11,7 +11,7 @@
 from .._ids import Millis, TicketId
 
 ATTEMPT_TTL = Millis(300_000.0)
-"""How long an attempt is kept; the outcome of a ticket is kept for a shorter time."""
+"""How long an attempt is kept; the outcome of a ticket need not be kept for this long."""
 
 MAX_ATTEMPTS = 100_000
 """If this many attempts are kept, the oldest are removed before they expire."""
--- a/src/masticgate/process/_repeat_budget.py
+++ b/src/masticgate/process/_repeat_budget.py
@@ -1,7 +1,7 @@
-"""The budget for the parts of searches that a host repeats while their owner is silent.
+"""The budget for sending parts of searches to another owner while their first owner is silent.
 
-The owner of a service is the host that queues its work. A repeat is sent to another host, while
-the silent owner may be slow or paused rather than lost.
+The owner of a service is the host that queues its work. It is silent if it has no link, or has left
+a heartbeat unanswered for too long; it may be slow or paused rather than lost.
 """
 
 from threading import Lock
@@ -17,7 +17,7 @@
 
 
 class RepeatBudget:
-    """Limits the extra load of repeats, since many silent owners answer after all."""
+    """Limits the extra load of parts that are sent again, since many silent owners do answer."""
 
     def __init__(self) -> None:
         self.lock = Lock()
--- a/src/masticgate/process/_searcher_health.py
+++ b/src/masticgate/process/_searcher_health.py
@@ -137,7 +137,7 @@
         return True
 
     def record_closed_connection(self) -> bool:
-        """Record that a connection closed; return whether it has to be opened again."""
+        """Record that a closing connection closed; return whether it has to be opened again."""
         self.closing_connections -= 1
         if self.open_connections - self.closing_connections <= self.connections:
             return True
--- a/src/masticgate/process/_service_pool.py
+++ b/src/masticgate/process/_service_pool.py
@@ -229,7 +229,7 @@
             self.dispatch()
 
     def record_closed_connection(self, searcher: Searcher) -> bool:
-        """Record that a connection closed; return whether it has to be opened again."""
+        """Record that a closing connection closed; return whether it has to be opened again."""
         with self.lock:
             wanted = self.searchers.find(searcher).record_closed_connection()
             self.searchers.remove_closed()
--- a/tests/gateway/soak.py
+++ b/tests/gateway/soak.py
@@ -167,8 +167,7 @@
     ``fault_rate`` raises the rates of refusals, lost responses and response faults.
     ``extra_delay_s`` is the delay of each run in addition to 2 ms. ``runs`` lists each request that
     was run, by its id and the time, and ``lost_requests`` the ids of requests whose response was
-    lost.
-    ``drain_started_at`` is when the searcher was listed as draining, if it was.
+    lost. ``drain_started_at`` is when the searcher was listed as draining, if it was.
     """
 
     def __init__(self, identity: str, service: str, rng: random.Random) -> None:
