--- a/bench/process/_slope.py
+++ b/bench/process/_slope.py
@@ -40,7 +40,7 @@
         return asdict(self) | {"slope": slope, "start": start, "r2": self.fit}
 
     def describe(self) -> str:
-        """Return a line of text with the line and the measured points."""
+        """Return the name, the fitted line and the measured points as one line of text."""
         slope, start = self.line
         points = ", ".join(f"{s:g}: {v:.4g}" for s, v in zip(self.sizes, self.values, strict=True))
         line = f"{slope:.4g} {self.unit} a {self.per} + {start:.4g}, r2 {self.fit:.3f}"
--- a/bench/process/load.py
+++ b/bench/process/load.py
@@ -17,9 +17,9 @@
 from bench.request import Arrival, Result, draw_arrivals
 
 CONNECTIONS_PER_HOST = 100
-"""The callers' connections of each load process to each host.
+"""The number of callers for each host in each load process; each has one connection.
 
-Those of all load processes together are fewer than a host accepts.
+While no host refuses connections, all load processes together open fewer to a host than it accepts.
 """
 
 
@@ -39,7 +39,7 @@
 
 
 def make_callers(plan: dict[str, Any]) -> list[Caller]:
-    """Return the callers for every host; each host has its own arrivals."""
+    """Return the callers for every host; those of one host share its arrivals."""
     addresses: list[str] = plan["addresses"]
     rates = {rank: rate / len(addresses) for rank, rate in plan["rates"].items()}
     callers: list[Caller] = []
--- a/model/request/answer.py
+++ b/model/request/answer.py
@@ -1,8 +1,8 @@
-"""Specification of one search over two services, which may restart on another snapshot.
+"""Specification of one search over two services; the search may restart on another snapshot.
 
-Each attempt searches one snapshot of the index, which has the attempt's number. A reply names its
-attempt, its service and its snapshot. It stays in transit, so that it may arrive late, any number
-of times or never. Each service has one shard of weight one.
+Attempt 1 searches snapshot 1 of the index, and attempt 2 snapshot 2. A reply names its attempt, its
+service and its snapshot. It stays in transit, so that it may arrive late, any number of times or
+never. Each service has one shard of weight one.
 """
 
 from z3 import And, BoolSort, If, Implies, IntSort, Not, Or, Sum
--- a/src/masticgate/connection/_platform.py
+++ b/src/masticgate/connection/_platform.py
@@ -73,7 +73,7 @@
         self.hosts = HttpConnection(hosts)
 
     def read(self, key: str) -> Value | Unchanged | Unknown:
-        """Return the current value of ``key``, or a failure."""
+        """Return the current value of ``key``, :class:`Unchanged` if it has none, or a failure."""
         return self._get(f"/v1/values/{quote(key, safe='')}", READ_TIMEOUT)
 
     def watch(self, key: str, after: Revision, wait: Millis) -> Value | Unchanged | Unknown:
--- a/src/masticgate/connection/gateway/_searcher_task.py
+++ b/src/masticgate/connection/gateway/_searcher_task.py
@@ -105,7 +105,8 @@
 
     ``initial_call`` is the call that the connection is opened for, if any. ``number`` identifies
     the connection in log lines. ``skipped`` counts the responses that were skipped since the
-    last answered call. The handler sets ``idle_since``; it reads ``idle_since`` and
+    last answered call. ``started_at`` is when the latest call began; ``initial_call`` begins with
+    the opening of the connection. The handler sets ``idle_since``; it reads ``idle_since`` and
     ``keep_alive_timeout`` only while the connection is idle.
     """
 
--- a/src/masticgate/platform/_configuration.py
+++ b/src/masticgate/platform/_configuration.py
@@ -28,6 +28,8 @@
 def decode_configuration(value: object) -> RouteTable:
     """Return the configuration that the decoded JSON ``value`` describes.
 
+    A route whose ``type`` is unknown counts as not idempotent.
+
     :raises FieldError: a field is missing or has an invalid value.
     """
     fields = Fields.of("config", value)
--- a/src/masticgate/platform/_serve.py
+++ b/src/masticgate/platform/_serve.py
@@ -59,7 +59,10 @@
     metrics_port: int | None,
     signals: SimpleQueue[int],
 ) -> None:
-    """Reload changed settings on SIGHUP and regularly, until a signal to stop arrives."""
+    """Reload changed settings on SIGHUP and regularly, until a signal to stop arrives.
+
+    A settings file that is invalid or cannot be read is ignored.
+    """
     while True:
         try:
             received = signals.get(timeout=RELOAD_INTERVAL_S)
--- a/src/masticgate/process/_timeline_merge.py
+++ b/src/masticgate/process/_timeline_merge.py
@@ -11,7 +11,8 @@
     """Return ``events`` in one order that agrees with each host's own order and with causality.
 
     An event follows all events that its host knew of from messages when the event happened. Among
-    the events that may come next, the one with the earliest wall clock comes first.
+    the events that may come next, the one with the earliest wall clock comes first. If each host's
+    next event waits for another one, the earliest of them comes first.
     """
     unmerged: dict[HostId, list[Event]] = {}
     for event in sorted(events, key=lambda e: e.sequence, reverse=True):
--- a/src/masticgate/process/gateway/_repeat_budgets.py
+++ b/src/masticgate/process/gateway/_repeat_budgets.py
@@ -10,7 +10,7 @@
 class RepeatBudgets:
     """One sliding window of requests and repeats for each service.
 
-    A repeat is a hedge or a retry. The fleet's lock guards the windows.
+    A repeat is a hedge or a retry. The lock of ``Fleet`` guards the windows.
     """
 
     def __init__(self, bounds: RepeatBounds, shares: GatewayShares, started_at: Millis) -> None:
--- a/src/masticgate/process/gateway/_repeat_window.py
+++ b/src/masticgate/process/gateway/_repeat_window.py
@@ -10,11 +10,15 @@
 
 
 class RepeatWindow:
-    """Counts the requests and the repeats of the last window; the fleet's lock guards it.
+    """Counts the requests and the repeats of the last window; the lock of ``Fleet`` guards it.
 
-    A repeat is a hedge or a retry. At most ``ratio`` of the requests plus ``slack`` may be
-    repeated; both are this gateway's share. A gateway that has just started does not know what it
-    repeated before, so its slack grows from zero over the first window.
+    A repeat is a hedge or a retry; every other attempt counts as a request. The repeats may number
+    at most ``ratio`` times the requests, plus ``slack``; both limits are for this gateway alone. A
+    gateway that has just started does not know how much it repeated before, so its slack grows from
+    zero over the first window.
+
+    ``repeats`` holds the time of each repeat, and ``requests`` the number and the request count of
+    each bucket; both begin with the oldest.
     """
 
     def __init__(
--- a/src/masticgate/request/_merge.py
+++ b/src/masticgate/request/_merge.py
@@ -29,8 +29,8 @@
 
     ``coverage`` is the weight of the merged shards divided by the weight of all needed shards,
     from 0 to 1. The needed shards and their weights are those of the snapshot's shard map. A
-    needed service without shards in this map counts as missing, with the average weight of the
-    needed services that have some, unless it runs bookings.
+    needed service that runs no bookings and has no shards in this map counts as missing, with the
+    average weight of the needed services that have shards.
     """
 
     query: QueryId
@@ -49,7 +49,7 @@
 class Merge:
     """Collects the results of one search in one snapshot, and merges each shard at most once.
 
-    ``pending`` holds the services that have neither replied nor failed yet.
+    ``pending`` holds the services to search that have neither replied nor failed yet.
     """
 
     def __init__(self, scope: Scope, snapshot: Snapshot) -> None:
@@ -64,7 +64,7 @@
         """Merge the ``hits`` of ``service``; return ``False`` if they are ignored.
 
         Late and duplicate hits are ignored, as their service is no longer pending, and so are hits
-        from another version of the index.
+        from another version of the index. Shards that the snapshot lacks are left out.
         """
         if service not in self.pending or hits.snapshot != self.snapshot.version:
             return False
--- a/src/masticgate/request/_messages.py
+++ b/src/masticgate/request/_messages.py
@@ -23,7 +23,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Hit:
-    """One hit of a search; ``document`` is the JSON text that the searcher returned for it."""
+    """One hit of a search; ``document`` is the JSON text of the document that was found."""
 
     id: str
     score: float
@@ -44,8 +44,8 @@
 class VersionGone:
     """A searcher of the service no longer holds ``snapshot``, or does not hold it yet.
 
-    ``held`` lists the versions of the index that it holds. The other searchers of the service are
-    taken to hold the same.
+    ``held`` lists the versions of the snapshots that it holds. The other searchers of the service
+    are taken to hold the same.
     """
 
     snapshot: SnapshotVersion
@@ -67,9 +67,10 @@
 class Ask:
     """Asks an owner to run ``parts`` of one search.
 
-    ``remaining`` is the remaining time for the search in milliseconds, and ``text`` the caller's
-    search text. ``admission_number`` is drawn once for each query, uniformly from [0, 1), so that
-    all owners order the queries in overloaded queues in the same way.
+    If a search restarts on another snapshot, it gets a new ``query`` id. ``remaining`` is the
+    remaining time for the search in milliseconds, and ``text`` the caller's search text.
+    ``admission_number`` is drawn once for each query, uniformly from [0, 1), so that all owners
+    order the queries in overloaded queues in the same way. A restart keeps it.
     """
 
     query: QueryId
@@ -160,7 +161,7 @@
 class Delivery:
     """A reply in the inbox of a request, and the host that sent it.
 
-    If the host was lost, the process creates a reply with a failure in its place.
+    If the link to the host was lost, ``message`` is a failed reply that the receiving host created.
     """
 
     source: HostId
--- a/src/masticgate/version/_text.py
+++ b/src/masticgate/version/_text.py
@@ -71,6 +71,7 @@
 
 def _schema_problems(document: Document, error: ValidationError) -> Iterator[Problem]:
     for item in error.errors(include_url=False, include_context=False):
+        # Pydantic appends "[key]" to the location if the key itself is invalid.
         path = tuple(step for step in item["loc"] if step != "[key]")
         yield _problem(document, path, item["msg"])
 
@@ -123,6 +124,7 @@
 
 
 def _is_repeated(service: ServiceText, index: int, key: str, value: str) -> bool:
+    """Return whether a searcher before ``index`` has the same ``value`` of the field ``key``."""
     return any(getattr(searcher, key) == value for searcher in service.searchers[:index])
 
 
--- a/tests/gateway/soak.py
+++ b/tests/gateway/soak.py
@@ -44,7 +44,7 @@
 """The share of responses that are lost after the request was run, even without injected faults."""
 
 BASE_FAULT_RATE = 0.05
-"""The share of responses with a ``ResponseFault``, even without injected faults."""
+"""The share of responses for which a ``ResponseFault`` is drawn, even without injected faults."""
 
 IDLE_WAIT_S = 0.01
 """How long a searcher waits, after a response, for its connection to be idle at the gateway."""
@@ -167,8 +167,7 @@
     ``fault_rate`` raises the rates of refusals, lost responses and response faults.
     ``extra_delay_s`` is the delay of each run in addition to 2 ms. ``runs`` lists each request that
     was run, by its id and the time, and ``lost_requests`` the ids of requests whose response was
-    lost.
-    ``drain_started_at`` is when the searcher was listed as draining, if it was.
+    lost. ``drain_started_at`` is when the searcher was listed as draining, if it was.
     """
 
     def __init__(self, identity: str, service: str, rng: random.Random) -> None:
@@ -235,7 +234,7 @@
         """Plan to send a response once, or at random with a fault.
 
         ``request`` is the id of the request if it was run, and empty if it was refused. A refusal
-        is never truncated.
+        is never truncated, and only a degraded searcher repeats a response on an idle connection.
         """
         if self.rng.random() > BASE_FAULT_RATE + self.fault_rate / 2:
             return PlannedResponse(response)
@@ -435,9 +434,11 @@
 
 @dataclass
 class Soak:
-    """One soak run of three gateways; ``seed`` determines the faults and their order.
+    """One soak run of three gateways.
 
-    ``replies`` holds all replies that callers received, and ``problems`` describes each violation.
+    ``seed`` seeds the random numbers. Threads share some of the generators, so runs with the same
+    seed may differ. ``replies`` holds all replies that callers received, and ``problems`` describes
+    each violation.
     """
 
     seed: int
@@ -617,7 +618,10 @@
             )
 
     def has_lost_every_response(self, reply: CallerReply) -> bool:
-        """Return whether the response to each permitted attempt of the request was lost."""
+        """Return whether the response to each permitted attempt of the request was lost.
+
+        Return ``False`` for every request to ``/all/x``.
+        """
         max_losses = {"/book/x": 1, "/one/x": MAX_ATTEMPTS}.get(reply.path)
         return reply.status == 502 and self.lost_count(reply.request) == max_losses
 
--- a/tests/standins/relay.py
+++ b/tests/standins/relay.py
@@ -16,7 +16,7 @@
 
 
 class Relay:
-    """Relays connections from ``address`` to ``target``, except those of blocked hosts.
+    """Accepts connections at ``address`` and relays them to ``target``, except from blocked hosts.
 
     The host that opened a connection is known from its hello. Each connection has threads of its
     own.
