--- a/bench/process/_capacity_page.py
+++ b/bench/process/_capacity_page.py
@@ -60,11 +60,11 @@
             f"{format_number(size)}: {format_number(value)}"
             for size, value in zip(line["sizes"], line["values"], strict=True)
         )
-        slope = f"{format_number(line['slope'])} {unit} a {line['per']}"
+        slope = f"{format_number(line['slope'])} {unit} per {line['per']}"
         rows.append(
             [line["name"], points, slope, format_number(line["start"]), f"{line['r2']:.3f}"]
         )
-    return markdown_table(["cost", "measured at", "slope", "at 0", "r²"], rows)
+    return markdown_table(["cost", "size: measured value", "slope", "at size 0", "r²"], rows)
 
 
 def today_table(slopes: Slopes) -> str:
@@ -86,11 +86,11 @@
     heads = [
         "fleet",
         "hosts",
-        "control",
-        "all CPU",
-        "control sent",
-        "work sent",
-        "resident",
-        "tasks",
+        "CPU, control work",
+        "CPU, whole process",
+        "sent, control work",
+        "sent, requests",
+        "resident memory",
+        "threads",
     ]
     return markdown_table(heads, rows)
--- a/bench/process/_forecast.py
+++ b/bench/process/_forecast.py
@@ -85,12 +85,12 @@
     hops = relay_hops()
     network_seconds = hops * MESSAGES_PER_RELAY * NETWORK_HOP_SECONDS
     return [
-        ("rest of the watch after the value before", WATCH_DELAY_SECONDS, WATCH_DELAY_SECONDS),
+        ("delay of the watch after the previous value", WATCH_DELAY_SECONDS, WATCH_DELAY_SECONDS),
         ("the watcher reads the text", read_seconds, read_seconds),
         ("the watcher accepts the text", accept_seconds, accept_seconds),
-        ("the watcher's owner table", table_seconds, 0.0),
+        ("the watcher computes its owner table", table_seconds, 0.0),
         (f"{hops} relays accept the delta", hops * apply_seconds, hops * apply_seconds),
-        (f"{hops} relays' owner tables", hops * table_seconds, table_seconds),
+        (f"{hops} relays compute their owner tables", hops * table_seconds, table_seconds),
         (
             f"{hops} relays' messages, {MESSAGES_PER_RELAY} of 1 ms each",
             network_seconds,
@@ -111,7 +111,7 @@
         ]
     )
     return markdown_table(
-        ["step", "today's order", "table worked out after the announcement"], rows
+        ["step", "today's order", "owner table computed after the announcement"], rows
     )
 
 
@@ -127,44 +127,64 @@
     memory = slopes.figures["imports_bytes"] + control_memory
     outage_reads = target.HOSTS * OUTAGE_READS_PER_HOST
     lines = [
-        ("control: CPU", target.CONTROL_CPU_BUDGET, host, Unit.CORE),
-        ("control: CPU of a watcher", target.CONTROL_CPU_BUDGET, watcher, Unit.CORE),
-        ("control: bytes sent", target.CONTROL_BYTES_BUDGET, sent, Unit.BYTES_A_SECOND),
+        ("control work: CPU of a host", target.CONTROL_CPU_BUDGET, host, Unit.CORE),
+        ("control work: CPU of a watcher", target.CONTROL_CPU_BUDGET, watcher, Unit.CORE),
         (
-            "control: the same with a watcher's reads",
+            "control work: bytes sent by a host",
+            target.CONTROL_BYTES_BUDGET,
+            sent,
+            Unit.BYTES_A_SECOND,
+        ),
+        (
+            "control work: bytes sent and read by a watcher",
             target.CONTROL_BYTES_BUDGET,
             read,
             Unit.BYTES_A_SECOND,
         ),
         (
-            "control: memory that it adds to a process",
+            "control work: memory added to the process",
             target.CONTROL_MEMORY_BUDGET,
             control_memory,
             Unit.BYTES,
         ),
         (
-            "control: memory, the process itself included",
+            "control work: memory, the imported modules included",
             target.CONTROL_MEMORY_BUDGET,
             memory,
             Unit.BYTES,
         ),
-        ("one interpreter lock: CPU of a host", 1.0, process, Unit.CORE),
-        ("one owner: CPU of one service", 1.0, owner["of that, one service"], Unit.CORE),
+        ("one interpreter lock: CPU of the entry and owner roles", 1.0, process, Unit.CORE),
+        (
+            "one owner per service: CPU of one service",
+            1.0,
+            owner["of that, one service"],
+            Unit.CORE,
+        ),
         (
-            "value of the configuration service",
+            "value in the configuration service: whole text",
             target.VALUE_BYTES_LIMIT,
             slopes.text_bytes(),
             Unit.BYTES,
         ),
-        ("frame between hosts", FRAME_BYTES_LIMIT, slopes.text_bytes(), Unit.BYTES),
+        ("message between hosts: whole text", FRAME_BYTES_LIMIT, slopes.text_bytes(), Unit.BYTES),
         (
             "reads of the platform in an outage",
             target.PLATFORM_READS_LIMIT,
             outage_reads,
             Unit.A_SECOND,
         ),
-        ("tasks", MAX_TASKS, 2 * target.PEERS_A_HOST + MAX_CALLERS, Unit.COUNT),
-        ("a change in force everywhere", target.CHANGE_SECONDS, change, Unit.SECONDS),
+        (
+            "tasks of a host, one thread each",
+            MAX_TASKS,
+            2 * target.PEERS_A_HOST + MAX_CALLERS,
+            Unit.COUNT,
+        ),
+        (
+            "configuration change in force on every host",
+            target.CHANGE_SECONDS,
+            change,
+            Unit.SECONDS,
+        ),
     ]
     rows = [
         [what, format_measure(allowed, unit), format_measure(value, unit), verdict(value / allowed)]
@@ -210,12 +230,12 @@
     kept_links = target.CONTROL_BYTES_BUDGET / slopes.value_at("heartbeat_bytes", 0)
     rows = [
         ["1 MB value that holds the text", f"{format_number(searchers_in_value)} searchers"],
-        ["4 MB frame that holds the text", f"{format_number(searchers_in_frame)} searchers"],
+        ["4 MB message that holds the text", f"{format_number(searchers_in_frame)} searchers"],
         [
             "2,000 reads/s in an outage",
             f"{format_number(target.PLATFORM_READS_LIMIT / OUTAGE_READS_PER_HOST)} hosts",
         ],
-        ["4,096 tasks, two a peer", f"{format_number(links_by_tasks)} hosts"],
+        ["4,096 tasks, two per peer", f"{format_number(links_by_tasks)} hosts"],
         [
             "interpreter lock, sub-queries of all services on a host",
             f"{format_number(sub_queries)} a second",
@@ -229,22 +249,25 @@
             f"2.9 % of a core for owner tables, {target.DEPARTMENTS} departments",
             f"{format_number(hosts_by_owner_tables)} hosts",
         ],
-        ["3 KB/s for a watcher's host list each 2 s", f"{format_number(hosts_in_list)} hosts"],
-        ["3 KB/s for heartbeats that keep links", f"{format_number(kept_links)} links"],
+        [
+            "3 KB/s for a watcher's read of the host list every 2 s",
+            f"{format_number(hosts_in_list)} hosts",
+        ],
+        ["3 KB/s for heartbeats that keep links open", f"{format_number(kept_links)} links"],
     ]
     return markdown_table(["limit", "reached at"], rows)
 
 
 def failure_table(slopes: target.Slopes) -> str:
-    """Return the table of what failures, replacements and network splits cost one host."""
+    """Return the table of what failures, replacements and network partitions cost one host."""
     table_seconds = slopes.table_seconds()
     rows = []
     for what, changes in (
-        ("a day's 140 failures, each host back", 2 * target.FAILURES_A_DAY),
-        ("a day's 1,400 replacements", 2 * target.REPLACEMENTS_A_DAY),
+        ("a day's 140 failures; each host returns", 2 * target.FAILURES_A_DAY),
+        ("a day's 1,400 replacements; each host returns", 2 * target.REPLACEMENTS_A_DAY),
         ("a lost failure domain", target.DOMAIN_HOSTS),
-        ("regions split, the smaller side", target.HOSTS - target.REGION_HOSTS),
-        ("regions split, the larger side", target.REGION_HOSTS),
+        ("a region cut off, for a host inside it", target.HOSTS - target.REGION_HOSTS),
+        ("a region cut off, for a host outside it", target.REGION_HOSTS),
     ):
         batches = ceil(changes / MAX_UPDATES_PER_MESSAGE)
         rows.append(
@@ -260,10 +283,10 @@
         )
     heads = [
         "event",
-        "hosts that come or go",
-        "beliefs a host sends",
-        "CPU of owner tables, 20 news a message",
-        "the same, one by one",
+        "departures and returns of hosts",
+        "bytes of membership updates sent by a host",
+        "CPU of owner tables, 20 updates per message",
+        "the same, one update per message",
     ]
     return markdown_table(heads, rows)
 
@@ -279,40 +302,52 @@
         [
             "departments",
             f"{target.SEARCHERS:,} / {target.TODAY_SEARCHERS} × {target.TODAY_DEPARTMENTS},"
-            " as in kerala",
+            " as in the deployment kerala",
             format_number(target.DEPARTMENTS),
         ],
         [
-            "queries a host",
+            "queries per host",
             f"{target.QUERIES_A_SECOND:,} / {target.HOSTS:,}",
             f"{target.QUERIES_A_HOST:.0f}/s",
         ],
-        ["sub-queries a host", f"× {target.FAN_OUT}", f"{target.SUB_QUERIES_A_HOST:,.0f}/s"],
+        ["sub-queries per host", f"× {target.FAN_OUT}", f"{target.SUB_QUERIES_A_HOST:,.0f}/s"],
         [
             "owners of one query",
-            f"{target.FAN_OUT} / 3 services each",
+            f"{target.FAN_OUT} / 3 services per owner",
             format_number(target.OWNERS_A_QUERY),
         ],
-        ["asks a host", f"× {target.OWNERS_A_QUERY}", f"{target.ASKS_A_HOST:,.0f}/s"],
         [
-            "services owned by a host",
+            "asks (messages to owners) per host",
+            f"× {target.OWNERS_A_QUERY}",
+            f"{target.ASKS_A_HOST:,.0f}/s",
+        ],
+        [
+            "services owned per host",
             f"{target.SERVICES:,} / {target.HOSTS:,}",
             format_number(target.SERVICES_A_HOST),
         ],
-        ["sub-queries a service", "all / services", f"{target.SUB_QUERIES_A_SERVICE:,.0f}/s"],
-        ["sub-queries a searcher", "all / searchers", f"{target.SUB_QUERIES_A_SEARCHER:,.0f}/s"],
         [
-            "changes of configuration",
+            "sub-queries per service",
+            "all sub-queries / services",
+            f"{target.SUB_QUERIES_A_SERVICE:,.0f}/s",
+        ],
+        [
+            "sub-queries per searcher",
+            "all sub-queries / searchers",
+            f"{target.SUB_QUERIES_A_SEARCHER:,.0f}/s",
+        ],
+        [
+            "configuration changes",
             f"{target.CHANGES_A_DAY:,} / 86,400 s",
             f"{target.CHANGES_A_SECOND:.2f}/s",
         ],
         [
-            "hosts of a failure domain",
+            "hosts per failure domain",
             f"{target.HOSTS:,} / {target.DOMAINS}",
             format_number(target.DOMAIN_HOSTS),
         ],
     ]
-    return markdown_table(["what", "worked out", "figure"], rows)
+    return markdown_table(["quantity", "calculation", "value"], rows)
 
 
 def latency_table(slopes: target.Slopes) -> str:
@@ -328,13 +363,13 @@
     merge_cpu = target.FAN_OUT * slopes.slope("entry") / 1e3
     owner_cpu = sub_queries_per_owner * slopes.slope("owner") / 1e3
     lines: list[tuple[str, float, float | None]] = [
-        ("caller, balancer, entry and back", 4, None),
+        ("caller to entry through the load balancer, and back", 4, None),
         ("entry: request read, admitted, answered", 15, request_cpu),
         (f"entry: {target.OWNERS_A_QUERY} asks sent", 5, asks_cpu),
         ("entry to owner and back", 4, None),
         ("owner: wait in the queue", 60, None),
         (
-            f"owner: {format_number(sub_queries_per_owner)} sub-queries sent and replied",
+            f"owner: {format_number(sub_queries_per_owner)} sub-queries sent, replies returned",
             5,
             owner_cpu,
         ),
@@ -366,4 +401,6 @@
         format_measure(measured, Unit.CORE),
         format_number(measured / forecast),
     ]
-    return markdown_table(["by the slopes", "forecast", "measured", "measured / forecast"], [row])
+    return markdown_table(
+        ["calculation from the slopes", "forecast", "measured", "measured / forecast"], [row]
+    )
--- a/bench/process/_rows.py
+++ b/bench/process/_rows.py
@@ -109,7 +109,7 @@
 
 def role_table(rows: list[Row]) -> str:
     """Return the Markdown table of one role."""
-    heads = ["what", "worked out", "at the target", "control", "carried by", "state"]
+    heads = ["quantity", "calculation", "at the target", "control work", "mechanism", "state"]
     cells = [
         [
             row.label,
