--- a/bench/process/_target.py
+++ b/bench/process/_target.py
@@ -7,7 +7,7 @@
 from tests.standins.fleet import ROOT
 
 from bench.version import DEPLOYMENTS, accept_configuration
-from masticgate.process._member_rules import FOREIGN_NEIGHBOURS, NEAR_NEIGHBOURS
+from masticgate.process._member_rules import CROSS_DOMAIN_NEIGHBOURS, NEAR_NEIGHBOURS
 from masticgate.process._members import RETRANSMIT_FACTOR
 from masticgate.version import WATCHERS_PER_DOMAIN
 from masticgate.version._placement import SERVICES_PER_OWNER, department_group_size
@@ -68,7 +68,7 @@
 SERVICES_A_HOST = SERVICES / HOSTS
 SUB_QUERIES_A_SERVICE = QUERIES_A_SECOND * FAN_OUT / SERVICES
 SUB_QUERIES_A_SEARCHER = QUERIES_A_SECOND * FAN_OUT / SEARCHERS
-NEIGHBOURS = NEAR_NEIGHBOURS + FOREIGN_NEIGHBOURS
+NEIGHBOURS = NEAR_NEIGHBOURS + CROSS_DOMAIN_NEIGHBOURS
 PEERS_A_HOST = HOSTS - 1
 WATCHERS = DOMAINS * WATCHERS_PER_DOMAIN
 CHANGES_A_SECOND = CHANGES_A_DAY / SECONDS_A_DAY
--- a/src/masticgate/connection/gateway/_client.py
+++ b/src/masticgate/connection/gateway/_client.py
@@ -178,7 +178,7 @@
                 self.aborted = True
                 raise
 
-    def closed_cleanly(self) -> bool:
+    def closed_normally(self) -> bool:
         """Return whether the server closed the connection normally.
 
         To be called after a receive returned no bytes. The result is ``False`` after
@@ -219,7 +219,7 @@
         except OSError as error:
             return NoResponse(True, f"receive: {error}")
         if not count:
-            if self.closed_cleanly():
+            if self.closed_normally():
                 parser.feed_eof()
             return NoResponse(True, "closed before the end of the response")
         problem = parser.feed(buffer[:count])
--- a/src/masticgate/connection/gateway/_searcher_task.py
+++ b/src/masticgate/connection/gateway/_searcher_task.py
@@ -293,7 +293,7 @@
 
         The end of the connection completes a response that states no length.
         """
-        if self.client.closed_cleanly():
+        if self.client.closed_normally():
             self.parser.feed_eof()
         call = self.current_call
         for response in self.parser.ready:
--- a/src/masticgate/process/_member_rules.py
+++ b/src/masticgate/process/_member_rules.py
@@ -14,7 +14,7 @@
 NEAR_NEIGHBOURS = 6
 """Each host monitors this many hosts that follow it on the ring of hashed ids."""
 
-FOREIGN_NEIGHBOURS = 2
+CROSS_DOMAIN_NEIGHBOURS = 2
 """Each host monitors this many further hosts, in other failure domains than its own.
 
 If no further host is in another failure domain, the next ones on the ring are monitored.
@@ -56,8 +56,8 @@
     start = _position(own.host)
     ring = sorted(others, key=lambda member: (_position(member.host) - start) % RING_SIZE)
     rest = ring[NEAR_NEIGHBOURS:]
-    foreign = [member for member in rest if member.failure_domain != own.failure_domain]
-    return ring[:NEAR_NEIGHBOURS] + (foreign or rest)[:FOREIGN_NEIGHBOURS]
+    in_other_domains = [member for member in rest if member.failure_domain != own.failure_domain]
+    return ring[:NEAR_NEIGHBOURS] + (in_other_domains or rest)[:CROSS_DOMAIN_NEIGHBOURS]
 
 
 def bucket_of(host: HostId) -> int:
--- a/src/masticgate/request/gateway/_gather.py
+++ b/src/masticgate/request/gateway/_gather.py
@@ -81,7 +81,7 @@
             attempts.send_first()
         while not self._is_finished():
             self.inbox.set_batch_size(len(self.unanswered))
-            match self.inbox.wait(self._next_wakeup()):
+            match self.inbox.wait(self._next_wake_up()):
                 case CallerDisconnected():
                     self._cancel()
                     return Abandoned()
@@ -97,7 +97,7 @@
             return True
         return now >= self.answer_at and len(self.answered) >= self.min_answers
 
-    def _next_wakeup(self) -> Millis:
+    def _next_wake_up(self) -> Millis:
         times = [self.deadline]
         if self.upstream.now() < self.answer_at:
             times.append(self.answer_at)
--- a/tests/gateway/fakes.py
+++ b/tests/gateway/fakes.py
@@ -77,13 +77,15 @@
     return RouteTable(ConfigurationVersion(version), routes, entries, Limits())
 
 
-def make_request(identity: str = "q1", caller_timeout: float | None = 400.0) -> Request:
+def make_request(request_id: str = "q1", caller_timeout: float | None = 400.0) -> Request:
     wait = None if caller_timeout is None else Millis(caller_timeout)
-    return Request(RequestId(identity), b"GET", b"/a/x", "host.example", (), b"", wait, Millis(0.0))
+    return Request(
+        RequestId(request_id), b"GET", b"/a/x", "host.example", (), b"", wait, Millis(0.0)
+    )
 
 
 def make_entry(
-    identity: str,
+    searcher_id: str,
     service: str = "orders",
     *,
     born: int = 1,
@@ -91,7 +93,7 @@
     domain: str = "z1",
 ) -> SearcherEntry:
     return SearcherEntry(
-        SearcherId(identity),
+        SearcherId(searcher_id),
         ServiceId(service),
         Address("127.0.0.1:9"),
         FailureDomainId(domain),
--- a/tests/gateway/loopback.py
+++ b/tests/gateway/loopback.py
@@ -29,7 +29,7 @@
     """
 
     OPEN = "open"
-    ORDERLY = "orderly"
+    CLOSED_NORMALLY = "closed_normally"
     RESET = "reset"
 
 
@@ -44,10 +44,10 @@
 
 def reply_to(head: bytes, body: bytes = b"ok", status: int = 200, extra: bytes = b"") -> bytes:
     """Return a response to the request with ``head``; it has the request's id and a stamp."""
-    identity = head_value(head, b"x-id")
+    request_id = head_value(head, b"x-id")
     return b"HTTP/1.1 %d X\r\nx-id: %s\r\nx-stamp: s\r\n%sContent-Length: %d\r\n\r\n%s" % (
         status,
-        identity,
+        request_id,
         extra,
         len(body),
         body,
@@ -243,11 +243,11 @@
     def send(self, data: bytes) -> None:
         self.socket.sendall(data)
 
-    def get(self, path: str = "/a/x", identity: str = "q1", extra: bytes = b"") -> "RawCaller":
+    def get(self, path: str = "/a/x", request_id: str = "q1", extra: bytes = b"") -> "RawCaller":
         """Send a GET request with a caller timeout of 400 ms; ``extra`` is further header lines."""
         self.send(
             b"GET %s HTTP/1.1\r\nHost: host.example\r\nX-Id: %s\r\nX-Caller-Timeout: 400\r\n%s\r\n"
-            % (path.encode(), identity.encode(), extra)
+            % (path.encode(), request_id.encode(), extra)
         )
         return self
 
--- a/tests/gateway/soak.py
+++ b/tests/gateway/soak.py
@@ -171,8 +171,8 @@
     ``drain_started_at`` is when the searcher was listed as draining, if it was.
     """
 
-    def __init__(self, identity: str, service: str, rng: random.Random) -> None:
-        self.identity = identity
+    def __init__(self, searcher_id: str, service: str, rng: random.Random) -> None:
+        self.searcher_id = searcher_id
         self.service = service
         self.rng = rng
         self.fault_rate = 0.0
@@ -214,21 +214,21 @@
         Refuse the request if it is meant for another searcher, and others at random.
         """
         request = request_id(head)
-        if head_value(head, b"x-masticgate-expected-instance").decode() != self.identity:
+        if head_value(head, b"x-masticgate-expected-instance").decode() != self.searcher_id:
             return self.plan_response(self.make_response(request, 421, b"", b""))
         if self.rng.random() < self.fault_rate / 2:
             refusal = self.make_response(request, 503, b"x-masticgate-not-executed: 1\r\n", b"")
             return self.plan_response(refusal)
         self.runs.append((request, time.monotonic()))
         time.sleep(0.002 + self.extra_delay_s)
-        stamp = f"{request}.{self.identity}.{self.service}"
+        stamp = f"{request}.{self.searcher_id}.{self.service}"
         body = b"".join(sorted(make_records(request, self.service)))
         response = self.make_response(
             request, 200, b"x-masticgate-server-stamp: %s\r\n" % stamp.encode(), body
         )
         if self.rng.random() < BASE_LOSS_RATE + self.fault_rate / 4:
             self.record_lost(request)
-            return PlannedResponse(b"", end=ConnectionEnd.ORDERLY)
+            return PlannedResponse(b"", end=ConnectionEnd.CLOSED_NORMALLY)
         return self.plan_response(response, request)
 
     def plan_response(self, response: bytes, request: str = "") -> PlannedResponse:
@@ -249,7 +249,7 @@
             case ResponseFault.REPEATED_BEFORE_NEXT_WITHOUT_LENGTH:
                 return PlannedResponse(response, late_bytes=without_length(response))
             case ResponseFault.WITHOUT_LENGTH:
-                return PlannedResponse(without_length(response), end=ConnectionEnd.ORDERLY)
+                return PlannedResponse(without_length(response), end=ConnectionEnd.CLOSED_NORMALLY)
             case ResponseFault.TRUNCATED_WITHOUT_LENGTH if request:
                 self.record_lost(request)
                 return PlannedResponse(
@@ -484,9 +484,9 @@
                     gateway.process.wait()
         self.check_replies()
 
-    def add_searcher(self, service: str, identity: str) -> None:
+    def add_searcher(self, service: str, searcher_id: str) -> None:
         """Start a searcher and list it as ready."""
-        searcher = Searcher(identity, service, random.Random(f"{self.seed} {identity}"))
+        searcher = Searcher(searcher_id, service, random.Random(f"{self.seed} {searcher_id}"))
         self.searchers.append(searcher)
         self.list_searcher(searcher, "ready")
 
@@ -495,7 +495,7 @@
         entry = {
             "service": searcher.service,
             "address": searcher.proxy.address,
-            "zone": f"z{1 + len(searcher.identity) % GATEWAYS}",
+            "zone": f"z{1 + len(searcher.searcher_id) % GATEWAYS}",
             "version": "v1",
             "slots": 2,
             "state": state,
@@ -503,7 +503,7 @@
             "sequence": 1,
             "born": 1,
         }
-        self.store.put(f"servers/{searcher.identity}", entry)
+        self.store.put(f"servers/{searcher.searcher_id}", entry)
 
     def publish(self) -> None:
         """Put a new version of the configuration into the store."""
@@ -633,7 +633,7 @@
         runs: dict[str, list[str]] = defaultdict(list)
         for searcher in self.searchers:
             for request, at in searcher.runs:
-                runs[request].append(searcher.identity)
+                runs[request].append(searcher.searcher_id)
                 drain_started_at = searcher.drain_started_at
                 if (
                     drain_started_at is not None
@@ -641,7 +641,7 @@
                     and not self.was_disturbed(at)
                 ):
                     self.problems.append(
-                        f"{searcher.identity} ran {request} after the end of its drain"
+                        f"{searcher.searcher_id} ran {request} after the end of its drain"
                     )
         for reply in self.replies:
             self.check_reply(reply, runs[reply.request])
@@ -770,7 +770,7 @@
     soak.list_searcher(old, "draining")
     old.drain_started_at = time.monotonic()
     time.sleep(1.0)
-    soak.store.remove(f"servers/{old.identity}")
+    soak.store.remove(f"servers/{old.searcher_id}")
 
 
 def change_configuration(soak: Soak) -> None:
--- a/tests/gateway/test_endless_responses.py
+++ b/tests/gateway/test_endless_responses.py
@@ -195,7 +195,7 @@
         with running_gateway([make_route()], {"orders": [searcher]}) as gateway:
             caller = RawCaller(gateway)
             for number in range(20):
-                assert caller.get(identity=f"n{number}").read()[2] == b"mine"
+                assert caller.get(request_id=f"n{number}").read()[2] == b"mine"
         assert len(searcher.requests) == 20
 
     @pytest.mark.parametrize(
@@ -219,7 +219,7 @@
             with running_gateway([make_route()], searchers) as gateway:
                 started_at = monotonic()
                 for number in range(4):
-                    assert RawCaller(gateway).get(identity=f"q{number}").read()[0] == 200
+                    assert RawCaller(gateway).get(request_id=f"q{number}").read()[0] == 200
                 assert server.closed.wait(MAX_WAIT_S)
                 assert monotonic() - started_at < 3.0
 
--- a/tests/gateway/test_header_numbers.py
+++ b/tests/gateway/test_header_numbers.py
@@ -13,7 +13,9 @@
     """Return the statuses of two requests to a searcher that sends ``extra`` with its answers."""
     searcher = StandInSearcher(lambda head: reply_to(head, extra=extra))
     with running_gateway([make_route(attempts=1)], {"orders": [searcher]}) as gateway:
-        return [RawCaller(gateway).get(identity=identity).read()[0] for identity in ("q1", "q2")]
+        return [
+            RawCaller(gateway).get(request_id=request_id).read()[0] for request_id in ("q1", "q2")
+        ]
 
 
 class TestLongNumbers:
--- a/tests/gateway/test_irregular_responses.py
+++ b/tests/gateway/test_irregular_responses.py
@@ -60,9 +60,9 @@
     def _read(self) -> None:
         self.task._finish(self.task._receive_responses(), connected=True)
 
-    def run_call(self, identity: str, response: bytes) -> None:
+    def run_call(self, request_id: str, response: bytes) -> None:
         call = Call(
-            make_request(identity),
+            make_request(request_id),
             make_route(),
             ServiceId("orders"),
             Millis(400.0),
--- a/tests/gateway/test_response_matching.py
+++ b/tests/gateway/test_response_matching.py
@@ -90,11 +90,11 @@
 class PlannedResponse:
     """The complete response that a searcher intends to send for one request.
 
-    ``identity`` is the id of the request, if the response has one. ``header_order`` is the order of
+    ``request_id`` is the request id in the response, if any. ``header_order`` is the order of
     the header lines. ``suffix`` distinguishes the stamps of several responses to one request.
     """
 
-    identity: str | None
+    request_id: str | None
     status: int
     body: bytes
     framing: Framing = Framing.LENGTH
@@ -104,7 +104,7 @@
 
     @property
     def stamp(self) -> str:
-        return f"stamp-{self.identity}-{self.status}{self.suffix}"
+        return f"stamp-{self.request_id}-{self.status}{self.suffix}"
 
     @property
     def is_refusal(self) -> bool:
@@ -113,7 +113,7 @@
     @property
     def head(self) -> bytes:
         lines = [
-            b"" if self.identity is None else b"x-id: %s\r\n" % self.identity.encode(),
+            b"" if self.request_id is None else b"x-id: %s\r\n" % self.request_id.encode(),
             b"" if self.is_refusal else b"x-stamp: %s\r\n" % self.stamp.encode(),
             self._framing_header(),
             b"Server: stand-in\r\n",
@@ -140,9 +140,9 @@
                 return b""
 
 
-def make_records(identity: str, count: int) -> bytes:
-    """Return ``count`` records of 16 bytes, which differ for each ``identity``."""
-    return random.Random(identity).randbytes(16 * count)
+def make_records(random_seed: str, count: int) -> bytes:
+    """Return ``count`` records of 16 bytes, which differ for each ``random_seed``."""
+    return random.Random(random_seed).randbytes(16 * count)
 
 
 @dataclass(frozen=True)
@@ -231,7 +231,7 @@
             return
         exchange = self.pending_exchanges.pop(0)
         call = self.last_call if self.last_call and not self.pending_exchanges else None
-        call = call or make_call(exchange.response.identity)
+        call = call or make_call(exchange.response.request_id)
         self.calls.append((exchange, call))
         assert self.task.dispatch(call)
 
@@ -288,8 +288,8 @@
         self.far.close()
 
 
-def make_call(identity: str) -> Call:
-    request = replace(make_request(identity), headers=((b"x-id", identity.encode()),))
+def make_call(request_id: str) -> Call:
+    request = replace(make_request(request_id), headers=((b"x-id", request_id.encode()),))
     return Call(request, make_route(), ServiceId("orders"), Millis(400.0), UnreadInbox())
 
 
@@ -305,7 +305,7 @@
             assert not response.is_refusal
             assert (answer.status, answer.stamp) == (response.status, response.stamp)
             assert answer.body == response.body
-            assert field_values(answer, HEADER_NAMES.request_id) == [response.identity.encode()]
+            assert field_values(answer, HEADER_NAMES.request_id) == [response.request_id.encode()]
             assert field_values(answer, HEADER_NAMES.stamp) == [response.stamp.encode()]
         case Declined():
             assert response.is_refusal
@@ -335,7 +335,7 @@
 FIRST_PART_KINDS = ["complete"] * 6 + ["interim", "other_id", "no_id", "invalid"]
 FRAMING_CHOICES = [Framing.LENGTH] * 3 + [Framing.CHUNKED, Framing.CLOSE]
 END_CHOICES = [ConnectionEnd.OPEN] * 6 + [
-    ConnectionEnd.ORDERLY,
+    ConnectionEnd.CLOSED_NORMALLY,
     ConnectionEnd.RESET,
     ConnectionEnd.RESET,
 ]
@@ -362,7 +362,7 @@
         # nothing shows that the response is truncated, or where the bytes that follow it begin.
         if (
             part.ends_with_close
-            and end is ConnectionEnd.ORDERLY
+            and end is ConnectionEnd.CLOSED_NORMALLY
             and (part.missing_bytes or later_parts)
         ):
             return False
@@ -376,17 +376,17 @@
 
 
 @st.composite
-def responses(draw, identity: str, suffix: str = "") -> PlannedResponse:
-    """Draw a response to the request with the id ``identity``."""
+def responses(draw, request_id: str, suffix: str = "") -> PlannedResponse:
+    """Draw a response to the request with the id ``request_id``."""
     status, not_run = draw(st.sampled_from(STATUS_CHOICES))
     empty = status == 204
     return PlannedResponse(
-        identity,
+        request_id,
         status,
         (
             b""
             if empty
-            else make_records(identity + suffix, draw(st.sampled_from([0, 1, 3, 20, 300])))
+            else make_records(request_id + suffix, draw(st.sampled_from([0, 1, 3, 20, 300])))
         ),
         Framing.LENGTH if empty else draw(st.sampled_from(FRAMING_CHOICES)),
         not_run,
@@ -437,13 +437,15 @@
             return [
                 draw(
                     sent_parts(
-                        replace(response, identity="other", body=make_records("o", 2)), False
+                        replace(response, request_id="other", body=make_records("o", 2)), False
                     )
                 )
             ]
         case "no_id":
             return [
-                draw(sent_parts(replace(response, identity=None, body=make_records("n", 2)), False))
+                draw(
+                    sent_parts(replace(response, request_id=None, body=make_records("n", 2)), False)
+                )
             ]
         case "invalid":
             return [
@@ -455,12 +457,12 @@
 
 
 @st.composite
-def exchanges(draw, identity: str, truncates_open: bool = False, suffix: str = "") -> Exchange:
+def exchanges(draw, request_id: str, truncates_open: bool = False, suffix: str = "") -> Exchange:
     """Draw an exchange.
 
     Responses on connections that stay open are truncated only if ``truncates_open``.
     """
-    response = draw(responses(identity, suffix))
+    response = draw(responses(request_id, suffix))
     end = draw(st.sampled_from(END_CHOICES))
     sent = draw(
         first_sent_parts(response, 4 if truncates_open or end is not ConnectionEnd.OPEN else 0)
@@ -604,7 +606,7 @@
         self, drawn_responses, dispatch_time
     ):
         numbered = [
-            replace(response, identity=f"q{number}")
+            replace(response, request_id=f"q{number}")
             for number, response in enumerate(drawn_responses)
         ]
         ends_with_close = numbered[-1].framing is Framing.CLOSE
@@ -616,7 +618,7 @@
             for response in numbered
         ]
         series[-1] = replace(
-            series[-1], end=ConnectionEnd.ORDERLY if ends_with_close else ConnectionEnd.OPEN
+            series[-1], end=ConnectionEnd.CLOSED_NORMALLY if ends_with_close else ConnectionEnd.OPEN
         )
         exchange_calls = ScriptedConnection(series).run()
         assert len(exchange_calls) == len(series)
@@ -823,7 +825,7 @@
                 Exchange(
                     response,
                     response.encode().replace(b"x-id", field + b"x-id"),
-                    ConnectionEnd.ORDERLY,
+                    ConnectionEnd.CLOSED_NORMALLY,
                 )
             ]
         ).run()
@@ -877,31 +879,31 @@
 SHARDS = Shards((ServiceId("s1"), ServiceId("s2")), TOP_K, MIN_SHARD_RATIO)
 
 
-def gathered_stamps(identity: str, gathered_by: str) -> list[str]:
-    return [f"{identity}-{name}-{gathered_by}" for name in SHARDS.services]
+def gathered_stamps(request_id: str, gathered_by: str) -> list[str]:
+    return [f"{request_id}-{name}-{gathered_by}" for name in SHARDS.services]
 
 
-def merged_records(identity: str, gathered_by: str) -> bytes:
-    bodies = b"".join(make_records(stamp, 3) for stamp in gathered_stamps(identity, gathered_by))
+def merged_records(request_id: str, gathered_by: str) -> bytes:
+    bodies = b"".join(make_records(stamp, 3) for stamp in gathered_stamps(request_id, gathered_by))
     all_records = [bodies[start : start + 16] for start in range(0, len(bodies), 16)]
     return b"".join(sorted(all_records, reverse=True)[:TOP_K])
 
 
 def respond_as_gatherer(head: bytes) -> bytes:
-    identity = head_value(head, b"x-id").decode()
-    body = merged_records(identity, "gatherer")
+    request_id = head_value(head, b"x-id").decode()
+    body = merged_records(request_id, "gatherer")
     fields = (
-        f"x-id: {identity}\r\nx-gateway-missing: 0\r\nContent-Length: {len(body)}\r\n"
-        f"x-gateway-stamps: {', '.join(gathered_stamps(identity, 'gatherer'))}\r\n\r\n"
+        f"x-id: {request_id}\r\nx-gateway-missing: 0\r\nContent-Length: {len(body)}\r\n"
+        f"x-gateway-stamps: {', '.join(gathered_stamps(request_id, 'gatherer'))}\r\n\r\n"
     )
     return b"HTTP/1.1 200 OK\r\n" + fields.encode() + body
 
 
 def respond_as_shard(head: bytes) -> bytes:
-    identity = head_value(head, b"x-id").decode()
-    stamp = f"{identity}-{head_value(head, b'x-expected').decode()[:2]}-entry"
+    request_id = head_value(head, b"x-id").decode()
+    stamp = f"{request_id}-{head_value(head, b'x-expected').decode()[:2]}-entry"
     body = make_records(stamp, 3)
-    fields = f"x-id: {identity}\r\nx-stamp: {stamp}\r\nContent-Length: {len(body)}\r\n\r\n"
+    fields = f"x-id: {request_id}\r\nx-stamp: {stamp}\r\nContent-Length: {len(body)}\r\n\r\n"
     return b"HTTP/1.1 200 OK\r\n" + fields.encode() + body
 
 
@@ -925,12 +927,12 @@
             )
             entry.fleet.budgets.window(PEER_SERVICE).slack = 1_000.0
             for number in range(PEER_QUERY_COUNT):
-                identity = f"q{number}"
-                replies.append((identity, *RawCaller(entry).get(identity=identity).read()))
-        for identity, status, head, body in replies:
+                request_id = f"q{number}"
+                replies.append((request_id, *RawCaller(entry).get(request_id=request_id).read()))
+        for request_id, status, head, body in replies:
             stamps = head_value(head, b"x-stamps").decode().split(", ")
             gathered_by = stamps[0].rpartition("-")[2]
             assert (status, head_value(head, b"x-missing")) == (200, b"0")
-            assert sorted(stamps) == gathered_stamps(identity, gathered_by)
-            assert body == merged_records(identity, gathered_by)
+            assert sorted(stamps) == gathered_stamps(request_id, gathered_by)
+            assert body == merged_records(request_id, gathered_by)
         assert gatherer.broken_count >= PEER_QUERY_COUNT // 3
--- a/tests/gateway/test_whole_gateway.py
+++ b/tests/gateway/test_whole_gateway.py
@@ -75,7 +75,7 @@
         _, running = gateway_with_searchers(lambda head: reply_to(head, head_value(head, b"x-id")))
         with running as gateway:
             caller = RawCaller(gateway)
-            caller.get(identity="one").get(identity="two")
+            caller.get(request_id="one").get(request_id="two")
             assert [caller.read()[2] for _ in range(2)] == [b"one", b"two"]
 
     def test_unknown_path_is_not_found(self):
@@ -99,7 +99,7 @@
         with running as gateway:
             caller = RawCaller(gateway)
             for number in range(3):
-                assert caller.get(identity=f"q{number}").read()[2] == b"ok"
+                assert caller.get(request_id=f"q{number}").read()[2] == b"ok"
 
     def test_answer_without_length_ends_with_connection(self):
         def unframed(head):
