--- a/src/masticgate/_failures.py
+++ b/src/masticgate/_failures.py
@@ -14,7 +14,7 @@
     ``READ`` is reading input, ``PIN`` is choosing a snapshot, and ``ROUTE`` is choosing the
     services of a request and a host or searcher for each. ``FORWARD`` is sending to another host
     and waiting for its reply, and ``UPSTREAM`` is waiting for a searcher's response. ``TICKET`` is
-    issuing or using a booking's ticket.
+    minting or using a booking's ticket.
     """
 
     READ = "read"
@@ -34,10 +34,11 @@
     """The reason for a failure.
 
     An owner is the host that sends requests to a service's searchers, and a minter the host that
-    issued a ticket. A host or searcher is lost if it is unreachable or gave no whole response; a
-    minter is also lost if it has restarted. A silent owner is not connected, or left a heartbeat
-    unanswered for too long. A searcher that sheds work declines it without running it.
-    ``SEARCHER_REFUSED`` means that nothing could be sent to the searcher.
+    minted a ticket. A host or searcher is lost if it is unreachable or gave no whole response; a
+    minter is also lost if it has restarted. An owner is silent if there is no link to it, open or
+    being opened, or if it left a heartbeat unanswered for too long. A searcher that sheds work
+    declines it without running it. ``SEARCHER_REFUSED`` means that nothing could be sent to the
+    searcher.
 
     ``VERSION_GONE`` means that a searcher does not hold the snapshot, and ``WRONG_VERSION`` that it
     answered from another one. ``BUDGET`` means that the budget for hedges and retries was
--- a/src/masticgate/connection/gateway/_searcher_task.py
+++ b/src/masticgate/connection/gateway/_searcher_task.py
@@ -49,7 +49,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SkippedResponse:
-    """A complete response arrived that is not the expected one.
+    """A complete response arrived that is not the expected one; it is skipped.
 
     Its id is missing or differs, or it has more than one id or stamp.
     """
--- a/src/masticgate/process/_booking_log.py
+++ b/src/masticgate/process/_booking_log.py
@@ -11,7 +11,11 @@
 from .._ids import Millis, TicketId
 
 ATTEMPT_TTL = Millis(300_000.0)
-"""How long an attempt is kept; the outcome of a ticket is kept for a shorter time."""
+"""How long an attempt is kept, unless ``MAX_ATTEMPTS`` are kept.
+
+A ticket's outcome has to be kept for a shorter time, twice ``TICKET_LIFETIME``. Both are removed
+only when the next attempts are received or the next tickets are minted, and may be kept for longer.
+"""
 
 MAX_ATTEMPTS = 100_000
 """If this many attempts are kept, the oldest are removed before they expire."""
--- a/src/masticgate/process/_caller_service.py
+++ b/src/masticgate/process/_caller_service.py
@@ -75,7 +75,7 @@
         return result
 
     def mint_ticket(self) -> TicketId | NotRun:
-        """Return a new ticket for one booking, or why none is issued."""
+        """Return a new ticket for one booking, or why none is minted."""
         if self.runtime.owner.stopping:
             return NotRun(Reason.SHUTTING_DOWN, Step.TICKET, peer=self.host)
         return self.tickets.mint()
@@ -100,7 +100,7 @@
         return outcome
 
     def run_forwarded(self, forward: Forward) -> BookingOutcome:
-        """Run a booking that another host forwarded, since this host issued its ticket.
+        """Run a booking that another host forwarded, since this host minted its ticket.
 
         If the ticket is from an earlier run of this host, the outcome is unknown, as its records
         are lost.
--- a/src/masticgate/process/_host_runtime.py
+++ b/src/masticgate/process/_host_runtime.py
@@ -156,7 +156,10 @@
         self.reply_router.unregister_query(query)
 
     def is_silent(self, host: HostId) -> bool:
-        """Return whether ``host`` has no link, or has left a heartbeat unanswered for too long."""
+        """Return whether ``host`` has no link, or has left a heartbeat unanswered for too long.
+
+        This host itself is never silent.
+        """
         return host != self.own_host and self.links.is_silent(host)
 
     def allow_repeats(self, parts: int) -> bool:
--- a/src/masticgate/process/_tickets.py
+++ b/src/masticgate/process/_tickets.py
@@ -1,4 +1,4 @@
-"""The tickets that this host issued ("minted") since it started, and the outcome of each.
+"""The tickets that this host minted (created) since it started, and the outcome of each.
 
 A ticket identifies one booking. A caller gets it before the booking and sends it with each
 request for it, so that the booking runs at most once.
@@ -17,7 +17,7 @@
 from ..request import Attempt, Booking, BookingOutcome, Ran
 
 TICKET_LIFETIME = Millis(120_000.0)
-"""How long after its issue a ticket may start an attempt.
+"""How long after it is minted a ticket may start an attempt.
 
 The outcome is kept at least twice as long.
 """
@@ -26,7 +26,7 @@
 """The maximum number of tickets that are kept; more are refused as overload."""
 
 MAX_REMOVED_AT_ONCE = 16
-"""The maximum number of expired tickets that are removed when one is issued."""
+"""The maximum number of expired tickets that are removed when one is minted."""
 
 MAX_REQUESTS_PER_TICKET = 64
 """The maximum number of requests for one ticket that may start an attempt or join a running one."""
@@ -71,14 +71,14 @@
 
 @dataclass(frozen=True, slots=True)
 class TicketParts:
-    """The host that issued a ticket, and its incarnation, which identifies one run of the host."""
+    """The host that minted a ticket, and its incarnation, which identifies one run of the host."""
 
     host: HostId
     incarnation: Incarnation
 
 
 def parse_ticket(ticket: TicketId) -> TicketParts | None:
-    """Return the issuer that ``ticket`` names, ``None`` if it isn't a well-formed ticket."""
+    """Return the minter that ``ticket`` names, ``None`` if it isn't a well-formed ticket."""
     parts = ticket.split(SEPARATOR)
     if len(parts) != 4 or not parts[1].isdecimal() or len(parts[1]) > 19:
         return None
@@ -86,7 +86,7 @@
 
 
 class TicketTable:
-    """Issues tickets and lets each booking run at most once.
+    """Mints tickets and lets each booking run at most once.
 
     ``unresolved`` maps each request that started an attempt to its ticket, until the outcome of
     the attempt is certain.
@@ -102,7 +102,7 @@
         self.unresolved: dict[QueryId, TicketId] = {}
 
     def mint(self) -> TicketId | NotRun:
-        """Return a new ticket, or why none is issued."""
+        """Return a new ticket, or why none is minted."""
         with self.lock:
             self._remove_expired()
             if len(self.records) >= MAX_TICKETS:
--- a/src/masticgate/request/_runtime.py
+++ b/src/masticgate/request/_runtime.py
@@ -86,7 +86,11 @@
         ...
 
     def is_silent(self, host: HostId) -> bool:
-        """Return whether ``host`` is not connected, or left a heartbeat unanswered for too long."""
+        """Return whether ``host`` has no link, or has left a heartbeat unanswered for too long.
+
+        A link that is being opened again after it closed counts as a link. This host itself is
+        never silent.
+        """
         ...
 
     def allow_repeats(self, parts: int) -> bool:
--- a/src/masticgate/request/gateway/_exchange.py
+++ b/src/masticgate/request/gateway/_exchange.py
@@ -78,7 +78,7 @@
 class ReceiveInfo:
     """How an answer was received.
 
-    ``skipped`` counts the answers that were discarded on the same connection since its previous
+    ``skipped`` counts the answers that were skipped on the same connection since its previous
     accepted answer. They had no request id or another one, or more than one id or stamp.
     """
 
@@ -88,7 +88,7 @@
 
     @property
     def is_regular(self) -> bool:
-        """Return whether the answer stated where it ends and no others were discarded before it."""
+        """Return whether the answer stated where it ends and no others were skipped before it."""
         return self.framing is not BodyFraming.CLOSE and not self.skipped
 
     def __str__(self) -> str:
--- a/src/masticgate/request/gateway/_reply.py
+++ b/src/masticgate/request/gateway/_reply.py
@@ -27,7 +27,7 @@
     ``missing_causes`` says why some of these shards are missing or, if another gateway merged the
     answers, names that gateway. ``irregular_parts`` describes how some irregular answers were
     received. An answer is irregular if only the end of the connection marked its end, or if other
-    answers were discarded before it.
+    answers were skipped before it.
     """
 
     stamps: tuple[str, ...]
--- a/tests/gateway/test_response_matching.py
+++ b/tests/gateway/test_response_matching.py
@@ -358,7 +358,7 @@
     """Return whether a receiver can detect which part is the complete response to the call."""
     for index, part in enumerate(sent_parts):
         later_parts = sent_parts[index + 1 :]
-        # A response without a length extends to the end of its connection. After an orderly end,
+        # A response without a length extends to the end of its connection. After a normal close,
         # nothing shows that the response is truncated, or where the bytes that follow it begin.
         if (
             part.ends_with_close
@@ -760,12 +760,12 @@
 class TestResetWhileSending:
     """The kernel reports a reset only once.
 
-    If a send fails because of it, the next receive reads an orderly end of the connection instead.
+    If a send fails because of it, the next receive reads a normal end of the connection instead.
     """
 
     # Guards against a truncated response that is accepted as complete. The searcher reset the
     # connection within a response without a length, before it had received the whole request. The
-    # send failed because of the reset, and the receive read an orderly end.
+    # send failed because of the reset, and the receive read a normal end.
     def test_response_without_length_is_lost_when_send_fails_with_reset(self):
         near, far = connect_pair()
         near.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4_096)
