--- a/src/masticgate/connection/_peer.py
+++ b/src/masticgate/connection/_peer.py
@@ -82,10 +82,10 @@
     """The link that this host opens to one peer, to send requests and receive their replies.
 
     ``incarnation`` identifies the run of the peer's process that accepted the link.
-    ``last_received`` is when the last message arrived, and ``last_used`` when the last request was
-    sent; both begin with the time at which this object was created. ``unanswered_since`` is when
-    the first heartbeat after the last received message was sent, or ``None`` if none was sent
-    since.
+    ``last_received_at`` is when the last message arrived, and ``last_used_at`` when the last
+    request was sent; both begin with the time at which this object was created.
+    ``unanswered_since`` is when the first heartbeat after the last received message was sent, or
+    ``None`` if none was sent since.
     """
 
     def __init__(self, host: HostId, address: Address, handler: PeerHandler, clock: Clock) -> None:
@@ -96,8 +96,8 @@
         self.state = LinkState.CONNECTING
         self.incarnation = Incarnation(0)
         self.frame_socket: FrameSocket | None = None
-        self.last_received = clock.now()
-        self.last_used = clock.now()
+        self.last_received_at = clock.now()
+        self.last_used_at = clock.now()
         self.unanswered_since: Millis | None = None
         self.stopping = Event()
 
@@ -158,7 +158,7 @@
         return peer.host == self.host and shares_protocol_version(self.handler.hello(), peer)
 
     def _record_received(self) -> None:
-        self.last_received = self.clock.now()
+        self.last_received_at = self.clock.now()
         self.unanswered_since = None
 
     def _set_open(self, frame_socket: FrameSocket, peer: Hello) -> None:
--- a/src/masticgate/process/_detector.py
+++ b/src/masticgate/process/_detector.py
@@ -29,8 +29,8 @@
 class FailureDetector:
     """Declares silent neighbours suspect or dead; called only by the heartbeat task.
 
-    The neighbours of a host are the other hosts that it monitors. ``last_received`` returns when a
-    host last sent something, or ``None`` if there is no link to it.
+    The neighbours of a host are the other hosts that it monitors. ``last_received_at`` returns
+    when a host last sent something, or ``None`` if there is no link to it.
 
     The silence of a host is counted from the latest of three times: when it last sent something,
     ``monitored_since`` (when it became a neighbour, or was last found without a link) and
@@ -41,12 +41,12 @@
     def __init__(
         self,
         members: Members,
-        last_received: Callable[[HostId], Millis | None],
+        last_received_at: Callable[[HostId], Millis | None],
         clock: Clock,
         timeline: Timeline,
     ) -> None:
         self.members = members
-        self.last_received = last_received
+        self.last_received_at = last_received_at
         self.clock = clock
         self.timeline = timeline
         self.checked_at = clock.now()
@@ -72,7 +72,7 @@
             self._check_one(member, now, interval)
 
     def _check_one(self, member: Member, now: Millis, interval: Millis) -> None:
-        received_at = self.last_received(member.host)
+        received_at = self.last_received_at(member.host)
         if received_at is None:
             self.monitored_since[member.host] = now
             return
--- a/src/masticgate/process/_links.py
+++ b/src/masticgate/process/_links.py
@@ -73,7 +73,7 @@
         """Close links unused for ``LINK_IDLE_TIMEOUT``, except those to ``neighbours``."""
         limit = self.clock.now() - LINK_IDLE_TIMEOUT
         for link in self.list_links():
-            if link.host not in neighbours and link.last_used < limit:
+            if link.host not in neighbours and link.last_used_at < limit:
                 self.close(link.host)
 
     def is_open(self, host: HostId) -> bool:
@@ -99,21 +99,21 @@
         link = self.links.get(host)
         if link is None or link.unanswered_since is not None:
             return
-        if self.clock.now() - link.last_received > PROBE_DELAY:
+        if self.clock.now() - link.last_received_at > PROBE_DELAY:
             link.send(self.handler.probe_heartbeat())
 
     def is_responsive(self, host: HostId) -> bool:
         """Return whether ``host`` sent something recently, whatever its member state is."""
         link = self.links.get(host)
-        return link is not None and self.clock.now() - link.last_received < RESPONSIVE_WINDOW
+        return link is not None and self.clock.now() - link.last_received_at < RESPONSIVE_WINDOW
 
-    def last_received(self, host: HostId) -> Millis | None:
+    def last_received_at(self, host: HostId) -> Millis | None:
         """Return when ``host`` last sent something over its link, ``None`` without a link.
 
         If it sent nothing yet, return when the link was created.
         """
         link = self.links.get(host)
-        return link.last_received if link is not None else None
+        return link.last_received_at if link is not None else None
 
     def send(self, host: HostId, message: Message) -> NotRun | None:
         """Send ``message``; return ``NotRun`` if the host cannot have received all of it."""
@@ -121,7 +121,7 @@
         if link is None:
             return NotRun(Reason.OWNER_LOST, Step.FORWARD, peer=host)
         if isinstance(message, Ask | Book | Forward):
-            link.last_used = self.clock.now()
+            link.last_used_at = self.clock.now()
             self.probe(host)
         if not link.send(message):
             return NotRun(Reason.OWNER_LOST, Step.FORWARD, peer=host)
--- a/src/masticgate/process/_pools.py
+++ b/src/masticgate/process/_pools.py
@@ -76,7 +76,7 @@
             for name, pool in list(self.pools.items()):
                 service = configuration.services.get(name)
                 unneeded = service is None or configuration.is_leaving(service)
-                idle = name not in owned and now - pool.last_used > POOL_IDLE_TIMEOUT
+                idle = name not in owned and now - pool.last_used_at > POOL_IDLE_TIMEOUT
                 if unneeded or idle:
                     self._close(name)
 
--- a/src/masticgate/process/_searcher_health.py
+++ b/src/masticgate/process/_searcher_health.py
@@ -22,8 +22,8 @@
 SLOW_MIN_SAMPLES = 20
 """The number of successes before a searcher's latency is compared with that of the fastest."""
 
-INITIAL_EJECTION = Millis(500.0)
-MAX_EJECTION = Millis(8000.0)
+INITIAL_EJECTION_TIME = Millis(500.0)
+MAX_EJECTION_TIME = Millis(8000.0)
 """The first and the longest duration of an ejection.
 
 The duration doubles with each ejection, until the searcher has warmed up again.
@@ -115,7 +115,7 @@
         self.last_success_at = Millis(0.0)
         self.samples = 0
         self.failures = 0
-        self.next_ejection = INITIAL_EJECTION
+        self.next_ejection_time = INITIAL_EJECTION_TIME
         self.next_backoff = INITIAL_BACKOFF
         self.eligible_at = Millis(0.0)
         self.drained_incarnation = ""
@@ -220,8 +220,8 @@
     def eject(self, now: Millis) -> None:
         """Mark the searcher as ejected, and set when the ejection ends."""
         self.state = SearcherState.EJECTED
-        self.eligible_at = Millis(now + self.next_ejection)
-        self.next_ejection = min(MAX_EJECTION, Millis(self.next_ejection * 2))
+        self.eligible_at = Millis(now + self.next_ejection_time)
+        self.next_ejection_time = min(MAX_EJECTION_TIME, Millis(self.next_ejection_time * 2))
         self.failures = 0
         self.warm_up_limit = 1.0
         self.samples = 0
@@ -257,4 +257,4 @@
         self.warm_up_limit += 1.0 / WARM_UP_STEP
         if self.warm_up_limit >= self.connections + 1:
             self.state = SearcherState.ACTIVE
-            self.next_ejection = INITIAL_EJECTION
+            self.next_ejection_time = INITIAL_EJECTION_TIME
--- a/src/masticgate/process/_server.py
+++ b/src/masticgate/process/_server.py
@@ -186,7 +186,7 @@
             self.members,
             self.links,
             self.versions,
-            FailureDetector(self.members, self.links.last_received, self.clock, self.timeline),
+            FailureDetector(self.members, self.links.last_received_at, self.clock, self.timeline),
             seed_members(self.settings),
             self.timeline,
             self.after_heartbeat,
--- a/src/masticgate/process/_service_pool.py
+++ b/src/masticgate/process/_service_pool.py
@@ -71,7 +71,7 @@
         self.load = ServiceLoad(clock.now())
         self.entries: dict[QueryId, QueueEntry] = {}
         self.stopping = False
-        self.last_used = clock.now()
+        self.last_used_at = clock.now()
 
     @property
     def health(self) -> Mapping[SearcherId, SearcherHealth]:
@@ -87,13 +87,13 @@
         that is cancelled.
         """
         with self.delivery_lock:
-            self.last_used = self.clock.now()
+            self.last_used_at = self.clock.now()
             if work.query in self.entries:
                 return None  # The message was received twice; the first copy gets the result.
             self.load.record_arrivals(work.rank)
             refusal = self._refuse(work)
             if refusal is None:
-                entry = QueueEntry(work, self.last_used)
+                entry = QueueEntry(work, self.last_used_at)
                 self.entries[work.query] = entry
                 self.pending.add(entry)
                 self.dispatch()
--- a/src/masticgate/process/gateway/_fleet.py
+++ b/src/masticgate/process/gateway/_fleet.py
@@ -55,7 +55,7 @@
 IDLE_TIMEOUT_MARGIN = Millis(1_000.0)
 """An idle connection is closed this long before the searcher would close it.
 
-The margin covers two intervals between calls of :meth:`Fleet.sweep`.
+The margin covers two intervals between calls of :meth:`Fleet.maintain`.
 """
 
 STUCK_CALL_MARGIN = Millis(100.0)
@@ -331,7 +331,7 @@
                 if searcher not in listed and replica.state is not ReplicaState.GONE
             }
 
-    def sweep(self) -> None:
+    def maintain(self) -> None:
         """Do the regular maintenance of searchers and connections.
 
         Remove searchers that left, close expired idle connections and connections with an overdue
--- a/src/masticgate/process/gateway/_gateway.py
+++ b/src/masticgate/process/gateway/_gateway.py
@@ -235,7 +235,7 @@
                 self.log.write(LogEvent.PAUSED, for_ms=round(now - last_run_at))
             last_run_at = now
             self.peers.update_gathering()
-            self.fleet.sweep()
+            self.fleet.maintain()
             if self._is_ready() != self.was_ready:
                 self.was_ready = self._is_ready()
                 self.log.write(LogEvent.READY, ready=self.was_ready)
--- a/tests/gateway/test_fleet.py
+++ b/tests/gateway/test_fleet.py
@@ -157,7 +157,7 @@
         fleet.apply_listing(make_entry("a"))
         fleet.apply_listing(make_entry("a", phase=SearcherPhase.DRAINING))
         clock.advance(Millis(2_000.0))
-        fleet.sweep()
+        fleet.maintain()
         fleet.apply_listing(make_entry("a", phase=SearcherPhase.DRAINING))
         assert send(fleet).reason is Reason.NO_SEARCHER
         fleet.apply_listing(make_entry("a", phase=SearcherPhase.READY))
@@ -169,7 +169,7 @@
         fleet.apply_listing(make_entry("a"))
         fleet.apply_listing(make_entry("a", phase=SearcherPhase.DRAINING))
         clock.advance(Millis(2_000.0))
-        fleet.sweep()
+        fleet.maintain()
         fleet.apply_listing(make_entry("a", born=2))
         assert send(fleet).searcher == "a"
 
@@ -212,13 +212,13 @@
         assert len({dispatched.task for dispatched in sent}) == 3
         assert send(fleet).reason is Reason.OVERLOAD
 
-    def test_sweep_keeps_connection_with_new_call(self):
+    def test_maintenance_keeps_connection_with_new_call(self):
         fleet = make_fleet()
         fleet.apply_listing(make_entry("a"))
         first = send(fleet)
         finish(fleet, first, answered(first.searcher))
         again = send(fleet)
-        fleet.sweep()
+        fleet.maintain()
         assert again.task is first.task
         assert not again.task.client.aborted
 
@@ -230,10 +230,10 @@
         finish(fleet, first, answered(first.searcher))
         first.task.keep_alive_timeout = Millis(5_000.0)
         clock.advance(Millis(3_900.0))
-        fleet.sweep()
+        fleet.maintain()
         assert not first.task.client.aborted
         clock.advance(Millis(200.0))
-        fleet.sweep()
+        fleet.maintain()
         assert first.task.client.aborted
         assert fleet.starter.started == 2
 
@@ -254,7 +254,7 @@
         stuck = send(fleet)
         stuck.call.started = True
         clock.advance(Millis(600.0))
-        fleet.sweep()
+        fleet.maintain()
         assert stuck.task.client.aborted
 
     def test_connections_of_replaced_searcher_do_not_count_for_new_one(self):
--- a/tests/process/test_members.py
+++ b/tests/process/test_members.py
@@ -130,10 +130,10 @@
     def setup_method(self):
         self.clock = ManualClock()
         self.view = members_of("a", self.clock, 2)
-        self.last_received = {HostId("h0"): Millis(0.0), HostId("h1"): Millis(0.0)}
+        self.last_received_at = {HostId("h0"): Millis(0.0), HostId("h1"): Millis(0.0)}
         self.timeline = Timeline(HostId("a"), self.clock)
         self.detector = FailureDetector(
-            self.view, self.last_received.get, self.clock, self.timeline
+            self.view, self.last_received_at.get, self.clock, self.timeline
         )
         self.run_intervals(1, ["h0", "h1"])
 
@@ -142,7 +142,7 @@
         for _ in range(times):
             self.clock.advance(INTERVAL)
             for host in responsive:
-                self.last_received[host] = self.clock.now()
+                self.last_received_at[host] = self.clock.now()
             monitored = [self.view.get(h) for h in ("h0", "h1")]
             self.detector.check([m for m in monitored if is_usable(m)], INTERVAL)
 
@@ -164,9 +164,9 @@
         assert self.state("h1") is MemberState.ALIVE
 
     def test_time_without_a_link_does_not_count_as_silence(self):
-        del self.last_received["h1"]
+        del self.last_received_at["h1"]
         self.run_intervals(9, ["h0"])
-        self.last_received["h1"] = self.clock.now()
+        self.last_received_at["h1"] = self.clock.now()
         self.run_intervals(3, ["h0"])
         assert self.state("h1") is MemberState.ALIVE
 
