--- a/src/masticgate/connection/gateway/_searcher_task.py
+++ b/src/masticgate/connection/gateway/_searcher_task.py
@@ -49,7 +49,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SkippedResponse:
-    """A complete response arrived that is not the expected one.
+    """A complete response arrived that is not the expected one; it is skipped.
 
     Its id is missing or differs, or it has more than one id or stamp.
     """
@@ -294,7 +294,7 @@
 
         The end of the connection completes a response that states no length.
         """
-        if self.client.closed_cleanly():
+        if self.client.closed_normally():
             self.parser.feed_eof()
         call = self.current_call
         for response in self.parser.ready:
