--- a/src/masticgate/process/__init__.py
+++ b/src/masticgate/process/__init__.py
@@ -1,7 +1,7 @@
 """Everything that lives as long as the process: members, queues, tickets, metrics, settings.
 
-The public names of this package open no sockets. An entry host, which does, is in
-:mod:`masticgate.process.server`.
+The public names of this package open no sockets. The class of an entry host, which does, is
+in :mod:`masticgate.process.server`.
 """
 
 from typing import TYPE_CHECKING, Any
--- a/src/masticgate/process/_backoff.py
+++ b/src/masticgate/process/_backoff.py
@@ -1,4 +1,4 @@
-"""Exponential backoff with jitter, for retried reads of the platform or of a relay."""
+"""Exponential backoff with jitter, for retried reads of the platform."""
 
 import random
 
--- a/src/masticgate/process/_booking_log.py
+++ b/src/masticgate/process/_booking_log.py
@@ -11,10 +11,9 @@
 from .._ids import Millis, TicketId
 
 ATTEMPT_TTL = Millis(300_000.0)
-"""How long an attempt is kept, unless ``MAX_ATTEMPTS`` are kept.
+"""The least time that an attempt is kept, unless ``MAX_ATTEMPTS`` are kept.
 
-A ticket's outcome has to be kept for a shorter time, twice ``TICKET_LIFETIME``. Both are removed
-only when the next attempts are received or the next tickets are minted, and may be kept for longer.
+It is longer than twice ``TICKET_LIFETIME``, the least time that a ticket's outcome is kept.
 """
 
 MAX_ATTEMPTS = 100_000
--- a/src/masticgate/process/_command_explain.py
+++ b/src/masticgate/process/_command_explain.py
@@ -30,7 +30,7 @@
 """The events that may affect every request of their host."""
 
 HEADER_FIELDS = frozenset({"wall_ms", "host", "event", "request"})
-"""The fields that are left out after the time, the host and the event that begin a printed line."""
+"""The fields that are left out of the rest of a printed line, after its time, host and event."""
 
 TOKEN = re.compile(r"[\w~.:/-]+")
 """Matches one word of a field's value, such as the name of a searcher or a service."""
--- a/src/masticgate/process/_concurrency.py
+++ b/src/masticgate/process/_concurrency.py
@@ -63,7 +63,7 @@
     def release(self, rank: Rank, *, late: bool) -> None:
         """Record the end of a search.
 
-        ``late`` says that it ended at its deadline, incomplete, or with an exception.
+        ``late`` says that it was incomplete at its deadline, or ended with an exception.
         """
         with self.lock:
             self.in_progress[rank] -= 1
--- a/src/masticgate/process/_distribution.py
+++ b/src/masticgate/process/_distribution.py
@@ -35,7 +35,7 @@
 """Sends a message on the connection over which a peer's message arrived."""
 
 FETCH_TIMEOUT = Millis(1000.0)
-"""How long to wait for the versions that a peer was asked for before any peer is asked again."""
+"""How long to wait for versions from one peer before a peer is asked for the same ones again."""
 
 
 class Distribution:
@@ -134,8 +134,8 @@
         """Offer the store what a peer sent.
 
         A push of sections holds the changes since the text of a base revision. If this host is at
-        another revision, fetch the changes since its own; if its text of the base revision differs
-        from the peer's, fetch the whole text.
+        another revision, fetch the changes since its own; if it is at the base revision, but the
+        changes don't yield the peer's text, fetch the whole text.
         """
         match push:
             case TextPush(revision=revision, text=text):
--- a/src/masticgate/process/_heartbeats.py
+++ b/src/masticgate/process/_heartbeats.py
@@ -24,7 +24,7 @@
 ROUNDS_PER_KEEPALIVE = 2
 """A host that is linked but not a neighbour is sent a heartbeat once in this many rounds.
 
-Without it, no message would arrive over the link, which would therefore be closed.
+The reply keeps the link open, which is closed if no message arrives over it for a while.
 """
 
 ROUNDS_PER_DIGEST = 4
@@ -119,7 +119,7 @@
         updates = self.members.next_updates()
         member = self.members.get(host)
         if member is not None and member.state is not MemberState.ALIVE and member not in updates:
-            # Lets the host refute that it is suspect or dead.
+            # Tells the host its state, so that it can refute that it is suspect or dead.
             updates = (*updates, member)
         digest = tuple(self.members.digest) if with_digest else ()
         heartbeat = Heartbeat(self.timeline.sequence, self.versions.versions(), updates, digest)
--- a/src/masticgate/process/_idle_connections.py
+++ b/src/masticgate/process/_idle_connections.py
@@ -40,8 +40,8 @@
     """The idle connections of a service, by searcher.
 
     The task of one of them, ``timer``, also wakes up when a hedge is due or a searcher may get
-    work again. The others wait until they are notified or have waited for too long. Callers hold
-    the lock of the service pool.
+    work again. The others wait until they are notified or their wait times out. Callers hold the
+    lock of the service pool.
     """
 
     def __init__(self) -> None:
--- a/src/masticgate/process/_member_rules.py
+++ b/src/masticgate/process/_member_rules.py
@@ -52,7 +52,7 @@
 
 
 def choose_neighbours(own: Member, others: Iterable[Member]) -> list[Member]:
-    """Return those of ``others`` that ``own`` monitors: all if at most ``NEAR_NEIGHBOURS``."""
+    """Return the hosts that ``own`` monitors: a bounded number, or all of ``others`` if few."""
     start = _position(own.host)
     ring = sorted(others, key=lambda member: (_position(member.host) - start) % RING_SIZE)
     rest = ring[NEAR_NEIGHBOURS:]
--- a/src/masticgate/process/_server.py
+++ b/src/masticgate/process/_server.py
@@ -112,7 +112,7 @@
         """Stop gracefully: announce that this host leaves, refuse new work, finish the rest.
 
         Once the callers' requests have ended, or the shutdown time in the settings is over, work
-        that is still queued is answered without being sent.
+        that is still queued is answered without another attempt.
         """
         deadline = Millis(self.clock.now() + self.settings.shutdown_ms)
         self.timeline.add(EventKind.STOPPING, self.id)
--- a/src/masticgate/process/_service_pool.py
+++ b/src/masticgate/process/_service_pool.py
@@ -205,8 +205,8 @@
     def finish(self, attempt: SearcherAttempt, result: Result) -> None:
         """Handle the result of ``attempt``: deliver it, retry the work, or ignore it.
 
-        A result is ignored if the work is done; any but hits also while another attempt is in
-        flight.
+        A result is ignored if the work is done. A result other than :class:`Hits` is also ignored
+        while another attempt is in flight.
         """
         with self.delivery_lock:
             entry = attempt.entry
--- a/src/masticgate/process/_settings.py
+++ b/src/masticgate/process/_settings.py
@@ -25,7 +25,8 @@
     """The addresses of the platform's two services, and two keys of the configuration service.
 
     ``configuration`` is the address of the configuration service, and ``hosts`` that of the host
-    list. ``text_key`` holds the configuration text, and ``snapshots_key`` the snapshot catalogue.
+    list. ``text_key`` is the key of the configuration text, and ``snapshots_key`` that of the
+    snapshot catalogue.
     """
 
     configuration: AddressText
--- a/src/masticgate/process/_startup.py
+++ b/src/masticgate/process/_startup.py
@@ -42,7 +42,7 @@
     Enough are :data:`MIN_STARTUP_PEERS` peers in :data:`MIN_STARTUP_DOMAINS` failure domains, or
     as many as there are among the ``seeds``, the other hosts that the settings name. In addition,
     the read of the platform must have ended, with or without an answer, and this host must have
-    the highest versions that the peers reported, or have refused the highest revision.
+    the highest versions that the peers reported; a revision that it refused counts too.
     """
 
     def __init__(
--- a/src/masticgate/process/_tickets.py
+++ b/src/masticgate/process/_tickets.py
@@ -52,11 +52,11 @@
 class _Record:
     """The state of one ticket.
 
-    ``outcome`` is the outcome of the latest attempt, or of the next one if that did not run.
-    ``content`` is the service and the payload of the booking, and ``query`` the request that
-    started the latest attempt. ``late_outcome`` is an outcome that the owner sent after that
-    request stopped waiting, but before the request recorded its own. ``requests`` maps each
-    request that started or joined an attempt to its outcome.
+    ``outcome`` is the outcome of the latest attempt, or of the next one if that did not run or
+    none was started. ``content`` is the service and the payload of the booking, and ``query`` the
+    request that started the latest attempt. ``late_outcome`` is an outcome that the owner sent
+    after that request stopped waiting, but before the request recorded its own. ``requests`` maps
+    each request that started or joined an attempt to its outcome.
     """
 
     expires_at: Millis
--- a/src/masticgate/process/_versions.py
+++ b/src/masticgate/process/_versions.py
@@ -165,10 +165,10 @@
     def choose_snapshot(
         self, services: Sequence[ServiceId], tried: frozenset[SnapshotVersion]
     ) -> Snapshot | None:
-        """Return the snapshot in which to search ``services``, ``None`` if all are in ``tried``.
+        """Return the snapshot in which to search ``services``, ``None`` if all were tried.
 
-        It is the newest one not in ``tried`` that no service is known to lack, or else the newest
-        one not in ``tried``.
+        It is the newest one not in ``tried`` that none of ``services`` is known to lack, or else
+        the newest one not in ``tried``.
         """
         return self.catalogue.choose_snapshot(services, self.unavailable, tried)
 
--- a/src/masticgate/process/_watch.py
+++ b/src/masticgate/process/_watch.py
@@ -1,8 +1,8 @@
 """The tasks that read the platform: a watch on each key, and a poll of the host list.
 
 They read only on hosts with the watch role: :data:`WATCHERS_PER_DOMAIN` in each failure domain,
-and hosts that replace these while they are unreachable. :func:`most_reads` gives the bound on the
-platform's load.
+and hosts that replace these while they are unreachable. While the hosts can reach one another,
+:func:`most_reads` gives the bound on the platform's load.
 """
 
 from collections.abc import Callable
--- a/src/masticgate/process/gateway/_fleet.py
+++ b/src/masticgate/process/gateway/_fleet.py
@@ -404,8 +404,8 @@
     def _expire_idle(self, replica: Replica, now: Millis) -> None:
         """Close idle connections before their searcher does; the lock is held.
 
-        Replace one if the searcher is active, was used recently or is kept warm, and has at most
-        two connections.
+        Replace one if the searcher is active, has at most two connections, and was used recently or
+        is kept warm.
         """
         for task in list(replica.idle):
             idle_timeout = (
--- a/src/masticgate/process/gateway/_peers.py
+++ b/src/masticgate/process/gateway/_peers.py
@@ -44,7 +44,8 @@
 MAX_MISSED_HEARTBEATS = 2
 """A gatherer is no longer used after this many missed heartbeats in a row.
 
-They take up to a second if its host refuses connections, and up to two if it does not respond.
+They take up to a second if its host refuses connections, and up to two if it does not respond. A
+gatherer that replies that it is not ready is dropped at once.
 """
 
 MEMBER_TTL = Millis(5_000.0)
--- a/src/masticgate/process/gateway/_service.py
+++ b/src/masticgate/process/gateway/_service.py
@@ -37,7 +37,7 @@
 
 A request is ordinary if its reply is whole, was ready within the route's objective, which is the
 latency that it should not exceed, and consists of regular answers. An answer is regular if it
-stated where it ends and no others were skipped before it on its connection.
+stated where it ends and no other answers were skipped before it on its connection.
 """
 
 
--- a/src/masticgate/process/gateway/_task_pool.py
+++ b/src/masticgate/process/gateway/_task_pool.py
@@ -107,7 +107,7 @@
         )
 
     def _make_executor(self) -> ThreadPoolExecutor:
-        """Return an executor with two threads for each task.
+        """Return an executor with at most two threads for each of ``max_tasks`` tasks.
 
         A task that has ended may still occupy its thread when the next one is started.
         """
