--- a/src/masticgate/_failures.py
+++ b/src/masticgate/_failures.py
@@ -1,7 +1,7 @@
 """Failures that are returned instead of raised, with their reason, step and peer.
 
 The type of a failure says whether the work certainly did not run or may have run. The peer is the
-host, searcher or service that the failure concerns, or an empty string.
+host, searcher, service or address that the failure concerns, or an empty string.
 """
 
 from dataclasses import dataclass
@@ -13,8 +13,8 @@
 
     ``READ`` is reading input, ``PIN`` is choosing a snapshot, and ``ROUTE`` is choosing the
     services of a request and a host or searcher for each. ``FORWARD`` is sending to another host
-    and waiting for its reply, and ``UPSTREAM`` is waiting for a searcher's response. ``TICKET`` is
-    minting or using a booking's ticket.
+    and waiting for its reply, and ``UPSTREAM`` is calling a searcher and waiting for its response.
+    ``TICKET`` is minting or using a booking's ticket.
     """
 
     READ = "read"
@@ -35,14 +35,14 @@
 
     An owner is the host that sends requests to a service's searchers, and a minter the host that
     minted a ticket. A host or searcher is lost if it is unreachable or gave no whole response; a
-    minter is also lost if it has restarted. An owner is silent if there is no link to it, open or
-    being opened, or if it left a heartbeat unanswered for too long. A searcher that sheds work
-    declines it without running it. ``SEARCHER_REFUSED`` means that nothing could be sent to the
-    searcher.
+    minter is also lost if it has restarted. An owner is silent if this host has no link to it and
+    is not opening one, or if it left a heartbeat unanswered for too long. A searcher that sheds
+    work declines it without running it. ``SEARCHER_REFUSED`` means that nothing could be sent to
+    the searcher.
 
     ``VERSION_GONE`` means that a searcher does not hold the snapshot, and ``WRONG_VERSION`` that it
-    answered from another one. ``BUDGET`` means that the budget for hedges and retries was
-    used up, and ``COVERAGE`` that too few of the shards answered.
+    answered from another one. ``BUDGET`` means that the budget for hedges and retries was used up,
+    and ``COVERAGE`` that too few of the shards answered.
     """
 
     BAD_REQUEST = "bad_request"
--- a/src/masticgate/_ids.py
+++ b/src/masticgate/_ids.py
@@ -18,9 +18,9 @@
 """The number of one run of a host's process; a later run has a higher number."""
 
 Revision = NewType("Revision", int)
-"""The number that the platform gives to each version of what it publishes, in ascending order.
+"""The number that the platform gives to a version of what it publishes; later ones are higher.
 
-A gateway that relays the platform's catalogue numbers its changes itself.
+If a gateway relays the platform's catalogue, that gateway numbers the changes instead.
 """
 
 SnapshotVersion = NewType("SnapshotVersion", int)
--- a/src/masticgate/connection/_address.py
+++ b/src/masticgate/connection/_address.py
@@ -39,7 +39,7 @@
 ) -> Iterator[tuple[socket.socket, Any]]:
     """Yield accepted connections until ``stopped`` returns ``True``.
 
-    After a failed accept it pauses for :data:`ACCEPT_RETRY_DELAY_S`.
+    After a failed accept, pause for :data:`ACCEPT_RETRY_DELAY_S`.
     """
     while not stopped():
         try:
--- a/src/masticgate/connection/_caller_server.py
+++ b/src/masticgate/connection/_caller_server.py
@@ -148,7 +148,7 @@
     def send_error(self, code: int, message: str | None = None, explain: str | None = None) -> None:
         """Refuse a request that the base class cannot handle, such as one that is not valid HTTP.
 
-        The JSON body has the same fields as that of other refusals.
+        The response is a :func:`failure_response` with the status ``code``.
         """
         self.request_version = self.protocol_version
         self.close_connection = True
@@ -182,7 +182,7 @@
 
 
 class CallerServer:
-    """Accepts the connections of callers, and refuses those over ``max_callers`` at once.
+    """Accepts connections of callers, and refuses further ones while ``max_callers`` are open.
 
     ``timeout`` bounds each wait for a caller to send or to accept bytes.
     """
--- a/src/masticgate/connection/_peer.py
+++ b/src/masticgate/connection/_peer.py
@@ -1,9 +1,9 @@
 """The links between hosts: those that this host opens and those that it accepts.
 
 A link is a TCP connection to another host of the deployment, the peer. For each link, one task
-reads the messages that arrive. A host sends requests only over links that it opened, and gets the
-replies over the same link. It also sends heartbeats over these links, to detect that a peer is
-unresponsive.
+reads the messages that arrive. A host sends searches and bookings only over links that it opened,
+and gets each reply over the same link. It also sends heartbeats over these links, to detect that a
+peer is unresponsive.
 """
 
 import socket
--- a/src/masticgate/connection/_process_structs.py
+++ b/src/masticgate/connection/_process_structs.py
@@ -91,14 +91,14 @@
 
 
 def write_refused(target: Any, refused: RefusedCount) -> None:
-    """Write how many queries of one rank to one service an entry host refused."""
+    """Write the number of queries of one rank to one service that an entry host refused."""
     target.service = refused.service
     target.rank = refused.rank.value
     target.count = refused.count
 
 
 def read_refused(source: Any) -> RefusedCount:
-    """Read how many queries of one rank to one service an entry host refused."""
+    """Read the number of queries of one rank to one service that an entry host refused."""
     return RefusedCount(ServiceId(source.service), Rank(source.rank), source.count)
 
 
--- a/src/masticgate/connection/gateway/_client.py
+++ b/src/masticgate/connection/gateway/_client.py
@@ -49,7 +49,7 @@
 
 @dataclass(frozen=True, slots=True)
 class InvalidResponse:
-    """The received bytes are not a valid HTTP response, or are too many."""
+    """The received bytes are not a valid HTTP response, or exceed a limit."""
 
     detail: str
 
@@ -165,7 +165,7 @@
         normally. The failure of a send is therefore recorded in ``aborted``, under the lock.
 
         :raises BlockingIOError: the send buffer of the socket is full.
-        :raises OSError: the connection is closed or failed.
+        :raises OSError: the connection is closed or has failed.
         """
         with self.lock:
             if self.socket is None:
--- a/src/masticgate/connection/gateway/_response_parser.py
+++ b/src/masticgate/connection/gateway/_response_parser.py
@@ -34,9 +34,9 @@
 """
 
 EXTRA_HEAD_BYTES = 256
-"""How many bytes longer than twice a response's own headers a head within its body may be.
+"""Added to twice the size of a response's headers to bound the bytes that are compared with them.
 
-The bytes from a status line on are compared with the response's headers only up to that length.
+The compared bytes begin at a status line in the body, and may be the head of another response.
 """
 
 MAX_CHUNK_OVERHEAD = 0.5
--- a/src/masticgate/request/gateway/_gather.py
+++ b/src/masticgate/request/gateway/_gather.py
@@ -75,7 +75,8 @@
     def run(self) -> Reply:
         """Send the query to all shards, wait for their answers, and return the reply.
 
-        The wait ends when no attempt for an unanswered shard is in flight, or the time is up.
+        The wait ends when no attempt for an unanswered shard is in flight or the deadline has
+        passed, and from ``answer_at`` on as soon as ``min_answers`` shards have answered.
         """
         for attempts in self.unanswered:
             attempts.send_first()
--- a/src/masticgate/version/_jsonc.py
+++ b/src/masticgate/version/_jsonc.py
@@ -18,8 +18,8 @@
 class Position:
     """A position in a text; lines and columns are counted from 1.
 
-    A column counts the bytes of the line in UTF-8, or its characters if the JSON parser reported
-    the problem.
+    A column counts the bytes of the line in UTF-8. If the JSON parser reported the problem, it
+    counts characters, except in comments.
     """
 
     line: int
--- a/src/masticgate/version/_messages.py
+++ b/src/masticgate/version/_messages.py
@@ -28,7 +28,7 @@
 class FetchVersions:
     """Asks a host for the versions that are newer than ``current``.
 
-    These are the sender's own, or have the revision 0 to request the whole text.
+    ``current`` holds the sender's own versions, or the revision 0 to request the whole text.
     """
 
     current: Versions
