--- a/src/masticgate/process/_host_runtime.py
+++ b/src/masticgate/process/_host_runtime.py
@@ -14,8 +14,8 @@
 from ._members import Members
 from ._owner import Owner
 from ._policy import AdmitAll, AdmitByCapacity, LocalRouting, OwnerRouting, Policy
-from ._repeat_budget import RepeatBudget
 from ._reply_router import ReplyRouter
+from ._resend_budget import ResendBudget
 from ._tickets import parse_ticket
 from ._versions import VersionStore
 
@@ -54,7 +54,7 @@
         self.reply_router = reply_router
         self.owner = owner
         self.admission = admission
-        self.repeat_budget = RepeatBudget()
+        self.resend_budget = ResendBudget()
         self.owner_table: dict[ServiceId, list[HostId]] = {}
         self.table_hosts: list[HostId] = []
 
@@ -137,7 +137,7 @@
             # An earlier incarnation of this host minted the ticket, and its records are lost.
             return NotRun(Reason.MINTER_LOST, Step.FORWARD, peer=host)
         if isinstance(message, Ask):
-            self.repeat_budget.earn(len(message.parts))
+            self.resend_budget.earn(len(message.parts))
         if inbox is not None and not isinstance(message, Cancel):
             self.reply_router.register(host, message, inbox)
         if host == self.own_host:
@@ -162,13 +162,13 @@
         """
         return host != self.own_host and self.links.is_silent(host)
 
-    def allow_repeats(self, parts: int) -> bool:
+    def allow_resends(self, parts: int) -> bool:
         """Spend ``parts`` of the budget for repeats; return ``False`` if it is too small for them.
 
         A repeat sends parts of a search to another owner while a silent one may still answer. Each
         part that is sent to an owner adds to the budget.
         """
-        return self.repeat_budget.spend(parts)
+        return self.resend_budget.spend(parts)
 
     def probe(self, host: HostId) -> None:
         """Request a reply from ``host``, to distinguish a slow host from a lost one."""
--- a/src/masticgate/process/_repeat_budget.py
+++ b/src/masticgate/process/_resend_budget.py
@@ -6,32 +6,32 @@
 
 from threading import Lock
 
-EARNED_PER_PART = 0.005
+RESENDS_PER_PART = 0.005
 """What the budget earns for each part of a search that is sent to an owner, in parts.
 
 Each part of a search is answered by one service.
 """
 
-MAX_PARTS = 64.0
+MAX_RESENDS = 64.0
 """The largest budget in parts, enough for the searches in flight when one owner pauses."""
 
 
-class RepeatBudget:
+class ResendBudget:
     """Limits the extra load of parts that are sent again, since many silent owners do answer."""
 
     def __init__(self) -> None:
         self.lock = Lock()
-        self.parts = MAX_PARTS
+        self.resends = MAX_RESENDS
 
     def earn(self, parts: int) -> None:
         """Add what ``parts`` parts of a search earn, when they are sent to an owner."""
         with self.lock:
-            self.parts = min(MAX_PARTS, self.parts + parts * EARNED_PER_PART)
+            self.resends = min(MAX_RESENDS, self.resends + parts * RESENDS_PER_PART)
 
     def spend(self, parts: int) -> bool:
         """Spend the budget for ``parts`` repeated parts; return ``False`` if it is too small."""
         with self.lock:
-            if self.parts < parts:
+            if self.resends < parts:
                 return False
-            self.parts -= parts
+            self.resends -= parts
             return True
--- a/src/masticgate/request/_runtime.py
+++ b/src/masticgate/request/_runtime.py
@@ -93,7 +93,7 @@
         """
         ...
 
-    def allow_repeats(self, parts: int) -> bool:
+    def allow_resends(self, parts: int) -> bool:
         """Spend ``parts`` of the budget for repeats, and return whether it covers them.
 
         A repeat sends parts of a search to a second owner while the first, silent owner may still
--- a/src/masticgate/request/_search.py
+++ b/src/masticgate/request/_search.py
@@ -247,7 +247,7 @@
             for service in self.merge.pending
             if self.runtime.is_silent(self.tried_owners[service][-1]) and self._next_owner(service)
         ]
-        if silent and self.runtime.allow_repeats(len(silent)):
+        if silent and self.runtime.allow_resends(len(silent)):
             self._ask_next_owners(silent)
 
     def _cancel_unanswered(self) -> None:
--- a/tests/request/scripted_runtime.py
+++ b/tests/request/scripted_runtime.py
@@ -119,7 +119,7 @@
     def is_silent(self, host):
         return host in self.silent
 
-    def allow_repeats(self, parts):
+    def allow_resends(self, parts):
         return True
 
     def probe(self, host):
