--- a/src/masticgate/connection/_http_connection.py
+++ b/src/masticgate/connection/_http_connection.py
@@ -36,8 +36,8 @@
 class HttpConnection:
     """Sends one request at a time over one connection; any task may call :meth:`abort`.
 
-    libcurl resends a POST on its own if a kept-alive connection closes before the response, and no
-    retry budget would count that. The body therefore comes from a function that supplies it only
+    libcurl sends a POST again on its own if a kept-alive connection closes before the response, and
+    no retry budget would count that. The body therefore comes from a function that supplies it only
     once, so that a request is never sent again after libcurl has read its body.
     """
 
--- a/src/masticgate/process/_host_runtime.py
+++ b/src/masticgate/process/_host_runtime.py
@@ -163,10 +163,10 @@
         return host != self.own_host and self.links.is_silent(host)
 
     def allow_resends(self, parts: int) -> bool:
-        """Spend ``parts`` of the budget for repeats; return ``False`` if it is too small for them.
+        """Spend one resend for each of ``parts`` parts; return ``False`` if too few are left.
 
-        A repeat sends parts of a search to another owner while a silent one may still answer. Each
-        part that is sent to an owner adds to the budget.
+        A resend sends a part of a search to another owner while a silent one may still answer. Each
+        part that is sent to an owner adds to the budget for resends.
         """
         return self.resend_budget.spend(parts)
 
--- a/src/masticgate/process/_resend_budget.py
+++ b/src/masticgate/process/_resend_budget.py
@@ -1,35 +1,34 @@
-"""The budget for sending parts of searches to another owner while their first owner is silent.
+"""The budget for resends.
 
-The owner of a service is the host that queues its work. It is silent if it has no link, or has left
-a heartbeat unanswered for too long; it may be slow or paused rather than lost.
+A search has one part for each service. A resend sends a part to another owner if the one to which
+it was last sent is silent. An owner is a host that queues the work of a service. It is silent if it
+has no link, or has left a heartbeat unanswered for too long; it may be slow or paused rather than
+lost.
 """
 
 from threading import Lock
 
 RESENDS_PER_PART = 0.005
-"""What the budget earns for each part of a search that is sent to an owner, in parts.
-
-Each part of a search is answered by one service.
-"""
+"""The number of resends that the budget earns for each part that is sent to an owner."""
 
 MAX_RESENDS = 64.0
-"""The largest budget in parts, enough for the searches in flight when one owner pauses."""
+"""The largest number of resends, enough for the searches in flight when one owner pauses."""
 
 
 class ResendBudget:
-    """Limits the extra load of parts that are sent again, since many silent owners do answer."""
+    """Limits the extra load of resends; many silent owners do answer, so a part may run twice."""
 
     def __init__(self) -> None:
         self.lock = Lock()
         self.resends = MAX_RESENDS
 
     def earn(self, parts: int) -> None:
-        """Add what ``parts`` parts of a search earn, when they are sent to an owner."""
+        """Add what ``parts`` parts earn; a resent part or one whose send fails earns too."""
         with self.lock:
             self.resends = min(MAX_RESENDS, self.resends + parts * RESENDS_PER_PART)
 
     def spend(self, parts: int) -> bool:
-        """Spend the budget for ``parts`` repeated parts; return ``False`` if it is too small."""
+        """Spend one resend for each of ``parts`` parts; return ``False`` if too few are left."""
         with self.lock:
             if self.resends < parts:
                 return False
--- a/src/masticgate/request/_runtime.py
+++ b/src/masticgate/request/_runtime.py
@@ -94,10 +94,9 @@
         ...
 
     def allow_resends(self, parts: int) -> bool:
-        """Spend ``parts`` of the budget for repeats, and return whether it covers them.
+        """Spend one resend for each of ``parts`` parts; return ``False`` if too few are left.
 
-        A repeat sends parts of a search to a second owner while the first, silent owner may still
-        answer.
+        A resend sends a part of a search to another owner while a silent one may still answer.
         """
         ...
 
--- a/src/masticgate/request/_search.py
+++ b/src/masticgate/request/_search.py
@@ -235,7 +235,7 @@
             self.merge.add_failure(service, failure)
 
     def _replace_silent_owners(self, now: Millis) -> None:
-        """Send the parts of silent owners to others too, if the budget for repeats allows it.
+        """Resend the parts of silent owners to other owners, if the budget allows it.
 
         Also probe the latest owner of each pending service, so that a lost one becomes silent.
         """
--- a/src/masticgate/request/gateway/_exchange.py
+++ b/src/masticgate/request/gateway/_exchange.py
@@ -26,7 +26,7 @@
 class Request:
     """A request as a gateway received it, from a caller or from another gateway.
 
-    ``id`` is the caller's id of the request; if the caller repeats it, the repeat has another id.
+    ``id`` is the caller's id of the request; if the caller sends it again, it uses another id.
     ``target`` is the path with its query string, as received. ``host`` is the host name in the
     ``Host`` header, without the port, and ``headers`` holds the headers to forward.
     ``caller_timeout`` is how long the caller waits for its answer, counted from ``arrived_at``, in
--- a/tests/process/test_owner_faults.py
+++ b/tests/process/test_owner_faults.py
@@ -133,7 +133,7 @@
 
 class TestBookingOnClosedConnection:
     def test_is_unknown_and_ran_once_if_searcher_closes_connection_without_response(self, fleet):
-        """Guard against resending a booking whose connection ends without a response.
+        """Guard against sending a booking again if its connection ends without a response.
 
         On a reused connection, an HTTP client may take that as an idle connection that timed out,
         and send the request again, although the searcher has run it.
--- a/tests/process/test_resend_budget.py
+++ b/tests/process/test_resend_budget.py
@@ -1,4 +1,4 @@
-"""The budget for the parts of searches that a host sends again while their owner is silent."""
+"""The budget for parts of searches that a host resends to another owner if one is silent."""
 
 from masticgate.process._resend_budget import MAX_RESENDS, RESENDS_PER_PART, ResendBudget
 
