--- a/tests/gateway/soak.py
+++ b/tests/gateway/soak.py
@@ -291,8 +291,8 @@
 class Store:
     """A stand-in for the platform's store: items by key, and the history of their changes.
 
-    The history can be dropped. A gateway that asks for changes from before that has to read all
-    items again.
+    The history can be dropped. A gateway that asks for older changes then has to read all items
+    again.
     """
 
     def __init__(self) -> None:
--- a/tests/gateway/test_endless_responses.py
+++ b/tests/gateway/test_endless_responses.py
@@ -262,8 +262,8 @@
             assert server.closed.wait(MAX_WAIT_S)
             assert server.sent_bytes < MAX_SENT_BYTES
 
-    # Guards against a read that lasts as long as bytes arrive. Each receive had the full timeout
-    # again, also after the deadline of the read.
+    # Guards against a read that lasts as long as bytes arrive, because each receive has the full
+    # timeout again, also after the deadline of the read.
     def test_read_of_endless_body_ends_at_deadline(self):
         with running_server(ENDLESS_BODIES["body_with_length"]) as server:
             client = HttpClient(server.address, clock := AdvancingClock())
@@ -273,7 +273,7 @@
             assert server.closed.wait(MAX_WAIT_S)
 
     # Guards against a connection that stays open although further responses, which are dropped,
-    # arrived in the same receive as the first.
+    # arrive in the same receive as the first.
     @pytest.mark.parametrize("name", ENDLESS_SEQUENCES)
     def test_responses_after_the_first_end_connection(self, name):
         repeated = ENDLESS_SEQUENCES[name].repeated
--- a/tests/gateway/test_header_numbers.py
+++ b/tests/gateway/test_header_numbers.py
@@ -6,7 +6,7 @@
 from .loopback import RawCaller, StandInSearcher, reply_to, running_gateway
 
 NUMBER_LENGTHS = [400, 5_000]
-"""How many digits a number has that is too large for a float, or that Python refuses to parse."""
+"""The digits of a number too large for a float, and of one that Python refuses to parse."""
 
 
 def get_two_statuses(extra: bytes) -> list[int]:
@@ -19,8 +19,8 @@
 
 
 class TestLongNumbers:
-    # Guards against an error in the task of the connection, which left the call without an outcome,
-    # so that the caller waited until the deadline.
+    # Guards against an error in the task of the connection. It would leave the call without an
+    # outcome, so that the caller waits until the deadline.
     @pytest.mark.parametrize("length", NUMBER_LENGTHS)
     def test_ignores_too_long_idle_timeout(self, length):
         assert get_two_statuses(b"Keep-Alive: timeout=%s\r\n" % (b"9" * length)) == [200, 200]
--- a/tests/gateway/test_missing_counts.py
+++ b/tests/gateway/test_missing_counts.py
@@ -35,8 +35,8 @@
         assert status == 200
         assert head_value(head, b"x-missing") == b"1"
 
-    # Guards against an answer without the header that counts as whole, and against a caller that
-    # gets no reply because the header holds no valid number.
+    # Guards against an answer that counts as whole although it lacks the header, and against a
+    # caller that gets no reply because the header holds no valid number.
     @pytest.mark.parametrize("number", [None, b"", b"few", b"-1", b"9" * 5_000])
     def test_fails_without_valid_number(self, number):
         assert get_reply(b"" if number is None else b"x-gateway-missing: %s\r\n" % number)[0] == 502
--- a/tests/gateway/test_response_matching.py
+++ b/tests/gateway/test_response_matching.py
@@ -635,8 +635,8 @@
     def test_each_call_gets_own_complete_response_or_none(self, planned_exchanges):
         run_and_check(*planned_exchanges)
 
-    # Guards against a success for a request that failed at the searcher. A late response ended
-    # within its status line, and its status was used for the response that followed.
+    # Guards against a success for a request that failed at the searcher: a late response ends
+    # within its status line, and its status is used for the response that follows.
     def test_status_of_truncated_response_is_not_used_for_next_one(self):
         earlier, response = (
             PlannedResponse("q0", 200, b""),
@@ -667,7 +667,7 @@
         )
 
     # Guards against a request that ran but is reported as not run, since the header that says so
-    # came from a truncated refusal of another request.
+    # comes from a truncated refusal of another request.
     def test_truncated_refusal_does_not_make_next_response_a_refusal(self):
         earlier, response = (
             PlannedResponse("q0", 503, b"", not_run=True),
@@ -763,9 +763,9 @@
     If a send fails because of it, the next receive reads a normal end of the connection instead.
     """
 
-    # Guards against a truncated response that is accepted as complete. The searcher reset the
-    # connection within a response without a length, before it had received the whole request. The
-    # send failed because of the reset, and the receive read a normal end.
+    # Guards against a truncated response that is accepted as complete. The searcher resets the
+    # connection within a response without a length, before it has received the whole request. The
+    # send fails because of the reset, and the receive reads a normal end.
     def test_response_without_length_is_lost_when_send_fails_with_reset(self):
         near, far = connect_pair()
         near.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4_096)
@@ -831,8 +831,8 @@
         ).run()
         assert isinstance(exchange_call[1].outcome, Lost)
 
-    # Guards against a call without an outcome. The task ended with the exception that int() raises
-    # for a number with too many digits.
+    # Guards against a call without an outcome, because the task ends with the exception that int()
+    # raises for a number with too many digits.
     @pytest.mark.parametrize(
         "field",
         [b"x-load: 1,2,%s\r\n" % (b"9" * 5_000), b"Keep-Alive: timeout=%s\r\n" % (b"9" * 5_000)],
--- a/tests/gateway/test_soak.py
+++ b/tests/gateway/test_soak.py
@@ -13,14 +13,14 @@
 SEED = int(os.environ.get("MASTICGATE_SOAK_SEED", "1"))
 SHORT_RUN_S = 6.0
 FAILED_SEEDS = [
-    # The recovery check wrongly reported a fault of the gateway: both searchers to which a request
-    # for /one/ may be sent ran it, and both responses were among the 2 % always lost.
+    # Guards against a recovery check that reports a fault of the gateway if both searchers to which
+    # a request for /one/x may be sent run it, and both responses are among the 2 % always lost.
     301,
     315,
-    # A retry found no searcher, since the other one of two had just been ejected.
+    # Guards against a retry that finds no searcher, since the other one of two has been ejected.
     508,
 ]
-"""Seeds of runs that failed once, each with the cause of the failure."""
+"""Seeds of runs that have failed, each with the fault that it guards against."""
 
 
 class TestGatewaySoak:
--- a/tests/gateway/test_trailers.py
+++ b/tests/gateway/test_trailers.py
@@ -11,8 +11,8 @@
 
 
 class TestTrailers:
-    # Guards against a trailer that replaces the header of the same name: the response to another
-    # request was then taken for the response to this one.
+    # Guards against a trailer that replaces the header of the same name, so that the response to
+    # another request is taken for the response to this one.
     def test_ignores_request_id_in_trailer(self):
         def respond(head):
             request_id = head_value(head, b"x-id")
--- a/tests/process/test_members.py
+++ b/tests/process/test_members.py
@@ -251,7 +251,7 @@
 
     @invariant()
     def own_state_is_alive_or_leaving(self):
-        """A host never accepts that it is suspect or dead; once it has left, it stays leaving."""
+        """A host's own state is never suspect or dead; once it has left, it stays leaving."""
         for host in self.hosts:
             assert host.own_member.state in (MemberState.ALIVE, MemberState.LEAVING)
             assert (host.own_member.host in self.hosts_that_left) <= (
--- a/tests/process/test_versions.py
+++ b/tests/process/test_versions.py
@@ -82,7 +82,7 @@
     def offer_push(self, index, drawn_revision):
         """Offer one store what the other would send to a peer that has the base revision.
 
-        That is the store's own revision, or the drawn one if that is at most 6.
+        The base revision is the store's own one, or the drawn one if that is at most 6.
         """
         store, peer = self.stores[index], self.stores[1 - index]
         base_revision = (
